--- a/packages/command-line/src/config-commands.ts
+++ b/packages/command-line/src/config-commands.ts
@@ -1,7 +1,7 @@
 /**
  * The command `config`: check files, show the configuration and its history.
  */
-import type { SettingsFault } from '@eidermast/daemon'
+import type { SettingsFault } from '@eidermast/common'
 import type { Command } from 'commander'
 import type { Result } from 'ts-results-es'
 import { loadSettings, ObjectKind } from '@eidermast/daemon'
--- a/packages/command-line/src/context.ts
+++ b/packages/command-line/src/context.ts
@@ -1,11 +1,12 @@
+import type { SettingsFault } from '@eidermast/common'
 /**
  * What every command needs: checked settings, the operator's connection and
  * the way out.
  */
-import type { Publication, SettingsFault } from '@eidermast/daemon'
+import type { Publication } from '@eidermast/daemon'
 import type { Command } from 'commander'
 import type { OutputOptions } from './output.js'
-import { formatFault } from '@eidermast/daemon'
+import { formatFault } from '@eidermast/common'
 import { ExitCode, PUBLISH_EXIT_CODES } from './exit-codes.js'
 import { Operator } from './operator.js'
 import { print } from './output.js'
--- a/packages/command-line/src/eidermast.ts
+++ b/packages/command-line/src/eidermast.ts
@@ -1,7 +1,8 @@
+import { formatError } from '@eidermast/common'
 /**
  * The operators' command line.
  */
-import { formatError, ObjectKind } from '@eidermast/daemon'
+import { ObjectKind } from '@eidermast/daemon'
 import { Command } from 'commander'
 import { addBackendCommands } from './backend-commands.js'
 import { addConfigCommands } from './config-commands.js'
--- a/packages/command-line/src/object-file.ts
+++ b/packages/command-line/src/object-file.ts
@@ -1,11 +1,13 @@
+import type { SettingsFault } from '@eidermast/common'
 /**
  * Templates and client accounts as operators write them: INI files with the
  * same keys as the settings style, or JSON in the form that `show` prints.
  */
-import type { ObjectValues, SettingsFault } from '@eidermast/daemon'
+import type { ObjectValues } from '@eidermast/daemon'
 import type { Result } from 'ts-results-es'
 import { readFileSync } from 'node:fs'
-import { describeFaults, ObjectKind, objectSchemas } from '@eidermast/daemon'
+import { describeFaults } from '@eidermast/common'
+import { ObjectKind, objectSchemas } from '@eidermast/daemon'
 import { parse as parseIni } from 'ini'
 import { Err, Ok } from 'ts-results-es'
 import { z } from 'zod'
--- a/packages/command-line/src/request-story.ts
+++ b/packages/command-line/src/request-story.ts
@@ -2,10 +2,10 @@
  * The story of one request, from the structured log lines of gateways: JSON
  * objects, one a line, whatever a collector has put before them.
  */
-import type { LogFields } from '@eidermast/daemon/logger'
+import type { LogFields } from '@eidermast/common'
 import { createReadStream } from 'node:fs'
 import { createInterface } from 'node:readline'
-import { formatLine } from '@eidermast/daemon/logger'
+import { formatLine } from '@eidermast/common'
 import { z } from 'zod'
 
 /** Stands for standard input among the names of files. */
--- a/packages/command-line/src/settings.ts
+++ b/packages/command-line/src/settings.ts
@@ -2,10 +2,10 @@
  * Settings of the command line: an INI file that names the platform, the key
  * and, for load runs, the entries.
  */
-import type { SettingsFault } from '@eidermast/daemon'
+import type { SettingsFault } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
 import { readFileSync } from 'node:fs'
-import { describeFaults } from '@eidermast/daemon'
+import { describeFaults } from '@eidermast/common'
 import { parse as parseIni } from 'ini'
 import { Err, Ok } from 'ts-results-es'
 import { z } from 'zod'
--- a/packages/command-line/src/system-commands.ts
+++ b/packages/command-line/src/system-commands.ts
@@ -4,7 +4,7 @@
 import type { Decision } from '@eidermast/daemon'
 import type { Command } from 'commander'
 import type { RequestStory } from './request-story.js'
-import { formatError, formatLine } from '@eidermast/daemon'
+import { formatError, formatLine } from '@eidermast/common'
 import { InvalidArgumentError } from 'commander'
 import { CommandFailure, failUnreachable, failWithFaults, globalOptions, withOperator } from './context.js'
 import { ExitCode } from './exit-codes.js'
--- a/packages/daemon/src/request/ejection.ts
+++ b/packages/common/src/ejection.ts
@@ -3,7 +3,7 @@
  * a while and never more than a share of a pool.
  */
 
-import { createLogger } from '../process/logger.js'
+import { createLogger } from './logger.js'
 import { RecentTimes, RecentTimesByKey } from './recent-times.js'
 
 const log = createLogger('placement')
--- /dev/null
+++ b/packages/common/src/index.ts
@@ -0,0 +1,9 @@
+/**
+ * What both programs, the adapter and the tools share. It relies on none of them.
+ */
+export * from './ejection.js'
+export * from './errors.js'
+export * from './logger.js'
+export * from './recent-times.js'
+export * from './settings-fault.js'
+export * from './wait.js'
--- a/packages/daemon/src/connection/answer-writer.ts
+++ b/packages/daemon/src/connection/answer-writer.ts
@@ -1,11 +1,11 @@
+import type { RequestError } from '@eidermast/common'
 /**
  * Writes the one answer to a caller, as JSON or as server-sent events. A caller
  * that does not read is cut off after a time.
  */
 import type { ServerResponse } from 'node:http'
 import type { RequestAnswer, WholeAnswer } from '../request/answer.js'
-import type { RequestError } from '../request/errors.js'
-import { ERROR_ANSWERS } from '../request/errors.js'
+import { ERROR_ANSWERS } from '@eidermast/common'
 
 const MILLISECONDS_PER_SECOND = 1000
 /** Streamed text that may wait for a slow caller, in bytes. */
--- a/packages/daemon/src/connection/body-reader.ts
+++ b/packages/daemon/src/connection/body-reader.ts
@@ -1,12 +1,12 @@
+import type { RequestError } from '@eidermast/common'
 /**
  * Reads a caller's body within a size and a time, so that a caller that sends
  * too much or stalls holds no memory.
  */
 import type { IncomingMessage } from 'node:http'
 import type { Result } from 'ts-results-es'
-import type { RequestError } from '../request/errors.js'
+import { createError, ErrorKind } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
-import { createError, ErrorKind } from '../request/errors.js'
 
 /** Limits of a body. */
 export interface BodyLimits {
--- a/packages/daemon/src/connection/caller-headers.ts
+++ b/packages/daemon/src/connection/caller-headers.ts
@@ -1,13 +1,13 @@
+import type { RequestError } from '@eidermast/common'
 /**
  * A caller's headers, checked. Nothing of them reaches other processes
  * unchecked.
  */
 import type { IncomingHttpHeaders } from 'node:http'
 import type { Result } from 'ts-results-es'
-import type { RequestError } from '../request/errors.js'
 import { createHash } from 'node:crypto'
+import { createError, ErrorKind } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
-import { createError, ErrorKind } from '../request/errors.js'
 import { isRequestId } from '../request/identity.js'
 import { MAX_DEADLINE_MS } from '../version/objects.js'
 
--- a/packages/daemon/src/connection/caller-server.ts
+++ b/packages/daemon/src/connection/caller-server.ts
@@ -1,10 +1,10 @@
+import type { RequestError } from '@eidermast/common'
 /**
  * The callers' interface over HTTP.
  */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { Result } from 'ts-results-es'
 import type { EntrySettings } from '../process/settings.js'
-import type { RequestError } from '../request/errors.js'
 import type { PlanRequest, RequestPlan } from '../request/plan.js'
 import type { IncomingRequest, RequestService } from '../request/request-service.js'
 import type { Ticket, TicketOffice } from '../request/tickets.js'
@@ -12,10 +12,10 @@
 import type { Account } from '../version/objects.js'
 import type { CallerHeaders } from './caller-headers.js'
 import { createServer } from 'node:http'
+import { createError, ErrorKind } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
 import { z } from 'zod'
 import { parseAnswer, parseJson } from '../request/answer.js'
-import { createError, ErrorKind } from '../request/errors.js'
 import { isRequestId } from '../request/identity.js'
 import { planPipeline, planService } from '../request/plan.js'
 import { TicketFault } from '../request/tickets.js'
--- a/packages/daemon/src/connection/peer-connection.ts
+++ b/packages/daemon/src/connection/peer-connection.ts
@@ -6,10 +6,10 @@
 import type { TRPCClient } from '@trpc/client'
 import type { Result } from 'ts-results-es'
 import type { EntryRouter, SideRouter } from './peer-router.js'
+import { formatError } from '@eidermast/common'
 import { createTRPCClient, createWSClient, wsLink } from '@trpc/client'
 import { Err, Ok } from 'ts-results-es'
 import { WebSocket } from 'ws'
-import { formatError } from '../process/logger.js'
 import { formatAuthorization } from './peer-key.js'
 import { MAX_PEER_MESSAGE_BYTES } from './peer-server.js'
 
--- a/packages/daemon/src/eidermastd.ts
+++ b/packages/daemon/src/eidermastd.ts
@@ -2,10 +2,10 @@
  * The daemon's command line.
  */
 import process from 'node:process'
+import { formatError, formatFault } from '@eidermast/common'
 import { Command } from 'commander'
-import { formatError } from './process/logger.js'
 import { runDaemon } from './process/run-daemon.js'
-import { formatFault, loadSettings } from './process/settings.js'
+import { loadSettings } from './process/settings.js'
 
 /** Exit code for faulty settings or arguments. */
 const EXIT_BAD_INPUT = 2
--- a/packages/daemon/src/process/decision-log.ts
+++ b/packages/daemon/src/process/decision-log.ts
@@ -2,8 +2,8 @@
  * The routing decisions of one process: a log line for each, and the newest
  * ones kept in memory so that operators can ask why a request went where.
  */
-import type { LogFields, Logger } from './logger.js'
-import { createLogger } from './logger.js'
+import type { LogFields, Logger } from '@eidermast/common'
+import { createLogger } from '@eidermast/common'
 
 /** One decision about a request. */
 export interface Decision {
--- a/packages/daemon/src/process/json-http.ts
+++ b/packages/daemon/src/process/json-http.ts
@@ -4,9 +4,9 @@
  * failed call may have taken effect.
  */
 import type { Dispatcher } from 'undici'
+import { createBoundedSignal } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
 import { request } from 'undici'
-import { createBoundedSignal } from './wait.js'
 
 /** Whether a failed call may have taken effect at the far end. */
 export enum CallFailure {
--- a/packages/daemon/src/process/membership.ts
+++ b/packages/daemon/src/process/membership.ts
@@ -9,10 +9,10 @@
 import type { Configuration } from '../version/configuration.js'
 import type { Backend } from '../version/objects.js'
 import type { VirtualMachineList } from './virtual-machine-list.js'
+import { createLogger } from '@eidermast/common'
 import { SideLink } from '../connection/side-link.js'
 import { rendezvousHash } from '../request/choice.js'
 import { BackendOrder, BackendRole, ObjectKind } from '../version/objects.js'
-import { createLogger } from './logger.js'
 import { VirtualMachineState } from './virtual-machine-list.js'
 
 const log = createLogger('membership')
--- a/packages/daemon/src/process/order-keeper.ts
+++ b/packages/daemon/src/process/order-keeper.ts
@@ -7,10 +7,9 @@
 import type { Placement } from '../version/placement.js'
 import type { SideMetrics } from './metrics.js'
 import type { WeightStore } from './weight-store.js'
+import { createLogger, wait } from '@eidermast/common'
 import { resolvePlacement } from '../version/placement.js'
 import { NO_OFFSET } from '../version/record.js'
-import { createLogger } from './logger.js'
-import { wait } from './wait.js'
 import { WeightState } from './weight-store.js'
 
 const log = createLogger('placement')
--- a/packages/daemon/src/process/policies.ts
+++ b/packages/daemon/src/process/policies.ts
@@ -1,16 +1,16 @@
+import type { EjectionPolicy } from '@eidermast/common'
 /**
  * Creates the decision classes that the settings name.
  */
 import type { AdmissionPolicy } from '../request/admission.js'
 import type { ChoicePolicy } from '../request/choice.js'
-import type { EjectionPolicy } from '../request/ejection.js'
 import type { RetryPolicy } from '../request/retry.js'
 import type { StageBudgetPolicy } from '../request/stage-budget.js'
 import type { StageQueue } from '../request/stage-queue.js'
 import type { SideSettings } from './settings.js'
+import { NoEjection, OutlierEjection } from '@eidermast/common'
 import { AdmitAll, DeadlineAdmission } from '../request/admission.js'
 import { PredictedChoice, RandomChoice, RoundRobinChoice } from '../request/choice.js'
-import { NoEjection, OutlierEjection } from '../request/ejection.js'
 import { BudgetRetry, FixedRetry } from '../request/retry.js'
 import { ReservedBudget, WholeBudget } from '../request/stage-budget.js'
 import { DeadlineQueue, FifoQueue } from '../request/stage-queue.js'
--- a/packages/daemon/src/process/run-daemon.ts
+++ b/packages/daemon/src/process/run-daemon.ts
@@ -3,8 +3,8 @@
  */
 import type { Daemon } from './daemon.js'
 import type { Settings } from './settings.js'
+import { createLogger, enableLogs, formatError } from '@eidermast/common'
 import { Entry } from './entry.js'
-import { createLogger, enableLogs, formatError } from './logger.js'
 import { ProcessRole } from './settings.js'
 import { Side } from './side.js'
 
--- a/packages/daemon/src/process/settings.ts
+++ b/packages/daemon/src/process/settings.ts
@@ -2,12 +2,13 @@
  * Settings of a daemon: an INI file checked by a schema. Every fault of the
  * file is named at once, and nothing is started with a faulty file.
  */
+import type { SettingsFault } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
 import { readFileSync } from 'node:fs'
+import { describeFaults, formatError } from '@eidermast/common'
 import { parse as parseIni } from 'ini'
 import { Err, Ok } from 'ts-results-es'
 import { z } from 'zod'
-import { formatError } from './logger.js'
 
 /** What a daemon is. */
 export enum ProcessRole {
@@ -86,8 +87,6 @@
   .refine(values => values.every(value => /^[^\s:]+:\d+$/.test(value)), 'host:port, separated by commas')
 
 const MINIMUM_KEY_LENGTH = 16
-/** Keys whose values never appear in messages. */
-const SECRET_KEYS = new Set(['key'])
 const PORT_MAXIMUM = 65_535
 const HOUR_MS = 3_600_000
 
@@ -173,19 +172,6 @@
 export type EntrySettings = Settings['entry']
 export type SideSettings = NonNullable<Settings['side']>
 
-/** One fault of a settings file. */
-export interface SettingsFault {
-  section: string
-  key: string
-  value: string
-  allowed: string
-}
-
-/** Formats a fault in one line. */
-export function formatFault(fault: SettingsFault): string {
-  return `[${fault.section}] ${fault.key} = ${fault.value}: allowed is ${fault.allowed}`
-}
-
 /** Reads and checks a settings file. */
 export function loadSettings(file: string): Result<Settings, SettingsFault[]> {
   try {
@@ -210,35 +196,3 @@
     return Err([{ section: 'side', key: 'backend', value: '(absent)', allowed: 'the section [side] with a backend, since the role is side' }])
   return Ok(settings)
 }
-
-/** Section name of keys that stand above the first section. */
-const TOP_LEVEL = 'top level'
-
-/** Lists the faults that a schema found in an INI document, key by key. */
-export function describeFaults(error: z.ZodError, raw: unknown): SettingsFault[] {
-  return error.issues.flatMap((issue) => {
-    const path = issue.path.map(String)
-    if (issue.code === 'unrecognized_keys')
-      return issue.keys.map(key => describeFault([...path, key], raw, 'no key or section of this name'))
-    const wantsSection = issue.code === 'invalid_type' && (issue.expected === 'object' || issue.expected === 'record')
-    if (wantsSection)
-      return [{ section: path.join('.'), key: '(section)', value: describeValue(raw, path), allowed: `the section [${path.join('.')}]` }]
-    return [describeFault(path, raw, issue.message)]
-  })
-}
-
-function describeFault(path: string[], raw: unknown, allowed: string): SettingsFault {
-  const section = path.slice(0, -1).join('.') || TOP_LEVEL
-  return { section, key: path.at(-1) ?? '(file)', value: describeValue(raw, path), allowed }
-}
-
-function describeValue(raw: unknown, path: string[]): string {
-  let value = raw
-  for (const part of path)
-    value = typeof value === 'object' && value !== null ? (value as Record<string, unknown>)[part] : undefined
-  if (value === undefined)
-    return '(absent)'
-  if (SECRET_KEYS.has(path.at(-1)!))
-    return '(hidden)'
-  return typeof value === 'object' ? '(section)' : String(value)
-}
--- a/packages/daemon/src/process/virtual-machine-list.ts
+++ b/packages/daemon/src/process/virtual-machine-list.ts
@@ -1,11 +1,10 @@
+import { createLogger, wait } from '@eidermast/common'
 /**
  * The platform's list of live and leaving VMs. It lags and may be out; the
  * newest answer is kept meanwhile.
  */
 import { z } from 'zod'
 import { callJson } from './json-http.js'
-import { createLogger } from './logger.js'
-import { wait } from './wait.js'
 
 const log = createLogger('membership')
 
--- a/packages/daemon/src/request/admission.ts
+++ b/packages/daemon/src/request/admission.ts
@@ -2,8 +2,8 @@
  * Admission at the entry: what is taken in and what is shed, early and with a
  * time to come back.
  */
-import type { RequestError } from './errors.js'
-import { createError, ErrorKind } from './errors.js'
+import type { RequestError } from '@eidermast/common'
+import { createError, ErrorKind } from '@eidermast/common'
 
 /** What admission looks at. */
 export interface AdmissionView {
--- a/packages/daemon/src/request/answer.ts
+++ b/packages/daemon/src/request/answer.ts
@@ -1,11 +1,11 @@
+import type { RequestError } from '@eidermast/common'
 /**
  * The one answer of a request, and its form between entries.
  */
 import type { Result } from 'ts-results-es'
-import type { RequestError } from './errors.js'
+import { createError, ErrorKind, Ran } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
 import { z } from 'zod'
-import { createError, ErrorKind, Ran } from './errors.js'
 
 const stageReportSchema = z.object({
   stage: z.string(),
--- a/packages/daemon/src/request/claims.ts
+++ b/packages/daemon/src/request/claims.ts
@@ -5,11 +5,10 @@
  * its holder may release it only if it dispatched nothing and never will.
  */
 import type { LogClient, LogPage } from '../process/log-client.js'
+import { createLogger, formatError, wait } from '@eidermast/common'
 import { v7 as uuidv7 } from 'uuid'
 import { z } from 'zod'
 import { CallFailure } from '../process/json-http.js'
-import { createLogger, formatError } from '../process/logger.js'
-import { wait } from '../process/wait.js'
 import { createRequestKey, requestIdTime } from './identity.js'
 
 const log = createLogger('claim')
--- a/packages/daemon/src/request/outcome-finder.ts
+++ b/packages/daemon/src/request/outcome-finder.ts
@@ -10,12 +10,11 @@
 import type { OutcomeTable } from './outcomes.js'
 import type { IncomingRequest } from './request-service.js'
 import type { Ticket } from './tickets.js'
+import { createError, ErrorKind, settleWithin } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
 import { ForwardState } from '../connection/entry-peers.js'
 import { StageReplyKind } from '../connection/messages.js'
-import { settleWithin } from '../process/wait.js'
 import { parseAnswer } from './answer.js'
-import { createError, ErrorKind } from './errors.js'
 import { createRequestKey, digestRequest } from './identity.js'
 
 /** Parts of an outcome finder. */
--- a/packages/daemon/src/request/request-runner.ts
+++ b/packages/daemon/src/request/request-runner.ts
@@ -1,16 +1,15 @@
+import type { RequestError } from '@eidermast/common'
 /**
  * Runs the stages of one request in order, from its plan to its one answer.
  */
 import type { LinkTokenListener } from '../connection/side-link.js'
 import type { EntryMetrics } from '../process/metrics.js'
 import type { RequestAnswer, StageReport, WholeAnswer } from './answer.js'
-import type { RequestError } from './errors.js'
 import type { PlannedStage, RequestPlan } from './plan.js'
 import type { StageBudgetPolicy } from './stage-budget.js'
 import type { RequestProgress, StageCaller, StageTask } from './stage-caller.js'
+import { createError, ErrorKind, RecentTimesByKey } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
-import { createError, ErrorKind } from './errors.js'
-import { RecentTimesByKey } from './recent-times.js'
 import { describeProgress } from './stage-caller.js'
 import { formatStageInput } from './stage-input.js'
 
--- a/packages/daemon/src/request/request-service.ts
+++ b/packages/daemon/src/request/request-service.ts
@@ -1,3 +1,4 @@
+import type { RequestError } from '@eidermast/common'
 /**
  * Takes requests in at an entry: joins repeats, admits or sheds, makes sure
  * that an unrepeatable request is run by one process life only, and runs it.
@@ -9,21 +10,19 @@
 import type { AdmissionPolicy } from './admission.js'
 import type { RequestAnswer } from './answer.js'
 import type { ClaimRegistry } from './claims.js'
-import type { RequestError } from './errors.js'
 import type { NotRunProof } from './not-run-proof.js'
 import type { OutcomeFinder } from './outcome-finder.js'
 import type { Outcome, OutcomeTable } from './outcomes.js'
 import type { RequestPlan } from './plan.js'
 import type { RequestRunner } from './request-runner.js'
 import type { Ticket } from './tickets.js'
+import { createError, ErrorKind, Ran, settleWithin } from '@eidermast/common'
 import { Err } from 'ts-results-es'
 import { OutcomeState } from '../connection/messages.js'
 import { RequestEnd } from '../process/metrics.js'
-import { settleWithin } from '../process/wait.js'
 import { AccountLoad } from './account-load.js'
 import { predictWaitMs } from './choice.js'
 import { ClaimResultKind } from './claims.js'
-import { createError, ErrorKind, Ran } from './errors.js'
 import { createRequestId, createRequestKey, digestRequest, requestIdTime } from './identity.js'
 
 /** A request as it came in. */
--- a/packages/daemon/src/request/stage-caller.ts
+++ b/packages/daemon/src/request/stage-caller.ts
@@ -1,3 +1,4 @@
+import type { EjectionPolicy, RequestError } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
 /**
  * Runs one stage of a request: chooses a backend server, calls it, and calls
@@ -11,15 +12,12 @@
 import type { Priority } from '../version/objects.js'
 import type { StageReport } from './answer.js'
 import type { ChoicePolicy } from './choice.js'
-import type { EjectionPolicy } from './ejection.js'
-import type { RequestError } from './errors.js'
 import type { PlannedStage } from './plan.js'
 import type { RetryPolicy } from './retry.js'
+import { createError, ErrorKind, Ran, wait } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
 import { answersCall, FailureReason, RefusalReason, StageReplyKind } from '../connection/messages.js'
 import { LinkOutcome } from '../connection/side-link.js'
-import { wait } from '../process/wait.js'
-import { createError, ErrorKind, Ran } from './errors.js'
 
 /** What of a request has run, as far as its entry knows. */
 export interface RequestProgress {
--- a/packages/daemon/src/request/stage-runner.ts
+++ b/packages/daemon/src/request/stage-runner.ts
@@ -9,9 +9,9 @@
 import type { SideMetrics } from '../process/metrics.js'
 import type { StageQueue, WaitingCall } from './stage-queue.js'
 import type { StageRun, StageTable, TokenListener } from './stage-table.js'
+import { RecentTimesByKey } from '@eidermast/common'
 import { BackendOutcome } from '../connection/backend-client.js'
 import { FailureReason, RefusalReason, stageKey, StageReplyKind } from '../connection/messages.js'
-import { RecentTimesByKey } from './recent-times.js'
 
 /** What the runner needs to know of its side. */
 export interface SideState {
--- a/packages/daemon/src/version/checkpointer.ts
+++ b/packages/daemon/src/version/checkpointer.ts
@@ -5,8 +5,7 @@
  */
 import type { LogClient } from '../process/log-client.js'
 import type { Configuration } from './configuration.js'
-import { createLogger, formatError } from '../process/logger.js'
-import { wait } from '../process/wait.js'
+import { createLogger, formatError, wait } from '@eidermast/common'
 import { parseRecord } from './configuration.js'
 import { CONFIGURATION_STREAM, NO_OFFSET, RecordKind } from './record.js'
 
--- a/packages/gateway/src/membership/shared-preparer.ts
+++ b/packages/gateway/src/membership/shared-preparer.ts
@@ -8,7 +8,7 @@
 import type { PreparationFailure, PreparationRequest, PreparedInputs, Preparer } from '../stage/preparation.js'
 import type { Member, Members } from './members.js'
 import type { PeerClients } from './peer-clients.js'
-import { formatError } from '@eidermast/daemon/logger'
+import { formatError } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
 import { PreparationFailureKind } from '../stage/preparation.js'
 
--- a/packages/gateway/src/process/gateway-settings.ts
+++ b/packages/gateway/src/process/gateway-settings.ts
@@ -3,10 +3,10 @@
  * named at once, and nothing is started with a faulty file. The section
  * `[platform]` belongs to the platform's adapter.
  */
-import type { SettingsFault } from '@eidermast/daemon/settings'
+import type { SettingsFault } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
 import { readFileSync } from 'node:fs'
-import { describeFaults } from '@eidermast/daemon/settings'
+import { describeFaults } from '@eidermast/common'
 import { parse as parseIni } from 'ini'
 import { Err, Ok } from 'ts-results-es'
 import { z } from 'zod'
--- a/packages/gateway/src/replica/replica-choice.ts
+++ b/packages/gateway/src/replica/replica-choice.ts
@@ -2,7 +2,7 @@
  * Choice of the replica for a request: the least predicted cost, in
  * milliseconds, among the replicas that are not left out.
  */
-import type { EjectionPolicy } from '@eidermast/daemon/ejection'
+import type { EjectionPolicy } from '@eidermast/common'
 import type { Replica } from './replica.js'
 import { rankByRendezvous } from './rendezvous.js'
 
--- a/packages/gateway/src/request/client-answer.ts
+++ b/packages/gateway/src/request/client-answer.ts
@@ -1,7 +1,7 @@
 /**
  * Where a request's answer goes.
  */
-import type { RequestError } from '@eidermast/daemon/errors'
+import type { RequestError } from '@eidermast/common'
 import type { HeaderList } from '../replica/replica-client.js'
 
 /** The one answer of one request. */
--- a/packages/gateway/src/request/client-codec.ts
+++ b/packages/gateway/src/request/client-codec.ts
@@ -2,7 +2,7 @@
  * How clients spell requests and read answers; the platform's adapter and the
  * product's own stand-ins each bring one.
  */
-import type { RequestError } from '@eidermast/daemon/errors'
+import type { RequestError } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
 import type { PromptPart } from '../replica/replica-choice.js'
 import type { HeaderList } from '../replica/replica-client.js'
--- a/packages/gateway/src/request/client-server.ts
+++ b/packages/gateway/src/request/client-server.ts
@@ -2,7 +2,7 @@
  * The clients' side: one HTTP/1.1 server, one task for each request, limits
  * on what a client may send, and an orderly end.
  */
-import type { RequestError } from '@eidermast/daemon/errors'
+import type { RequestError } from '@eidermast/common'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { Result } from 'ts-results-es'
 import type { ConfigurationHolder } from '../configuration/configuration-holder.js'
@@ -13,7 +13,7 @@
 import type { ClientCodec, ClientRequestHead } from './client-codec.js'
 import type { PassThrough } from './pass-through.js'
 import { createServer } from 'node:http'
-import { createError, ErrorKind } from '@eidermast/daemon/errors'
+import { createError, ErrorKind } from '@eidermast/common'
 
 /** Bounds until a configuration brings its own. */
 const DEFAULT_LIMITS: ClientLimits = { maxHeaderBytes: 16_384, maxBodyBytes: 4_194_304, headerTimeoutMs: 3000, idleTimeoutMs: 15_000 }
--- a/packages/gateway/src/request/pass-through.ts
+++ b/packages/gateway/src/request/pass-through.ts
@@ -2,7 +2,7 @@
  * Serves one request by passing it through to a replica, after the stages
  * that its route asks for.
  */
-import type { RequestError } from '@eidermast/daemon/errors'
+import type { RequestError } from '@eidermast/common'
 import type { ConfigurationHolder } from '../configuration/configuration-holder.js'
 import type { Route, Tenant } from '../configuration/configuration.js'
 import type { RouteTable } from '../configuration/route-table.js'
@@ -12,7 +12,7 @@
 import type { ClientAnswer } from './client-answer.js'
 import type { ClientRequestHead } from './client-codec.js'
 import type { ReplicaRunner } from './replica-runner.js'
-import { createError, ErrorKind, Ran } from '@eidermast/daemon/errors'
+import { createError, ErrorKind, Ran } from '@eidermast/common'
 import { pickService } from '../configuration/route-table.js'
 import { hashText } from '../replica/rendezvous.js'
 import { PreparationFailureKind } from '../stage/preparation.js'
--- a/packages/gateway/src/request/replica-runner.ts
+++ b/packages/gateway/src/request/replica-runner.ts
@@ -1,7 +1,7 @@
 /**
  * Runs requests at the backend servers of their services.
  */
-import type { RequestError } from '@eidermast/daemon/errors'
+import type { RequestError } from '@eidermast/common'
 import type { ChoiceSubject, ReplicaChoice } from '../replica/replica-choice.js'
 import type { Replica } from '../replica/replica.js'
 import type { ClientAnswer } from './client-answer.js'
--- a/test/gateway/replica-choice.test.ts
+++ b/test/gateway/replica-choice.test.ts
@@ -1,5 +1,5 @@
 import type { ChoiceSubject } from '@eidermast/gateway'
-import { NoEjection } from '@eidermast/daemon/ejection'
+import { NoEjection } from '@eidermast/common'
 import { LeastLoadChoice, PrefixAwareChoice, Replica } from '@eidermast/gateway'
 import { describe, expect, test } from 'vitest'
 import { createRecord } from './support/fakes.js'
--- a/test/platform/codecs.test.ts
+++ b/test/platform/codecs.test.ts
@@ -1,5 +1,5 @@
 import type { ReplicaCall } from '@eidermast/gateway'
-import { createError, ErrorKind, Ran } from '@eidermast/daemon/errors'
+import { createError, ErrorKind, Ran } from '@eidermast/common'
 import { CallFailureKind, PieceFailure, Replica, StageCallEnd } from '@eidermast/gateway'
 import { decodeConfiguration, PlatformClientCodec, PlatformReplicaCodec, readOutcomes } from '@eidermast/platform'
 import { describe, expect, test } from 'vitest'
--- a/test/process/settings.test.ts
+++ b/test/process/settings.test.ts
@@ -1,4 +1,5 @@
-import { formatFault, formatLine, parseSettings } from '@eidermast/daemon'
+import { formatFault, formatLine } from '@eidermast/common'
+import { parseSettings } from '@eidermast/daemon'
 import { describe, expect, test } from 'vitest'
 
 const GOOD = `
--- a/test/promises/mixed-faults.test.ts
+++ b/test/promises/mixed-faults.test.ts
@@ -1,5 +1,5 @@
 import type { RecordedRequest } from '../support/oracle.js'
-import { Ran } from '@eidermast/daemon'
+import { Ran } from '@eidermast/common'
 import { DeploymentName, LogOutage, ProcessKind, resolveDeployment, RunningSystem } from '@eidermast/stand-ins'
 import { unsafeUniformIntDistribution, xoroshiro128plus } from 'pure-rand'
 import { afterAll, afterEach, beforeAll, describe, expect, test } from 'vitest'
--- a/test/promises/results.test.ts
+++ b/test/promises/results.test.ts
@@ -1,5 +1,6 @@
 import type { Told } from '../support/caller.js'
-import { answersCall, ErrorKind, MemberState, Ran } from '@eidermast/daemon'
+import { ErrorKind, Ran } from '@eidermast/common'
+import { answersCall, MemberState } from '@eidermast/daemon'
 import { DeploymentName, ProcessKind, resolveDeployment, RunningSystem } from '@eidermast/stand-ins'
 import { request } from 'undici'
 import { v7 as uuidv7 } from 'uuid'
--- a/test/promises/unrepeatable.test.ts
+++ b/test/promises/unrepeatable.test.ts
@@ -1,5 +1,6 @@
 import type { RecordedRequest } from '../support/oracle.js'
-import { callPeer, CallState, connectEntry, ErrorKind, Ran } from '@eidermast/daemon'
+import { ErrorKind, Ran } from '@eidermast/common'
+import { callPeer, CallState, connectEntry } from '@eidermast/daemon'
 import { DeploymentName, LogOutage, resolveDeployment, RunningSystem } from '@eidermast/stand-ins'
 import { request } from 'undici'
 import { afterAll, afterEach, beforeAll, beforeEach, describe, expect, test } from 'vitest'
--- a/test/request/decisions.test.ts
+++ b/test/request/decisions.test.ts
@@ -1,5 +1,6 @@
 import type { AdmissionView, ChoiceCandidate, ChoiceContext } from '@eidermast/daemon'
-import { AdmitAll, BudgetRetry, DeadlineAdmission, DeadlineQueue, ErrorKind, FixedRetry, NoEjection, OutlierEjection, PredictedChoice, predictFinishMs, predictWaitMs, preferByHash, Priority, RefusalReason, ReservedBudget, RoundRobinChoice, WholeBudget } from '@eidermast/daemon'
+import { ErrorKind, NoEjection, OutlierEjection } from '@eidermast/common'
+import { AdmitAll, BudgetRetry, DeadlineAdmission, DeadlineQueue, FixedRetry, PredictedChoice, predictFinishMs, predictWaitMs, preferByHash, Priority, RefusalReason, ReservedBudget, RoundRobinChoice, WholeBudget } from '@eidermast/daemon'
 import { describe, expect, test } from 'vitest'
 import { createLoad, createStageCall } from '../support/fixtures.js'
 
--- a/test/request/errors.test.ts
+++ b/test/request/errors.test.ts
@@ -1,4 +1,4 @@
-import { createError, ERROR_ANSWERS, ErrorKind, Ran } from '@eidermast/daemon'
+import { createError, ERROR_ANSWERS, ErrorKind, Ran } from '@eidermast/common'
 import { describe, expect, test } from 'vitest'
 
 const KINDS = Object.values(ErrorKind)
--- a/test/support/caller.ts
+++ b/test/support/caller.ts
@@ -1,7 +1,8 @@
+import type { RequestError } from '@eidermast/common'
 /**
  * A caller for tests: sends requests to an entry and keeps what it was told.
  */
-import type { RequestError, StageReport } from '@eidermast/daemon'
+import type { StageReport } from '@eidermast/daemon'
 import type { RunningSystem } from '@eidermast/stand-ins'
 import { DeploymentName, expectedAnswer, resolveDeployment } from '@eidermast/stand-ins'
 import { request } from 'undici'
--- a/test/support/oracle.ts
+++ b/test/support/oracle.ts
@@ -4,7 +4,7 @@
  */
 import type { RunningSystem } from '@eidermast/stand-ins'
 import type { Told } from './caller.js'
-import { Ran } from '@eidermast/daemon'
+import { Ran } from '@eidermast/common'
 import { v7 as uuidv7 } from 'uuid'
 import { callPipeline, smallAnswer } from './caller.js'
 
--- a/test/system/callers-interface.test.ts
+++ b/test/system/callers-interface.test.ts
@@ -1,7 +1,7 @@
 import { createHash } from 'node:crypto'
 import { once } from 'node:events'
 import { connect } from 'node:net'
-import { ErrorKind, Ran } from '@eidermast/daemon'
+import { ErrorKind, Ran } from '@eidermast/common'
 import { DeploymentName, ProcessKind, resolveDeployment, RunningSystem } from '@eidermast/stand-ins'
 import { request } from 'undici'
 import { v7 as uuidv7 } from 'uuid'
