--- a/packages/daemon/src/connection/entry-peers.ts
+++ b/packages/daemon/src/connection/entry-peers.ts
@@ -2,10 +2,10 @@
  * An entry's connections to other entries, opened when first needed.
  */
 import type { ConfigurationDifference } from '../version/configuration.js'
-import type { ForwardedRequest, GreetingReply, OutcomeQuestion, OutcomeReply } from './messages.js'
+import type { ForwardedRequest, HeartbeatReply, OutcomeQuestion, OutcomeReply } from './messages.js'
 import type { CallResult, EntryClient, PeerConnection } from './peer-connection.js'
 import { ObjectKind } from '../version/objects.js'
-import { differenceSchema, greetingReplySchema, outcomeReplySchema } from './messages.js'
+import { differenceSchema, heartbeatReplySchema, outcomeReplySchema } from './messages.js'
 import { callPeer, CallState, connectEntry } from './peer-connection.js'
 
 /** Options of the connections to other entries. */
@@ -19,10 +19,10 @@
 /** An open connection and the process life at its far end. */
 interface KnownPeer {
   connection: PeerConnection<EntryClient>
-  greeting: GreetingReply
+  heartbeat: HeartbeatReply
 }
 
-const GREET_TIMEOUT_MS = 500
+const HEARTBEAT_TIMEOUT_MS = 500
 const OUTCOME_TIMEOUT_MS = 250
 const DIFFERENCE_TIMEOUT_MS = 5000
 
@@ -60,7 +60,7 @@
   /** Passes a request to the process life that alone may run it. */
   async forward(address: string, incarnation: string, request: ForwardedRequest): Promise<ForwardResult> {
     const peer = await this.connect(address)
-    if (peer?.greeting.incarnation !== incarnation)
+    if (peer?.heartbeat.incarnation !== incarnation)
       return { state: ForwardState.Gone, answer: '' }
     const result = await callPeer(peer.connection, client => client.forward.mutate(request), request.deadlineMs)
     if (result.state === CallState.Answered)
@@ -101,18 +101,18 @@
   }
 
   private async open(address: string): Promise<KnownPeer | undefined> {
-    const opened = await connectEntry({ address, key: this.options.key, connectTimeoutMs: GREET_TIMEOUT_MS })
+    const opened = await connectEntry({ address, key: this.options.key, connectTimeoutMs: HEARTBEAT_TIMEOUT_MS })
     if (opened.isErr())
       return undefined
     const connection = opened.value
     const { entryIncarnation, entryName, offset } = this.options
-    const greeting = { incarnation: entryIncarnation, name: entryName, offset: offset(), fresh: false, acknowledged: [] }
-    const result = await callPeer(connection, client => client.greet.mutate(greeting), GREET_TIMEOUT_MS)
-    const reply = result.state === CallState.Answered ? greetingReplySchema.safeParse(result.value).data : undefined
+    const heartbeat = { incarnation: entryIncarnation, name: entryName, offset: offset(), fresh: false, acknowledged: [] }
+    const result = await callPeer(connection, client => client.greet.mutate(heartbeat), HEARTBEAT_TIMEOUT_MS)
+    const reply = result.state === CallState.Answered ? heartbeatReplySchema.safeParse(result.value).data : undefined
     if (!reply) {
       connection.close()
       return undefined
     }
-    return { connection, greeting: reply }
+    return { connection, heartbeat: reply }
   }
 }
--- a/packages/daemon/src/connection/messages.ts
+++ b/packages/daemon/src/connection/messages.ts
@@ -26,7 +26,7 @@
 })
 
 /** First message on a connection, and again at each interval. */
-export const greetingSchema = z.object({
+export const heartbeatSchema = z.object({
   incarnation: z.uuid(),
   name: z.string(),
   offset: z.int().min(NO_OFFSET),
@@ -36,8 +36,8 @@
   acknowledged: z.array(z.string()).max(10_000).default([]),
 })
 
-/** Answer to a greeting. */
-export const greetingReplySchema = z.object({
+/** Answer to a heartbeat. */
+export const heartbeatReplySchema = z.object({
   incarnation: z.uuid(),
   name: z.string(),
   offset: z.int().min(NO_OFFSET),
@@ -212,8 +212,8 @@
 })
 
 export type Load = z.infer<typeof loadSchema>
-export type Greeting = z.infer<typeof greetingSchema>
-export type GreetingReply = z.infer<typeof greetingReplySchema>
+export type Heartbeat = z.infer<typeof heartbeatSchema>
+export type HeartbeatReply = z.infer<typeof heartbeatReplySchema>
 export type StageIdentity = z.infer<typeof stageIdentitySchema>
 export type StageCall = z.infer<typeof stageCallSchema>
 export type ServiceRequest = z.infer<typeof serviceRequestSchema>
--- a/packages/daemon/src/connection/peer-router.ts
+++ b/packages/daemon/src/connection/peer-router.ts
@@ -3,10 +3,10 @@
  */
 import type { Decision } from '../process/decision-log.js'
 import type { ConfigurationDifference } from '../version/configuration.js'
-import type { CancelReply, DifferenceRequest, ForwardedRequest, Greeting, GreetingReply, OutcomeQuestion, OutcomeReply, ResultQuestion, StageCall, StageReply, StreamMessage } from './messages.js'
+import type { CancelReply, DifferenceRequest, ForwardedRequest, Heartbeat, HeartbeatReply, OutcomeQuestion, OutcomeReply, ResultQuestion, StageCall, StageReply, StreamMessage } from './messages.js'
 import { initTRPC } from '@trpc/server'
 import { z } from 'zod'
-import { differenceRequestSchema, differenceSchema, forwardedRequestSchema, greetingSchema, outcomeQuestionSchema, resultQuestionSchema, stageCallSchema } from './messages.js'
+import { differenceRequestSchema, differenceSchema, forwardedRequestSchema, heartbeatSchema, outcomeQuestionSchema, resultQuestionSchema, stageCallSchema } from './messages.js'
 
 const trpc = initTRPC.create()
 
@@ -30,7 +30,7 @@
 
 /** What every process answers to its peers. */
 export interface PeerService {
-  greet: (greeting: Greeting) => GreetingReply
+  heartbeat: (heartbeat: Heartbeat) => HeartbeatReply
   difference: (request: DifferenceRequest) => ConfigurationDifference
   /** Applies a difference; returns the offset now held. */
   offer: (difference: ConfigurationDifference) => number
@@ -55,7 +55,7 @@
 
 function createCommonProcedures(service: PeerService) {
   return {
-    greet: trpc.procedure.input(greetingSchema).mutation(({ input }) => service.greet(input)),
+    greet: trpc.procedure.input(heartbeatSchema).mutation(({ input }) => service.heartbeat(input)),
     difference: trpc.procedure.input(differenceRequestSchema).query(({ input }) => service.difference(input)),
     offer: trpc.procedure.input(differenceSchema).mutation(({ input }) => service.offer(input as ConfigurationDifference)),
     status: trpc.procedure.query(() => service.status()),
--- a/packages/daemon/src/connection/side-link.ts
+++ b/packages/daemon/src/connection/side-link.ts
@@ -1,5 +1,5 @@
 /**
- * An entry's task for one side: keeps one connection, greets on it at each
+ * An entry's task for one side: keeps one connection, sends heartbeats on it at each
  * interval, carries configuration both ways and counts the calls under way.
  */
 import type { Configuration } from '../version/configuration.js'
@@ -8,7 +8,7 @@
 import { createLogger, wait } from '@eidermast/common'
 import { ObjectKind } from '../version/objects.js'
 import { NO_OFFSET } from '../version/record.js'
-import { greetingReplySchema, stageKey, stageReplySchema, streamMessageSchema } from './messages.js'
+import { heartbeatReplySchema, stageKey, stageReplySchema, streamMessageSchema } from './messages.js'
 import { callPeer, CallState, ConnectFailure, connectSide } from './peer-connection.js'
 
 const log = createLogger('membership')
@@ -39,20 +39,20 @@
   entryName: string
   entryIncarnation: string
   configuration: Configuration
-  greetIntervalMs: number
+  heartbeatIntervalMs: number
   /** Whether the log confirmed the configuration a short while ago. */
   isFresh: () => boolean
   /** Called when the side comes, goes or reports other load. */
   onChange: () => void
 }
 
-/** Greetings missed in a row after which a side counts as not answering. */
+/** Heartbeats missed in a row after which a side counts as not answering. */
 const SILENT_AFTER = 2
-/** Greetings missed in a row after which the connection is given up. */
-const MISSED_GREETINGS = 3
-/** Greeting intervals that a busy link may go without a greeting. */
-const LONGEST_GREETING_GAP = 6
-/** Taken results that are worth a greeting. */
+/** Heartbeats missed in a row after which the connection is given up. */
+const MISSED_HEARTBEATS = 3
+/** Heartbeat intervals that a busy link may go without a heartbeat. */
+const LONGEST_HEARTBEAT_GAP = 6
+/** Taken results that are worth a heartbeat. */
 const ACKNOWLEDGEMENTS_AT_ONCE = 500
 const RECONNECT_MS = 200
 const MAXIMUM_RECONNECT_MS = 2000
@@ -69,10 +69,10 @@
   private newestLoad: Load | undefined
   private acknowledgements: string[] = []
   private answering = false
-  /** When the newest reply and the newest answered greeting came, in milliseconds of the process clock. */
+  /** When the newest reply and the newest answered heartbeat came, in milliseconds of the process clock. */
   private repliedAt = Number.NEGATIVE_INFINITY
-  private greetedAt = Number.NEGATIVE_INFINITY
-  /** The configuration that the side held at the newest greeting. */
+  private heartbeatAt = Number.NEGATIVE_INFINITY
+  /** The configuration that the side held at the newest heartbeat. */
   private sideOffset = NO_OFFSET
   private readonly stop = new AbortController()
 
@@ -96,7 +96,7 @@
     return this.newestLoad
   }
 
-  /** Whether the side answers greetings on an open connection. */
+  /** Whether the side answers heartbeats on an open connection. */
   get ready(): boolean {
     return this.answering && this.connection?.isOpen() === true
   }
@@ -163,7 +163,7 @@
     return result.state === CallState.Answered ? stageReplySchema.safeParse(result.value).data : undefined
   }
 
-  /** Tells the side, with the next greeting, that a result was taken. */
+  /** Tells the side, with the next heartbeat, that a result was taken. */
   acknowledge(call: StageCall): void {
     if (this.acknowledgements.length < MAXIMUM_ACKNOWLEDGEMENTS)
       this.acknowledgements.push(stageKey(call.identity))
@@ -172,53 +172,53 @@
   /** Brings a newer configuration to the side at once. */
   async spread(): Promise<void> {
     if (this.connection?.isOpen())
-      await this.greet(this.connection)
+      await this.sendHeartbeat(this.connection)
   }
 
-  /** Greets on one connection until it is lost. */
+  /** Sends heartbeats on one connection until it is lost. */
   private async keep(connection: PeerConnection<SideClient>): Promise<void> {
     this.connection = connection
     this.repliedAt = Number.NEGATIVE_INFINITY
     let missed = 0
-    while (connection.isOpen() && missed < MISSED_GREETINGS && !this.stop.signal.aborted) {
-      const answered = this.needsGreeting() ? await this.greet(connection) : true
+    while (connection.isOpen() && missed < MISSED_HEARTBEATS && !this.stop.signal.aborted) {
+      const answered = this.needsHeartbeat() ? await this.sendHeartbeat(connection) : true
       missed = answered ? 0 : missed + 1
       // One late answer on a loaded machine is no sign that the side is gone.
       if (answered || missed >= SILENT_AFTER)
         this.setAnswering(answered)
       if (answered)
-        await this.waitForNextGreeting(connection)
+        await this.waitForNextHeartbeat(connection)
     }
     connection.close()
     this.connection = undefined
   }
 
-  /** A link that has just carried a reply, with its load report, needs no greeting of its own. */
-  private needsGreeting(): boolean {
-    const { configuration, greetIntervalMs } = this.options
+  /** A link that has just carried a reply, with its load report, needs no heartbeat of its own. */
+  private needsHeartbeat(): boolean {
+    const { configuration, heartbeatIntervalMs } = this.options
     const now = performance.now()
-    const quiet = now - this.repliedAt >= greetIntervalMs
-    const overdue = now - this.greetedAt >= greetIntervalMs * LONGEST_GREETING_GAP
+    const quiet = now - this.repliedAt >= heartbeatIntervalMs
+    const overdue = now - this.heartbeatAt >= heartbeatIntervalMs * LONGEST_HEARTBEAT_GAP
     const manyTaken = this.acknowledgements.length >= ACKNOWLEDGEMENTS_AT_ONCE
     return quiet || overdue || manyTaken || this.sideOffset < configuration.offset
   }
 
-  private async waitForNextGreeting(connection: PeerConnection<SideClient>): Promise<void> {
-    await wait(this.options.greetIntervalMs, this.stop.signal, connection.closed)
+  private async waitForNextHeartbeat(connection: PeerConnection<SideClient>): Promise<void> {
+    await wait(this.options.heartbeatIntervalMs, this.stop.signal, connection.closed)
   }
 
-  private async greet(connection: PeerConnection<SideClient>): Promise<boolean> {
+  private async sendHeartbeat(connection: PeerConnection<SideClient>): Promise<boolean> {
     const { configuration, entryIncarnation, entryName } = this.options
     const acknowledged = this.acknowledgements
     this.acknowledgements = []
-    const greeting = { incarnation: entryIncarnation, name: entryName, offset: configuration.offset, fresh: this.options.isFresh(), acknowledged }
-    const result = await callPeer(connection, client => client.greet.mutate(greeting), this.answerTimeoutMs())
+    const heartbeat = { incarnation: entryIncarnation, name: entryName, offset: configuration.offset, fresh: this.options.isFresh(), acknowledged }
+    const result = await callPeer(connection, client => client.greet.mutate(heartbeat), this.answerTimeoutMs())
     if (result.state === CallState.Lost)
       return false
-    const reply = greetingReplySchema.safeParse(result.value)
+    const reply = heartbeatReplySchema.safeParse(result.value)
     if (!reply.success)
       return false
-    this.greetedAt = performance.now()
+    this.heartbeatAt = performance.now()
     this.sideOffset = reply.data.offset
     this.sideIncarnation = reply.data.incarnation
     if (reply.data.load)
@@ -253,7 +253,7 @@
   }
 
   private answerTimeoutMs(): number {
-    return this.options.greetIntervalMs * 2
+    return this.options.heartbeatIntervalMs * 2
   }
 }
 
--- a/packages/daemon/src/process/entry.ts
+++ b/packages/daemon/src/process/entry.ts
@@ -86,7 +86,7 @@
       entryName: identity.name,
       entryIncarnation: this.incarnation,
       key: identity.key,
-      greetIntervalMs: peers['greet-interval-ms'],
+      heartbeatIntervalMs: peers['greet-interval-ms'],
       watchLimit: peers['watch-limit'],
       isFresh: () => this.isFresh(),
     })
@@ -131,7 +131,7 @@
     log('stopped', { name: this.settings.process.name })
   }
 
-  greet() {
+  heartbeat() {
     return { incarnation: this.incarnation, name: this.settings.process.name, offset: this.configuration.offset }
   }
 
--- a/packages/daemon/src/process/membership.ts
+++ b/packages/daemon/src/process/membership.ts
@@ -31,7 +31,7 @@
   entryName: string
   entryIncarnation: string
   key: string
-  greetIntervalMs: number
+  heartbeatIntervalMs: number
   /** Backend servers of one service that this entry keeps links to. */
   watchLimit: number
   /** Whether the log confirmed the configuration a short while ago. */
@@ -174,7 +174,7 @@
       void existing.link.spread()
       return
     }
-    const { entryName, entryIncarnation, key, greetIntervalMs, isFresh } = this.options
+    const { entryName, entryIncarnation, key, heartbeatIntervalMs, isFresh } = this.options
     const link = new SideLink({
       backendName: name,
       address: backend.address,
@@ -182,7 +182,7 @@
       entryName,
       entryIncarnation,
       configuration: this.configuration,
-      greetIntervalMs,
+      heartbeatIntervalMs,
       isFresh,
       onChange: () => this.members.get(name)?.logState(),
     })
--- a/packages/daemon/src/process/side.ts
+++ b/packages/daemon/src/process/side.ts
@@ -4,7 +4,7 @@
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { BackendLoad } from '../connection/backend-client.js'
-import type { Greeting, GreetingReply, ResultQuestion, StageCall, StageReply, StreamMessage } from '../connection/messages.js'
+import type { Heartbeat, HeartbeatReply, ResultQuestion, StageCall, StageReply, StreamMessage } from '../connection/messages.js'
 import type { ProcessStatus, SideService } from '../connection/peer-router.js'
 import type { PeerServer } from '../connection/peer-server.js'
 import type { ConfigurationDifference } from '../version/configuration.js'
@@ -128,11 +128,11 @@
     log('stopped', { name: this.settings.process.name })
   }
 
-  greet(greeting: Greeting): GreetingReply {
-    for (const key of greeting.acknowledged)
+  heartbeat(heartbeat: Heartbeat): HeartbeatReply {
+    for (const key of heartbeat.acknowledged)
       this.table.acknowledge(key)
     // An entry that the log has just confirmed, and whose configuration is not newer, vouches for this one.
-    if (greeting.fresh && greeting.offset <= this.configuration.offset)
+    if (heartbeat.fresh && heartbeat.offset <= this.configuration.offset)
       this.configurationKnown = true
     return { incarnation: this.incarnation, name: this.settings.process.name, offset: this.configuration.offset, load: this.runner.load() }
   }
--- a/packages/stand-ins/src/simulated-sides.ts
+++ b/packages/stand-ins/src/simulated-sides.ts
@@ -13,7 +13,7 @@
   let offset = NO_OFFSET
   const load = { running: 2, queued: { [Priority.High]: 0, [Priority.Normal]: 1, [Priority.Low]: 0 }, slots: 8, meanServiceMs: 41.5, draining: false }
   const common: PeerService = {
-    greet: () => ({ incarnation, name, offset, load }),
+    heartbeat: () => ({ incarnation, name, offset, load }),
     difference: () => ({ offset, objects: [] }),
     offer: difference => (offset = difference.offset),
     status: () => ({ name, role: 'side', incarnation, pid: process.pid, failureDomain: 'a', offset, ready: true, detail: [] }),
--- a/packages/stand-ins/src/slopes.ts
+++ b/packages/stand-ins/src/slopes.ts
@@ -24,7 +24,7 @@
 const LINK_COUNTS = [10, 50, 100, 200, 300]
 const BACKEND_COUNTS = [60, 600]
 const LINK_SECONDS = 8
-const GREET_INTERVAL_MS = 500
+const HEARTBEAT_INTERVAL_MS = 500
 const CLAIM_BURST = 5000
 const MICROSECONDS_PER_MILLISECOND = 1000
 const BYTES_PER_MEGABYTE = 1_000_000
@@ -75,7 +75,7 @@
     for (let index = 0; index < count; index++)
       configuration.fold(index, createChange(ObjectKind.Backend, `backend-${index}`, backendSchema.parse({ order: 'in', service: `service-${index % 20}`, virtualMachine: `vm-${index}`, address: '127.0.0.1:9', failureDomain: 'a' })))
     const machines = new VirtualMachineList({ read: async () => undefined }, 1000)
-    const membership = new Membership(configuration, machines, { entryName: 'entry', entryIncarnation: uuidv7(), key: KEY, greetIntervalMs: GREET_INTERVAL_MS, watchLimit: 8, isFresh: () => true })
+    const membership = new Membership(configuration, machines, { entryName: 'entry', entryIncarnation: uuidv7(), key: KEY, heartbeatIntervalMs: HEARTBEAT_INTERVAL_MS, watchLimit: 8, isFresh: () => true })
     membership.update()
     const updateMs = timeOf(() => membership.update())
     const watched = membership.list().length
@@ -129,7 +129,7 @@
   return { subject: 'claims through the log', size: `${CLAIM_BURST} claims, 500 at once, one entry`, figure: `${(CLAIM_BURST / seconds).toFixed(0)} claims a second with ${(appends / seconds).toFixed(1)} appends a second` }
 }
 
-/** Links of an entry that only greet: processor time and memory for each side watched. */
+/** Links of an entry that only carry heartbeats: processor time and memory for each side watched. */
 export async function measureLinks(): Promise<Slope[]> {
   const slopes: Slope[] = []
   for (const count of LINK_COUNTS)
@@ -150,7 +150,7 @@
     entryName: 'entry-1',
     entryIncarnation: INCARNATION,
     configuration,
-    greetIntervalMs: GREET_INTERVAL_MS,
+    heartbeatIntervalMs: HEARTBEAT_INTERVAL_MS,
     isFresh: () => true,
     onChange: () => {},
   }))
@@ -164,5 +164,5 @@
   links.forEach(link => link.close())
   process.kill(child.pid!, 'SIGKILL')
   const corePercent = (cpu.user + cpu.system) / (LINK_SECONDS * 10_000)
-  return { subject: 'links that greet twice a second', size: `${count} sides`, figure: `${corePercent.toFixed(2)}% of a core, ${(heap / 1000 / count).toFixed(1)} kB of heap a side` }
+  return { subject: 'links that carry heartbeats twice a second', size: `${count} sides`, figure: `${corePercent.toFixed(2)}% of a core, ${(heap / 1000 / count).toFixed(1)} kB of heap a side` }
 }
--- a/test/support/cutting-proxy.ts
+++ b/test/support/cutting-proxy.ts
@@ -15,7 +15,7 @@
   BeforeReply = 'before-reply',
 }
 
-/** Callers' text is masked on the wire, so calls are told from greetings by their size. */
+/** Callers' text is masked on the wire, so calls are told from heartbeats by their size. */
 const SMALLEST_CALL_BYTES = 1500
 /** An input that makes a call large enough to be told. */
 export const LARGE_INPUT_LENGTH = 2000
