--- a/packages/common/src/index.ts
+++ b/packages/common/src/index.ts
@@ -3,6 +3,7 @@
  */
 export * from './ejection.js'
 export * from './errors.js'
+export * from './event-log.js'
 export * from './logger.js'
 export * from './recent-times.js'
 export * from './settings-fault.js'
--- a/packages/gateway/src/replica/replica-client.ts
+++ b/packages/gateway/src/connection/backend-client.ts
@@ -2,7 +2,7 @@
  * Calls to replicas, as the rest of the gateway sees them.
  */
 import type { Result } from 'ts-results-es'
-import type { Replica, ReplicaLoad } from './replica.js'
+import type { Replica, ReplicaLoad } from './backend.js'
 
 /** Header names and values in the order of the wire. */
 export type HeaderList = readonly (readonly [name: string, value: string])[]
--- a/packages/gateway/src/replica/replica-connections.ts
+++ b/packages/gateway/src/connection/backend-connections.ts
@@ -1,7 +1,7 @@
 /**
  * Connections to replicas, a pool for each, within what a replica takes.
  */
-import type { Replica } from './replica.js'
+import type { Replica } from './backend.js'
 import { buildConnector, Pool } from 'undici'
 
 /** How long a connection may take to come up, in milliseconds. */
--- a/packages/gateway/src/request/client-answer.ts
+++ b/packages/gateway/src/connection/client-answer.ts
@@ -2,7 +2,7 @@
  * Where a request's answer goes.
  */
 import type { RequestError } from '@eidermast/common'
-import type { HeaderList } from '../replica/replica-client.js'
+import type { HeaderList } from './backend-client.js'
 
 /** The one answer of one request. */
 export interface ClientAnswer {
--- a/packages/gateway/src/request/client-codec.ts
+++ b/packages/gateway/src/connection/client-codec.ts
@@ -4,8 +4,8 @@
  */
 import type { RequestError } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
-import type { PromptPart } from '../replica/replica-choice.js'
-import type { HeaderList } from '../replica/replica-client.js'
+import type { PromptPart } from '../request/backend-choice.js'
+import type { HeaderList } from './backend-client.js'
 
 /** What a request's head says. */
 export interface ClientRequestHead {
--- a/packages/gateway/src/request/client-server.ts
+++ b/packages/gateway/src/connection/client-server.ts
@@ -2,16 +2,15 @@
  * The clients' side: one HTTP/1.1 server, one task for each request, limits
  * on what a client may send, and an orderly end.
  */
-import type { RequestError } from '@eidermast/common'
+import type { EventLog, RequestError } from '@eidermast/common'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { Result } from 'ts-results-es'
-import type { ConfigurationHolder } from '../configuration/configuration-holder.js'
-import type { ClientLimits } from '../configuration/configuration.js'
-import type { EventLog } from '../process/event-log.js'
-import type { HeaderList } from '../replica/replica-client.js'
+import type { PassThrough } from '../request/pass-through.js'
+import type { ConfigurationHolder } from '../version/configuration-holder.js'
+import type { ClientLimits } from '../version/configuration.js'
+import type { HeaderList } from './backend-client.js'
 import type { ClientAnswer } from './client-answer.js'
 import type { ClientCodec, ClientRequestHead } from './client-codec.js'
-import type { PassThrough } from './pass-through.js'
 import { createServer } from 'node:http'
 import { createError, ErrorKind } from '@eidermast/common'
 
--- a/packages/gateway/src/replica/http-replica-client.ts
+++ b/packages/gateway/src/connection/http-backend-client.ts
@@ -4,13 +4,13 @@
  */
 import type { Result } from 'ts-results-es'
 import type { Dispatcher } from 'undici'
-import type { CallFailure, ReplicaAnswer, ReplicaCall, ReplicaClient, ReplicaCodec } from './replica-client.js'
-import type { ReplicaConnections } from './replica-connections.js'
-import type { Replica } from './replica.js'
+import type { CallFailure, ReplicaAnswer, ReplicaCall, ReplicaClient, ReplicaCodec } from './backend-client.js'
+import type { ReplicaConnections } from './backend-connections.js'
+import type { Replica } from './backend.js'
 import { formatError } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
-import { CallFailureKind } from './replica-client.js'
-import { isNotSent } from './replica-connections.js'
+import { CallFailureKind } from './backend-client.js'
+import { isNotSent } from './backend-connections.js'
 
 type Method = Dispatcher.HttpMethod
 
--- a/packages/gateway/src/membership/peer-clients.ts
+++ b/packages/gateway/src/connection/peer-clients.ts
@@ -2,10 +2,10 @@
  * Calls to other gateways.
  */
 import type { TRPCClient } from '@trpc/client'
-import type { ConfigurationRecord } from '../configuration/configuration-holder.js'
-import type { PreparationRequest } from '../stage/preparation.js'
-import type { GreetingReply, Member } from './members.js'
+import type { GreetingReply, Member } from '../process/membership/members.js'
+import type { ConfigurationRecord } from '../version/configuration-holder.js'
 import type { Greeting, PeerRouter, PreparationReply } from './peer-router.js'
+import type { PreparationRequest } from './preparation.js'
 import { createTRPCClient, httpLink } from '@trpc/client'
 import { Agent, fetch as undiciFetch } from 'undici'
 
--- a/packages/gateway/src/membership/peer-router.ts
+++ b/packages/gateway/src/connection/peer-router.ts
@@ -2,12 +2,12 @@
  * Procedures between gateways, by tRPC.
  */
 import type { Result } from 'ts-results-es'
-import type { ConfigurationRecord } from '../configuration/configuration-holder.js'
-import type { PreparationFailure, PreparationRequest, PreparedInputs } from '../stage/preparation.js'
-import type { GreetingReply } from './members.js'
+import type { GreetingReply } from '../process/membership/members.js'
+import type { ConfigurationRecord } from '../version/configuration-holder.js'
+import type { PreparationFailure, PreparationRequest, PreparedInputs } from './preparation.js'
 import { initTRPC } from '@trpc/server'
 import { z } from 'zod'
-import { preparationRequestSchema } from '../stage/preparation.js'
+import { preparationRequestSchema } from './preparation.js'
 
 const trpc = initTRPC.create()
 
--- a/packages/gateway/src/stage/stage-client.ts
+++ b/packages/gateway/src/connection/stage-client.ts
@@ -1,7 +1,7 @@
 /**
  * Calls to the replicas that make stage results, as the scheduler sees them.
  */
-import type { Replica } from '../replica/replica.js'
+import type { Replica } from './backend.js'
 
 /** One piece of stage work. */
 export interface StagePiece {
--- a/packages/gateway/src/replica/replica-registry.ts
+++ b/packages/gateway/src/process/backend-registry.ts
@@ -1,9 +1,9 @@
 /**
  * The replicas that the registry lists, by service.
  */
-import type { EventLog } from '../process/event-log.js'
-import type { ReplicaRecord } from './replica.js'
-import { Replica } from './replica.js'
+import type { EventLog } from '@eidermast/common'
+import type { ReplicaRecord } from '../connection/backend.js'
+import { Replica } from '../connection/backend.js'
 
 /** What follows changes of the registry. */
 export interface ReplicaListener {
--- a/packages/gateway/src/process/index.ts
+++ b/packages/gateway/src/process/index.ts
@@ -1,4 +1,6 @@
-export * from './event-log.js'
+export * from './backend-registry.js'
 export * from './gateway-metrics.js'
 export * from './gateway-settings.js'
 export * from './gateway.js'
+export * from './membership/index.js'
+export * from './stages/index.js'
--- /dev/null
+++ b/packages/gateway/src/process/membership/index.ts
@@ -0,0 +1,1 @@
+export * from './members.js'
--- a/packages/gateway/src/membership/members.ts
+++ b/packages/gateway/src/process/membership/members.ts
@@ -4,7 +4,7 @@
  * gateway that comes back takes nothing from the one at work. The list comes
  * from the platform; that a member is alive is learned by direct contact only.
  */
-import type { EventLog } from '../process/event-log.js'
+import type { EventLog } from '@eidermast/common'
 
 /** A gateway and where its peers reach it. */
 export interface Member {
--- /dev/null
+++ b/packages/gateway/src/process/stages/index.ts
@@ -0,0 +1,6 @@
+export * from './shared-preparer.js'
+export * from './stage-admission.js'
+export * from './stage-backend.js'
+export * from './stage-coordinator.js'
+export * from './stage-order.js'
+export * from './stage-pool.js'
--- a/packages/gateway/src/membership/shared-preparer.ts
+++ b/packages/gateway/src/process/stages/shared-preparer.ts
@@ -1,16 +1,16 @@
+import type { EventLog } from '@eidermast/common'
 /**
  * Stage work at whichever gateway owns it. When the owner is lost, the work
  * begins anew at the next one; the lost one frees what it made when it sees
  * its caller gone.
  */
 import type { Result } from 'ts-results-es'
-import type { EventLog } from '../process/event-log.js'
-import type { PreparationFailure, PreparationRequest, PreparedInputs, Preparer } from '../stage/preparation.js'
-import type { Member, Members } from './members.js'
-import type { PeerClients } from './peer-clients.js'
+import type { PeerClients } from '../../connection/peer-clients.js'
+import type { PreparationFailure, PreparationRequest, PreparedInputs, Preparer } from '../../connection/preparation.js'
+import type { Member, Members } from '../membership/members.js'
 import { formatError } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
-import { PreparationFailureKind } from '../stage/preparation.js'
+import { PreparationFailureKind } from '../../connection/preparation.js'
 
 const MOST_OWNERS = 4
 const RELEASE_DELAY_MS = 20
--- a/packages/gateway/src/stage/stage-admission.ts
+++ b/packages/gateway/src/process/stages/stage-admission.ts
@@ -3,7 +3,7 @@
  * fluid one: the pieces of all requests that go before, at the speed of the
  * replicas that can be used, and the request's own way through its stages.
  */
-import type { PreparationRequest, PreparationStage } from './preparation.js'
+import type { PreparationRequest, PreparationStage } from '../../connection/preparation.js'
 
 /** Speed of one service now. */
 export interface ServicePace {
--- a/packages/gateway/src/stage/stage-worker.ts
+++ b/packages/gateway/src/process/stages/stage-backend.ts
@@ -1,9 +1,9 @@
+import type { Replica } from '../../connection/backend.js'
 /**
  * One replica that makes stage results, as the scheduler accounts for it:
  * whether it is at work, how fast it is, and what room its results take.
  */
-import type { StageLimits } from '../configuration/configuration.js'
-import type { Replica } from '../replica/replica.js'
+import type { StageLimits } from '../../version/configuration.js'
 
 /** First pause after a failed call, in milliseconds; it doubles with each further one. */
 const FIRST_PAUSE_MS = 100
--- a/packages/gateway/src/stage/stage-scheduler.ts
+++ b/packages/gateway/src/process/stages/stage-coordinator.ts
@@ -1,21 +1,21 @@
+import type { EventLog } from '@eidermast/common'
 /**
  * The stage work of all requests that this process owns. Ownership is
  * efficiency, never safety: a piece may be made again, and two schedulers at
  * once cost room and time only.
  */
 import type { Result } from 'ts-results-es'
-import type { Service } from '../configuration/configuration.js'
-import type { RouteTable } from '../configuration/route-table.js'
-import type { EventLog } from '../process/event-log.js'
-import type { ReplicaRegistry } from '../replica/replica-registry.js'
-import type { Replica } from '../replica/replica.js'
-import type { PreparationFailure, PreparationRequest, PreparedInputs, Preparer } from './preparation.js'
-import type { StageClient } from './stage-client.js'
+import type { Replica } from '../../connection/backend.js'
+import type { PreparationFailure, PreparationRequest, PreparedInputs, Preparer } from '../../connection/preparation.js'
+import type { StageClient } from '../../connection/stage-client.js'
+import type { Service } from '../../version/configuration.js'
+import type { RouteTable } from '../../version/route-table.js'
+import type { ReplicaRegistry } from '../backend-registry.js'
 import type { StageOrder } from './stage-order.js'
 import type { RepeatAllowance } from './stage-pool.js'
 import { Err } from 'ts-results-es'
-import { PreparationRun } from './preparation-run.js'
-import { PreparationFailureKind } from './preparation.js'
+import { PreparationFailureKind } from '../../connection/preparation.js'
+import { PreparationRun } from '../../request/stages/stage-run.js'
 import { AdmissionDecision, estimateAdmission } from './stage-admission.js'
 import { StagePool } from './stage-pool.js'
 
--- a/packages/gateway/src/stage/stage-order.ts
+++ b/packages/gateway/src/process/stages/stage-order.ts
@@ -1,7 +1,7 @@
 /**
  * Order in which waiting stage tasks are begun.
  */
-import type { StageTask } from './stage-task.js'
+import type { StageTask } from '../../request/stages/stage-task.js'
 
 /** What a request's place in the order is made from. */
 export interface RankSubject {
--- a/packages/gateway/src/stage/stage-pool.ts
+++ b/packages/gateway/src/process/stages/stage-pool.ts
@@ -1,20 +1,20 @@
+import type { EventLog } from '@eidermast/common'
+import type { Replica } from '../../connection/backend.js'
+import type { StageProgress } from '../../connection/preparation.js'
+import type { PieceOutcome, StageCallResult, StageClient, StagePiece } from '../../connection/stage-client.js'
+import type { StageResult, StageTask } from '../../request/stages/stage-task.js'
 /**
  * The replicas of one stage service and the tasks that wait for them. Pieces
  * of all requests are gathered into batches: whole tasks first, near their
  * inputs and readers where waiting for that zone costs no target.
  */
-import type { StageLimits } from '../configuration/configuration.js'
-import type { EventLog } from '../process/event-log.js'
-import type { Replica } from '../replica/replica.js'
-import type { StageProgress } from './preparation.js'
+import type { StageLimits } from '../../version/configuration.js'
 import type { ServicePace } from './stage-admission.js'
-import type { PieceOutcome, StageCallResult, StageClient, StagePiece } from './stage-client.js'
-import type { StageResult, StageTask } from './stage-task.js'
 import { createBoundedSignal } from '@eidermast/common'
-import { PieceFailure, StageCallEnd } from './stage-client.js'
+import { PieceFailure, StageCallEnd } from '../../connection/stage-client.js'
+import { crossingBytes } from '../../request/stages/stage-task.js'
+import { StageWorker } from './stage-backend.js'
 import { compareTasks } from './stage-order.js'
-import { crossingBytes } from './stage-task.js'
-import { StageWorker } from './stage-worker.js'
 
 /** A call is given up after its expected time times this, and a margin. */
 const TIMEOUT_FACTOR = 2.5
--- a/packages/gateway/src/replica/index.ts
+++ /dev/null
@@ -1,7 +0,0 @@
-export * from './http-replica-client.js'
-export * from './rendezvous.js'
-export * from './replica-choice.js'
-export * from './replica-client.js'
-export * from './replica-connections.js'
-export * from './replica-registry.js'
-export * from './replica.js'
--- a/packages/gateway/src/request/answer-relay.ts
+++ b/packages/gateway/src/request/answer-relay.ts
@@ -4,8 +4,8 @@
  * their end, streams by whole events as they come. What may have been cut
  * short is never framed as complete.
  */
-import type { ReplicaAnswer } from '../replica/replica-client.js'
-import type { ClientAnswer } from './client-answer.js'
+import type { ReplicaAnswer } from '../connection/backend-client.js'
+import type { ClientAnswer } from '../connection/client-answer.js'
 import type { Probe } from './silence-watch.js'
 import { formatError } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
--- a/packages/gateway/src/replica/replica-choice.ts
+++ b/packages/gateway/src/request/backend-choice.ts
@@ -3,7 +3,7 @@
  * milliseconds, among the replicas that are not left out.
  */
 import type { EjectionPolicy } from '@eidermast/common'
-import type { Replica } from './replica.js'
+import type { Replica } from '../connection/backend.js'
 import { rankByRendezvous } from './rendezvous.js'
 
 /** One part of a prompt; parts may be shared between requests. */
--- a/packages/gateway/src/request/replica-run.ts
+++ b/packages/gateway/src/request/backend-run.ts
@@ -2,17 +2,16 @@
  * One request on its way through the backend servers of its service: the
  * first choice, then others where that is safe, allowed and worth it.
  */
-import type { EjectionPolicy, RequestError } from '@eidermast/common'
-import type { EventLog } from '../process/event-log.js'
-import type { CallFailure, ReplicaAnswer, ReplicaCall, ReplicaClient } from '../replica/replica-client.js'
-import type { ReplicaRegistry } from '../replica/replica-registry.js'
-import type { Replica } from '../replica/replica.js'
+import type { EjectionPolicy, EventLog, RequestError } from '@eidermast/common'
+import type { CallFailure, ReplicaAnswer, ReplicaCall, ReplicaClient } from '../connection/backend-client.js'
+import type { Replica } from '../connection/backend.js'
+import type { ClientAnswer } from '../connection/client-answer.js'
+import type { ReplicaRegistry } from '../process/backend-registry.js'
 import type { WholeAnswer } from './answer-relay.js'
-import type { ClientAnswer } from './client-answer.js'
 import type { RoutedRequest } from './pass-through.js'
 import type { RetryBudget } from './retry-budget.js'
 import { createError, ErrorKind, Ran } from '@eidermast/common'
-import { CallFailureKind, provesNotRun } from '../replica/replica-client.js'
+import { CallFailureKind, provesNotRun } from '../connection/backend-client.js'
 import { passWhole, readWhole, relayStream } from './answer-relay.js'
 import { SilenceWatch } from './silence-watch.js'
 
--- a/packages/gateway/src/request/replica-runner.ts
+++ b/packages/gateway/src/request/backend-runner.ts
@@ -2,12 +2,12 @@
  * Runs requests at the backend servers of their services.
  */
 import type { RequestError } from '@eidermast/common'
-import type { ChoiceSubject, ReplicaChoice } from '../replica/replica-choice.js'
-import type { Replica } from '../replica/replica.js'
-import type { ClientAnswer } from './client-answer.js'
+import type { Replica } from '../connection/backend.js'
+import type { ClientAnswer } from '../connection/client-answer.js'
+import type { ChoiceSubject, ReplicaChoice } from './backend-choice.js'
+import type { ReplicaRunParts, RunInputs } from './backend-run.js'
 import type { RoutedRequest } from './pass-through.js'
-import type { ReplicaRunParts, RunInputs } from './replica-run.js'
-import { ReplicaRun } from './replica-run.js'
+import { ReplicaRun } from './backend-run.js'
 
 /** What the runner works with. */
 export interface ReplicaRunnerParts extends ReplicaRunParts {
--- a/packages/gateway/src/request/pass-through.ts
+++ b/packages/gateway/src/request/pass-through.ts
@@ -2,21 +2,20 @@
  * Serves one request by passing it through to a replica, after the stages
  * that its route asks for.
  */
-import type { RequestError } from '@eidermast/common'
-import type { ConfigurationHolder } from '../configuration/configuration-holder.js'
-import type { Route, Tenant } from '../configuration/configuration.js'
-import type { RouteTable } from '../configuration/route-table.js'
-import type { EventLog } from '../process/event-log.js'
+import type { EventLog, RequestError } from '@eidermast/common'
+import type { ClientAnswer } from '../connection/client-answer.js'
+import type { ClientRequestHead } from '../connection/client-codec.js'
+import type { PreparationRequest, Preparer } from '../connection/preparation.js'
 import type { GatewayMetrics } from '../process/gateway-metrics.js'
-import type { PreparationRequest, Preparer } from '../stage/preparation.js'
-import type { ClientAnswer } from './client-answer.js'
-import type { ClientRequestHead } from './client-codec.js'
-import type { ReplicaRunner } from './replica-runner.js'
+import type { ConfigurationHolder } from '../version/configuration-holder.js'
+import type { Route, Tenant } from '../version/configuration.js'
+import type { RouteTable } from '../version/route-table.js'
+import type { ReplicaRunner } from './backend-runner.js'
 import { createError, ErrorKind, Ran } from '@eidermast/common'
-import { pickService } from '../configuration/route-table.js'
-import { hashText } from '../replica/rendezvous.js'
-import { PreparationFailureKind } from '../stage/preparation.js'
-import { NO_INPUTS } from './replica-runner.js'
+import { PreparationFailureKind } from '../connection/preparation.js'
+import { pickService } from '../version/route-table.js'
+import { NO_INPUTS } from './backend-runner.js'
+import { hashText } from './rendezvous.js'
 
 const HASH_RANGE = 2 ** 32
 const DEFAULT_DEADLINE_MS = 10_000
--- /dev/null
+++ b/packages/gateway/src/request/stages/index.ts
@@ -0,0 +1,2 @@
+export * from './stage-run.js'
+export * from './stage-task.js'
--- a/packages/gateway/src/stage/preparation-run.ts
+++ b/packages/gateway/src/request/stages/stage-run.ts
@@ -3,14 +3,14 @@
  * on are done, and a result is given up when its last reader has fetched it.
  */
 import type { Result } from 'ts-results-es'
-import type { PreparationFailure, PreparationRequest, PreparedInputs, StageProgress } from './preparation.js'
-import type { CommittedWork } from './stage-admission.js'
-import type { StagePool, SubmittedTask } from './stage-pool.js'
+import type { PreparationFailure, PreparationRequest, PreparedInputs, StageProgress } from '../../connection/preparation.js'
+import type { CommittedWork } from '../../process/stages/stage-admission.js'
+import type { StagePool, SubmittedTask } from '../../process/stages/stage-pool.js'
 import type { StageResult } from './stage-task.js'
 import { Err, Ok } from 'ts-results-es'
-import { PreparationFailureKind } from './preparation.js'
-import { ANSWER_TIME_MS } from './stage-admission.js'
-import { PieceFailure } from './stage-client.js'
+import { PreparationFailureKind } from '../../connection/preparation.js'
+import { PieceFailure } from '../../connection/stage-client.js'
+import { ANSWER_TIME_MS } from '../../process/stages/stage-admission.js'
 
 /** How often a request's stage work begins anew after a lost result. */
 const MOST_RESTARTS = 2
--- a/packages/gateway/src/stage/stage-task.ts
+++ b/packages/gateway/src/request/stages/stage-task.ts
@@ -1,8 +1,8 @@
 /**
  * One stage of one request, waiting for or at work in its service's pool.
  */
-import type { PieceFailure } from './stage-client.js'
-import type { StageWorker } from './stage-worker.js'
+import type { PieceFailure } from '../../connection/stage-client.js'
+import type { StageWorker } from '../../process/stages/stage-backend.js'
 
 /** A result and the replica that holds it. */
 export interface StageResult {
--- a/packages/gateway/src/configuration/configuration-holder.ts
+++ b/packages/gateway/src/version/configuration-holder.ts
@@ -2,7 +2,7 @@
  * The configuration in force at this process. It only rises: a version from
  * any source is taken if it is newer than the one held, and passed over else.
  */
-import type { EventLog } from '../process/event-log.js'
+import type { EventLog } from '@eidermast/common'
 import type { Configuration } from './configuration.js'
 import { RouteTable } from './route-table.js'
 
--- a/test/gateway/request-parts.test.ts
+++ b/test/gateway/request-parts.test.ts
@@ -1,4 +1,5 @@
-import { ConfigurationHolder, EventLog, EventSplitter, pickService, rankByRendezvous, RetryBudget, RouteTable } from '@eidermast/gateway'
+import { EventLog } from '@eidermast/common'
+import { ConfigurationHolder, EventSplitter, pickService, rankByRendezvous, RetryBudget, RouteTable } from '@eidermast/gateway'
 import fc from 'fast-check'
 import { describe, expect, test } from 'vitest'
 import { createConfiguration, createLog, createRoute } from './support/fakes.js'
--- a/test/gateway/support/fakes.ts
+++ b/test/gateway/support/fakes.ts
@@ -1,9 +1,11 @@
+import type { EventFields } from '@eidermast/common'
 /**
  * Fakes at the gateway's interfaces: a log that is kept, a stage service in
  * memory, and makers of records.
  */
-import type { Configuration, EventFields, PieceOutcome, Replica, ReplicaRecord, Route, StageCallResult, StageClient, StageLimits, StagePiece } from '@eidermast/gateway'
-import { EventLog, PieceFailure, StageCallEnd } from '@eidermast/gateway'
+import type { Configuration, PieceOutcome, Replica, ReplicaRecord, Route, StageCallResult, StageClient, StageLimits, StagePiece } from '@eidermast/gateway'
+import { EventLog } from '@eidermast/common'
+import { PieceFailure, StageCallEnd } from '@eidermast/gateway'
 
 /** A log whose lines are kept. */
 export function createLog(): { log: EventLog, lines: EventFields[] } {
--- a/test/platform/gateway.test.ts
+++ b/test/platform/gateway.test.ts
@@ -2,7 +2,7 @@
 import { request } from 'undici'
 import { afterEach, beforeEach, describe, expect, test, vi } from 'vitest'
 import { startGateway } from './support/gateway-process.js'
-import { answerUnframed, answerWhole, hang, StandInReplica, streamEvents } from './support/stand-in-replica.js'
+import { answerUnframed, answerWhole, hang, StandInReplica, streamEvents } from './support/stand-in-backend.js'
 import { StandInStore } from './support/stand-in-store.js'
 
 const ROUTE = { Host: 'host.example', TimeoutMs: 4000, TargetLatencyMs: 1000, MaxAttempts: 2 }
--- a/test/platform/gateways.test.ts
+++ b/test/platform/gateways.test.ts
@@ -1,10 +1,10 @@
 import type { ServerResponse } from 'node:http'
 import type { StartedGateway } from './support/gateway-process.js'
-import type { SeenRequest } from './support/stand-in-replica.js'
+import type { SeenRequest } from './support/stand-in-backend.js'
 import { request } from 'undici'
 import { afterEach, beforeEach, describe, expect, test, vi } from 'vitest'
 import { startGateway } from './support/gateway-process.js'
-import { StandInReplica, streamEvents } from './support/stand-in-replica.js'
+import { StandInReplica, streamEvents } from './support/stand-in-backend.js'
 import { StandInStore, StoreFault } from './support/stand-in-store.js'
 
 const LIMITS = { MaxHeaderBytes: 8000, MaxBodyBytes: 1000, HeaderTimeoutMs: 3000, IdleTimeoutMs: 5000 }
--- a/test/soak/support/soak-deployment.ts
+++ b/test/soak/support/soak-deployment.ts
@@ -3,11 +3,11 @@
  * as processes of their own.
  */
 import type { ServerResponse } from 'node:http'
-import type { Respond, SeenRequest } from '../../platform/support/stand-in-replica.js'
+import type { Respond, SeenRequest } from '../../platform/support/stand-in-backend.js'
 import { mkdtempSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import path from 'node:path'
-import { answerWhole, StandInReplica, streamEvents } from '../../platform/support/stand-in-replica.js'
+import { answerWhole, StandInReplica, streamEvents } from '../../platform/support/stand-in-backend.js'
 import { StandInStore } from '../../platform/support/stand-in-store.js'
 import { GatewayChild } from './gateway-child.js'
 import { RequestKind } from './soak-clients.js'
