--- a/packages/command-line/src/request-story.ts
+++ b/packages/command-line/src/request-story.ts
@@ -43,7 +43,7 @@
   if (start < 0)
     return undefined
   try {
-    const { time, event, process, zone, ...fields } = lineSchema.parse(JSON.parse(text.slice(start)))
+    const { time, event, process, zone, failureDomain, ...fields } = lineSchema.parse(JSON.parse(text.slice(start)))
     return { at: Date.parse(time), process, event, fields }
   }
   catch {
--- a/packages/gateway/src/connection/backend-client.ts
+++ b/packages/gateway/src/connection/backend-client.ts
@@ -1,14 +1,14 @@
 /**
- * Calls to replicas, as the rest of the gateway sees them.
+ * Calls to backend servers, as the rest of the gateway sees them.
  */
 import type { Result } from 'ts-results-es'
-import type { Replica, ReplicaLoad } from './backend.js'
+import type { Backend, BackendLoad } from './backend.js'
 
 /** Header names and values in the order of the wire. */
 export type HeaderList = readonly (readonly [name: string, value: string])[]
 
-/** One request as it is sent to a replica. */
-export interface ReplicaCall {
+/** One request as it is sent to a backend server. */
+export interface BackendCall {
   requestId: string
   method: string
   /** Path with its query. */
@@ -16,19 +16,19 @@
   /** The client's headers that are passed on. */
   headers: HeaderList
   body: Buffer | undefined
-  /** Milliseconds that the replica may work. */
+  /** Milliseconds that the backend server may work. */
   remainingMs: number
-  tenant?: string
+  account?: string
   /** 0 is the most urgent. */
   priority?: number
-  /** Handles of the stage results that the replica reads. */
+  /** Handles of the stage results that the backend server reads. */
   inputs?: readonly string[]
   /** The stream goes on after this event. */
   lastEventId?: string
 }
 
-/** The head of a replica's answer, and its body as it comes. */
-export interface ReplicaAnswer {
+/** The head of a backend server's answer, and its body as it comes. */
+export interface BackendAnswer {
   status: number
   /** Headers for the client. */
   headers: HeaderList
@@ -42,11 +42,11 @@
 
 /** Why a call brought no answer of the request's own. */
 export enum CallFailureKind {
-  /** No byte reached the replica. */
+  /** No byte reached the backend server. */
   NotSent = 'not-sent',
-  /** The replica says that it did not run the request. */
+  /** The backend server says that it did not run the request. */
   Refused = 'refused',
-  /** Another replica has the address; the request was not run. */
+  /** Another backend server has the address; the request was not run. */
   Misdirected = 'misdirected',
   /** A stage result that the request reads is gone; it was not run. */
   InputGone = 'input-gone',
@@ -67,11 +67,11 @@
   return kind !== CallFailureKind.Broken && kind !== CallFailureKind.Aborted
 }
 
-/** Runs requests at replicas. */
-export interface ReplicaClient {
-  run: (replica: Replica, call: ReplicaCall, signal: AbortSignal) => Promise<Result<ReplicaAnswer, CallFailure>>
-  /** Whether the replica answers at all within a time in milliseconds. */
-  probe: (replica: Replica, timeoutMs: number) => Promise<boolean>
+/** Runs requests at backend servers. */
+export interface BackendClient {
+  run: (backend: Backend, call: BackendCall, signal: AbortSignal) => Promise<Result<BackendAnswer, CallFailure>>
+  /** Whether the backend server answers at all within a time in milliseconds. */
+  probe: (backend: Backend, timeoutMs: number) => Promise<boolean>
 }
 
 /** What an answer's head says of the call itself. */
@@ -79,14 +79,14 @@
   /** The request id that the answer echoes. */
   requestId: string | undefined
   failure: CallFailureKind | undefined
-  load: ReplicaLoad | undefined
+  load: BackendLoad | undefined
   headers: HeaderList
 }
 
 /** Spells calls and reads the heads of answers. */
-export interface ReplicaCodec {
-  /** Path that tells a replica's state without taking a slot. */
+export interface BackendCodec {
+  /** Path that tells a backend server's state without taking a slot. */
   readonly probePath: string
-  encode: (replica: Replica, call: ReplicaCall) => HeaderList
+  encode: (backend: Backend, call: BackendCall) => HeaderList
   decode: (status: number, headers: Record<string, string | string[] | undefined>) => AnswerFacts
 }
--- a/packages/gateway/src/connection/backend-connections.ts
+++ b/packages/gateway/src/connection/backend-connections.ts
@@ -1,16 +1,16 @@
 /**
- * Connections to replicas, a pool for each, within what a replica takes.
+ * Connections to backend servers, a pool for each, within what a backend server takes.
  */
-import type { Replica } from './backend.js'
+import type { Backend } from './backend.js'
 import { buildConnector, Pool } from 'undici'
 
 /** How long a connection may take to come up, in milliseconds. */
 const CONNECT_TIMEOUT_MS = 400
-/** How long an idle connection is kept where the replica says nothing, in milliseconds. */
+/** How long an idle connection is kept where the backend server says nothing, in milliseconds. */
 const IDLE_TIMEOUT_MS = 4000
-/** Closed this long before the replica would, in milliseconds. */
+/** Closed this long before the backend server would, in milliseconds. */
 const IDLE_MARGIN_MS = 700
-const FEWEST_CONNECTIONS = 2
+const MIN_CONNECTIONS = 2
 
 const connectPlainly = buildConnector({ timeout: CONNECT_TIMEOUT_MS, autoSelectFamily: false })
 /** Replaces `ECONNRESET`, which undici takes for the end of an answer that has no length. */
@@ -28,22 +28,22 @@
   })
 }
 
-/** Says how many connections to one replica of a service this process may hold. */
+/** Says how many connections to one backend server of a service this process may hold. */
 export type ConnectionShare = (service: string) => number
 
-/** Pools by replica id; a pool ends with its replica. */
-export class ReplicaConnections {
+/** Pools by backend server id; a pool ends with its backend server. */
+export class BackendConnections {
   private readonly pools = new Map<string, Pool>()
 
   constructor(private readonly share: ConnectionShare) {}
 
-  /** The pool of a replica, opened at first use. */
-  of(replica: Replica): Pool {
-    const existing = this.pools.get(replica.id)
+  /** The pool of a backend server, opened at first use. */
+  of(backend: Backend): Pool {
+    const existing = this.pools.get(backend.id)
     if (existing)
       return existing
-    const pool = new Pool(`http://${replica.address}`, {
-      connections: Math.max(FEWEST_CONNECTIONS, this.share(replica.service)),
+    const pool = new Pool(`http://${backend.address}`, {
+      connections: Math.max(MIN_CONNECTIONS, this.share(backend.service)),
       pipelining: 1,
       connect: connectWatchingResets,
       keepAliveTimeout: IDLE_TIMEOUT_MS,
@@ -51,14 +51,14 @@
       headersTimeout: 0,
       bodyTimeout: 0,
     })
-    this.pools.set(replica.id, pool)
+    this.pools.set(backend.id, pool)
     return pool
   }
 
   /** Lets calls under way end, then closes. */
-  forget(replicaId: string): void {
-    const pool = this.pools.get(replicaId)
-    this.pools.delete(replicaId)
+  forget(backendId: string): void {
+    const pool = this.pools.get(backendId)
+    this.pools.delete(backendId)
     void pool?.close().catch(() => {})
   }
 
@@ -69,7 +69,7 @@
 
 const NOT_SENT_CODES = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL', 'UND_ERR_CONNECT_TIMEOUT', 'UND_ERR_DESTROYED', 'UND_ERR_CLOSED', 'EMFILE'])
 
-/** Whether an error shows that no byte of the request reached the replica. */
+/** Whether an error shows that no byte of the request reached the backend server. */
 export function isNotSent(error: unknown): boolean {
   const code = error instanceof Error && 'code' in error ? error.code : undefined
   return typeof code === 'string' && NOT_SENT_CODES.has(code)
--- a/packages/gateway/src/connection/client-codec.ts
+++ b/packages/gateway/src/connection/client-codec.ts
@@ -15,8 +15,8 @@
   /** Milliseconds that the client will wait. */
   deadlineMs: number | undefined
   promptParts: PromptPart[]
-  /** Pieces of each stage. */
-  stagePieces: number[]
+  /** Items of each stage. */
+  stageItems: number[]
   /** What stages without inputs work on. */
   stageKey: string
   lastEventId: string | undefined
--- a/packages/gateway/src/connection/client-server.ts
+++ b/packages/gateway/src/connection/client-server.ts
@@ -17,7 +17,7 @@
 /** Bounds until a configuration brings its own. */
 const DEFAULT_LIMITS: ClientLimits = { maxHeaderBytes: 16_384, maxBodyBytes: 4_194_304, headerTimeoutMs: 3000, idleTimeoutMs: 15_000 }
 /** Node fixes this at the server's start; the configured limit is checked beside it. */
-const LARGEST_HEADER_BYTES = 65_536
+const MAX_HEADER_BYTES = 65_536
 const CONNECTION_CHECK_MS = 500
 const LISTEN_BACKLOG = 1024
 
@@ -35,7 +35,7 @@
     configuration: ConfigurationHolder,
     private readonly log: EventLog,
   ) {
-    this.server = createServer({ maxHeaderSize: LARGEST_HEADER_BYTES, connectionsCheckingInterval: CONNECTION_CHECK_MS, noDelay: true }, (request, response) => void this.handle(request, response))
+    this.server = createServer({ maxHeaderSize: MAX_HEADER_BYTES, connectionsCheckingInterval: CONNECTION_CHECK_MS, noDelay: true }, (request, response) => void this.handle(request, response))
     this.server.on('clientError', (error, socket) => {
       this.log.write('client-error', { error: error.message })
       if (socket.writable)
--- a/packages/gateway/src/connection/http-backend-client.ts
+++ b/packages/gateway/src/connection/http-backend-client.ts
@@ -1,12 +1,12 @@
 /**
- * Calls to replicas over HTTP/1.1. An answer is taken only if it echoes the
+ * Calls to backend servers over HTTP/1.1. An answer is taken only if it echoes the
  * request's id; any other one closes its connection.
  */
 import type { Result } from 'ts-results-es'
 import type { Dispatcher } from 'undici'
-import type { CallFailure, ReplicaAnswer, ReplicaCall, ReplicaClient, ReplicaCodec } from './backend-client.js'
-import type { ReplicaConnections } from './backend-connections.js'
-import type { Replica } from './backend.js'
+import type { BackendAnswer, BackendCall, BackendClient, BackendCodec, CallFailure } from './backend-client.js'
+import type { BackendConnections } from './backend-connections.js'
+import type { Backend } from './backend.js'
 import { formatError } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
 import { CallFailureKind } from './backend-client.js'
@@ -15,28 +15,28 @@
 type Method = Dispatcher.HttpMethod
 
 /** Runs requests over pooled connections. */
-export class HttpReplicaClient implements ReplicaClient {
-  constructor(private readonly connections: ReplicaConnections, private readonly codec: ReplicaCodec) {}
+export class HttpBackendClient implements BackendClient {
+  constructor(private readonly connections: BackendConnections, private readonly codec: BackendCodec) {}
 
-  async run(replica: Replica, call: ReplicaCall, signal: AbortSignal): Promise<Result<ReplicaAnswer, CallFailure>> {
+  async run(backend: Backend, call: BackendCall, signal: AbortSignal): Promise<Result<BackendAnswer, CallFailure>> {
     try {
-      const response = await this.connections.of(replica).request({
+      const response = await this.connections.of(backend).request({
         method: call.method as Method,
         path: call.path,
-        headers: this.codec.encode(replica, call).flat(),
+        headers: this.codec.encode(backend, call).flat(),
         body: call.body ?? null,
         signal,
       })
-      return this.readHead(replica, call, response)
+      return this.readHead(backend, call, response)
     }
     catch (error) {
       return Err(describeFailure(error, signal))
     }
   }
 
-  async probe(replica: Replica, timeoutMs: number): Promise<boolean> {
+  async probe(backend: Backend, timeoutMs: number): Promise<boolean> {
     try {
-      const response = await this.connections.of(replica).request({ method: 'GET', path: this.codec.probePath, signal: AbortSignal.timeout(timeoutMs) })
+      const response = await this.connections.of(backend).request({ method: 'GET', path: this.codec.probePath, signal: AbortSignal.timeout(timeoutMs) })
       await response.body.dump()
       return true
     }
@@ -45,7 +45,7 @@
     }
   }
 
-  private readHead(replica: Replica, call: ReplicaCall, response: Dispatcher.ResponseData): Result<ReplicaAnswer, CallFailure> {
+  private readHead(backend: Backend, call: BackendCall, response: Dispatcher.ResponseData): Result<BackendAnswer, CallFailure> {
     const destroy = (): void => {
       response.body.on('error', () => {})
       response.body.destroy()
@@ -56,8 +56,8 @@
       return Err({ kind: CallFailureKind.Broken, message: `the answer echoes ${facts.requestId ?? 'no id'}` })
     }
     if (facts.load) {
-      replica.load = facts.load
-      replica.loadAt = performance.now()
+      backend.load = facts.load
+      backend.loadAt = performance.now()
     }
     if (facts.failure) {
       void response.body.dump().catch(() => {})
--- a/packages/gateway/src/connection/peer-clients.ts
+++ b/packages/gateway/src/connection/peer-clients.ts
@@ -2,15 +2,18 @@
  * Calls to other gateways.
  */
 import type { TRPCClient } from '@trpc/client'
-import type { GreetingReply, Member } from '../process/membership/members.js'
+import type { Result } from 'ts-results-es'
 import type { ConfigurationRecord } from '../version/configuration-holder.js'
-import type { Greeting, PeerRouter, PreparationReply } from './peer-router.js'
-import type { PreparationRequest } from './preparation.js'
+import type { Member } from './member.js'
+import type { Heartbeat, HeartbeatReply } from './peer-messages.js'
+import type { PeerRouter } from './peer-router.js'
+import type { PreparationFailure, PreparationRequest, PreparedInputs } from './preparation.js'
 import { createTRPCClient, httpLink } from '@trpc/client'
 import { Agent, fetch as undiciFetch } from 'undici'
+import { decodePreparationReply, encodePreparationRequest } from './peer-messages.js'
 
 const CONNECT_TIMEOUT_MS = 300
-const GREETING_TIMEOUT_MS = 450
+const HEARTBEAT_TIMEOUT_MS = 450
 const CONFIGURATION_TIMEOUT_MS = 1500
 const RELEASE_TIMEOUT_MS = 1000
 
@@ -19,16 +22,16 @@
   private readonly agent = new Agent({ connect: { timeout: CONNECT_TIMEOUT_MS, autoSelectFamily: false }, keepAliveTimeout: 10_000, headersTimeout: 0, bodyTimeout: 0 })
   private readonly clients = new Map<string, TRPCClient<PeerRouter>>()
 
-  greet(member: Member, greeting: Greeting): Promise<GreetingReply> {
-    return this.of(member).greet.mutate(greeting, { signal: AbortSignal.timeout(GREETING_TIMEOUT_MS) })
+  heartbeat(member: Member, heartbeat: Heartbeat): Promise<HeartbeatReply> {
+    return this.of(member).greet.mutate(heartbeat, { signal: AbortSignal.timeout(HEARTBEAT_TIMEOUT_MS) })
   }
 
   configuration(member: Member): Promise<ConfigurationRecord | null> {
     return this.of(member).configuration.query(undefined, { signal: AbortSignal.timeout(CONFIGURATION_TIMEOUT_MS) })
   }
 
-  prepare(member: Member, request: PreparationRequest, signal: AbortSignal): Promise<PreparationReply> {
-    return this.of(member).prepare.mutate(request, { signal })
+  async prepare(member: Member, request: PreparationRequest, signal: AbortSignal): Promise<Result<PreparedInputs, PreparationFailure>> {
+    return decodePreparationReply(await this.of(member).prepare.mutate(encodePreparationRequest(request), { signal }))
   }
 
   async release(member: Member, requestIds: string[]): Promise<void> {
--- a/packages/gateway/src/connection/stage-client.ts
+++ b/packages/gateway/src/connection/stage-client.ts
@@ -1,14 +1,14 @@
 /**
- * Calls to the replicas that make stage results, as the scheduler sees them.
+ * Calls to the backend servers that make stage results, as the scheduler sees them.
  */
-import type { Replica } from './backend.js'
+import type { Backend } from './backend.js'
 
-/** One piece of stage work. */
-export interface StagePiece {
+/** One item of stage work. */
+export interface StageItem {
   requestId: string
   /** Number of the stage in its route. */
   stage: number
-  /** Number of the piece within its stage. */
+  /** Number of the item within its stage. */
   index: number
   /** Milliseconds after which the result is of no use. */
   remainingMs: number
@@ -18,44 +18,44 @@
   inputs?: readonly string[]
 }
 
-/** Why a piece was not made. */
-export enum PieceFailure {
+/** Why a item was not made. */
+export enum ItemFailure {
   /** Its time ran out before its turn. */
   Late = 'late',
   /** An input is gone. */
   InputGone = 'input-gone',
-  /** The replica has no room for the result. */
-  NoRoom = 'no-room',
+  /** The backend server has no room for the result. */
+  NoMemory = 'no-memory',
   Error = 'error',
 }
 
-/** A piece's result or why there is none. */
-export type PieceOutcome = { handle: string } | { failure: PieceFailure }
+/** A item's result or why there is none. */
+export type ItemOutcome = { handle: string } | { failure: ItemFailure }
 
 /** How a call ended. */
 export enum StageCallEnd {
   Done = 'done',
-  /** The replica is full; nothing ran. */
+  /** The backend server is full; nothing ran. */
   Refused = 'refused',
-  /** Another replica has the address; nothing ran. */
+  /** Another backend server has the address; nothing ran. */
   Misdirected = 'misdirected',
   /** No byte was sent. */
   NotSent = 'not-sent',
-  /** No sound answer; pieces may have been made and take room until their end. */
+  /** No sound answer; items may have been made and take room until their end. */
   Broken = 'broken',
 }
 
-/** What a call brought; outcomes stand in the order of the pieces. */
+/** What a call brought; outcomes stand in the order of the items. */
 export interface StageCallResult {
   end: StageCallEnd
-  outcomes: PieceOutcome[]
+  outcomes: ItemOutcome[]
 }
 
-/** Runs batches of pieces and frees results. */
+/** Runs batches of items and frees results. */
 export interface StageClient {
-  run: (replica: Replica, pieces: readonly StagePiece[], signal: AbortSignal) => Promise<StageCallResult>
-  /** Gives results up; false where the replica did not say that they are gone: they end by themselves. */
-  free: (replica: Replica, handles: readonly string[]) => Promise<boolean>
-  /** Room left for results, in bytes; undefined where the replica does not tell. */
-  freeRoom: (replica: Replica) => Promise<number | undefined>
+  run: (backend: Backend, items: readonly StageItem[], signal: AbortSignal) => Promise<StageCallResult>
+  /** Gives results up; false where the backend server did not say that they are gone: they end by themselves. */
+  free: (backend: Backend, handles: readonly string[]) => Promise<boolean>
+  /** Room left for results, in bytes; undefined where the backend server does not tell. */
+  freeResultMemory: (backend: Backend) => Promise<number | undefined>
 }
--- a/packages/gateway/src/process/backend-registry.ts
+++ b/packages/gateway/src/process/backend-registry.ts
@@ -1,16 +1,16 @@
 /**
- * The replicas that the registry lists, by service.
+ * The backend servers that the registry lists, by service.
  */
 import type { EventLog } from '@eidermast/common'
-import type { ReplicaRecord } from '../connection/backend.js'
-import { Replica } from '../connection/backend.js'
+import type { BackendRecord } from '../connection/backend.js'
+import { Backend } from '../connection/backend.js'
 
 /** What follows changes of the registry. */
-export interface ReplicaListener {
-  added?: (replica: Replica) => void
-  removed?: (replica: Replica) => void
+export interface BackendListener {
+  added?: (backend: Backend) => void
+  removed?: (backend: Backend) => void
   /** It began to leave, or came back. */
-  stateChanged?: (replica: Replica) => void
+  stateChanged?: (backend: Backend) => void
 }
 
 /**
@@ -20,11 +20,11 @@
  */
 const LAPSE_GRACE_MS = 1900
 
-/** Holds replicas; a source upserts and removes them. */
-export class ReplicaRegistry {
-  private readonly byId = new Map<string, Replica>()
-  private readonly byService = new Map<string, Set<Replica>>()
-  private readonly listeners: ReplicaListener[] = []
+/** Holds backend servers; a source upserts and removes them. */
+export class BackendRegistry {
+  private readonly byId = new Map<string, Backend>()
+  private readonly byService = new Map<string, Set<Backend>>()
+  private readonly listeners: BackendListener[] = []
   private readonly lapsed = new Map<string, NodeJS.Timeout>()
   private lapsesUntil = 0
 
@@ -34,17 +34,17 @@
     return this.byId.size
   }
 
-  listen(listener: ReplicaListener): void {
+  listen(listener: BackendListener): void {
     this.listeners.push(listener)
   }
 
-  find(id: string): Replica | undefined {
+  find(id: string): Backend | undefined {
     return this.byId.get(id)
   }
 
-  /** Replicas of a service that take new work. */
-  available(service: string): Replica[] {
-    return [...this.byService.get(service) ?? []].filter(replica => !replica.record.draining)
+  /** Backend servers of a service that take new work. */
+  available(service: string): Backend[] {
+    return [...this.byService.get(service) ?? []].filter(backend => !backend.record.draining)
   }
 
   /** The source was away and is back: entries may have lapsed meanwhile. */
@@ -52,19 +52,19 @@
     this.lapsesUntil = performance.now() + LAPSE_GRACE_MS
   }
 
-  upsert(record: ReplicaRecord): void {
+  upsert(record: BackendRecord): void {
     this.endLapse(record.id)
     const existing = this.byId.get(record.id)
     if (existing) {
       this.update(existing, record)
       return
     }
-    const replica = new Replica(record)
-    this.byId.set(record.id, replica)
-    this.membersOf(record.service).add(replica)
-    this.log.write('replica-added', { replica: record.id, service: record.service, replicaZone: record.zone, address: record.address, draining: record.draining })
+    const backend = new Backend(record)
+    this.byId.set(record.id, backend)
+    this.membersOf(record.service).add(backend)
+    this.log.write('backend-added', { backend: record.id, service: record.service, failureDomain: record.failureDomain, address: record.address, draining: record.draining })
     for (const listener of this.listeners)
-      listener.added?.(replica)
+      listener.added?.(backend)
   }
 
   /** The source lists an entry no more. */
@@ -74,25 +74,25 @@
       return this.remove(id, 'its entry is gone')
     if (this.lapsed.has(id))
       return
-    this.log.write('replica-lapsed', { replica: id, usedForMs: Math.round(remainingMs) })
+    this.log.write('backend-lapsed', { backend: id, usedForMs: Math.round(remainingMs) })
     this.lapsed.set(id, setTimeout(() => this.remove(id, 'its entry lapsed and did not come back'), remainingMs).unref())
   }
 
   /** Sends nothing to it from now on. */
   remove(id: string, reason: string): void {
     this.endLapse(id)
-    const replica = this.byId.get(id)
-    if (!replica)
+    const backend = this.byId.get(id)
+    if (!backend)
       return
     this.byId.delete(id)
-    this.membersOf(replica.service).delete(replica)
-    this.log.write('replica-removed', { replica: id, service: replica.service, reason })
+    this.membersOf(backend.service).delete(backend)
+    this.log.write('backend-removed', { backend: id, service: backend.service, reason })
     for (const listener of this.listeners)
-      listener.removed?.(replica)
+      listener.removed?.(backend)
   }
 
-  /** Holds exactly these replicas. */
-  replaceAll(records: readonly ReplicaRecord[]): void {
+  /** Holds exactly these backend servers. */
+  replaceAll(records: readonly BackendRecord[]): void {
     const listed = new Set(records.map(record => record.id))
     for (const id of [...this.byId.keys()]) {
       if (!listed.has(id))
@@ -107,21 +107,21 @@
     this.lapsed.delete(id)
   }
 
-  private update(replica: Replica, record: ReplicaRecord): void {
-    const stateChanged = replica.record.draining !== record.draining
-    replica.record = record
+  private update(backend: Backend, record: BackendRecord): void {
+    const stateChanged = backend.record.draining !== record.draining
+    backend.record = record
     if (!stateChanged)
       return
-    this.log.write('replica-state', { replica: record.id, service: record.service, draining: record.draining })
+    this.log.write('backend-state', { backend: record.id, service: record.service, draining: record.draining })
     for (const listener of this.listeners)
-      listener.stateChanged?.(replica)
+      listener.stateChanged?.(backend)
   }
 
-  private membersOf(service: string): Set<Replica> {
+  private membersOf(service: string): Set<Backend> {
     const existing = this.byService.get(service)
     if (existing)
       return existing
-    const created = new Set<Replica>()
+    const created = new Set<Backend>()
     this.byService.set(service, created)
     return created
   }
--- a/packages/gateway/src/process/gateway-metrics.ts
+++ b/packages/gateway/src/process/gateway-metrics.ts
@@ -10,9 +10,9 @@
 export interface GatewayGauges {
   activeRequests: () => number
   configurationVersion: () => number
-  replicas: () => number
+  backends: () => number
   members: () => number
-  ownsStages: () => boolean
+  isCoordinator: () => boolean
 }
 
 /** Counters and histograms of one gateway. */
@@ -30,9 +30,9 @@
   addGauges(gauges: GatewayGauges): void {
     this.addGauge('eidermast_gateway_active_requests', 'Requests without an answer yet', gauges.activeRequests)
     this.addGauge('eidermast_gateway_configuration_version', 'Configuration version in force', gauges.configurationVersion)
-    this.addGauge('eidermast_gateway_replicas', 'Replicas known', gauges.replicas)
+    this.addGauge('eidermast_gateway_replicas', 'Backend servers known', gauges.backends)
     this.addGauge('eidermast_gateway_members', 'Gateways known, this one included', gauges.members)
-    this.addGauge('eidermast_gateway_owns_stages', '1 where this gateway owns the stage work', () => Number(gauges.ownsStages()))
+    this.addGauge('eidermast_gateway_owns_stages', '1 where this gateway coordinates the stage work', () => Number(gauges.isCoordinator()))
   }
 
   private addGauge(name: string, help: string, read: () => number): void {
--- a/packages/gateway/src/process/gateway-settings.ts
+++ b/packages/gateway/src/process/gateway-settings.ts
@@ -34,7 +34,7 @@
   'host': text,
   /** @default 8000 */
   'grace-period-ms': number(0, 3_600_000).default(8000),
-})
+}).transform(({ zone, ...rest }) => ({ ...rest, failureDomain: zone }))
 
 const listenSchema = z.object({
   'clients': address,
--- a/packages/gateway/src/process/gateway.ts
+++ b/packages/gateway/src/process/gateway.ts
@@ -3,30 +3,31 @@
  * One gateway process: its parts, its start and its orderly end.
  */
 import type { Server, ServerResponse } from 'node:http'
-import type { ReplicaCodec } from '../connection/backend-client.js'
+import type { BackendCodec } from '../connection/backend-client.js'
 import type { ClientCodec } from '../connection/client-codec.js'
+import type { Member } from '../connection/member.js'
 import type { StageClient } from '../connection/stage-client.js'
 import type { ConfigurationDecoder } from '../version/configuration-holder.js'
 import type { GatewaySettings } from './gateway-settings.js'
-import type { Member, MemberDirectory } from './membership/members.js'
+import type { MemberDirectory } from './membership/members.js'
 import { createServer } from 'node:http'
 import { OutlierEjection } from '@eidermast/common'
 import { createHTTPHandler } from '@trpc/server/adapters/standalone'
-import { ReplicaConnections } from '../connection/backend-connections.js'
+import { BackendConnections } from '../connection/backend-connections.js'
 import { ClientServer } from '../connection/client-server.js'
-import { HttpReplicaClient } from '../connection/http-backend-client.js'
+import { HttpBackendClient } from '../connection/http-backend-client.js'
 import { PeerClients } from '../connection/peer-clients.js'
 import { createPeerRouter } from '../connection/peer-router.js'
 import { LeastLoadChoice, PrefixAwareChoice } from '../request/backend-choice.js'
-import { ReplicaRunner } from '../request/backend-runner.js'
+import { BackendRunner } from '../request/backend-runner.js'
 import { PassThrough } from '../request/pass-through.js'
 import { RetryBudget } from '../request/retry-budget.js'
 import { ConfigurationHolder } from '../version/configuration-holder.js'
-import { ReplicaRegistry } from './backend-registry.js'
+import { BackendRegistry } from './backend-registry.js'
 import { GatewayMetrics } from './gateway-metrics.js'
 import { Members } from './membership/members.js'
 import { SharedPreparer } from './stages/shared-preparer.js'
-import { StageScheduler } from './stages/stage-coordinator.js'
+import { StageCoordinator } from './stages/stage-coordinator.js'
 import { ShiftedTargetOrder } from './stages/stage-order.js'
 
 /** Follows the platform's configuration until the signal aborts. */
@@ -34,24 +35,24 @@
   follow: (offer: (text: string) => void, signal: AbortSignal) => Promise<void>
 }
 
-/** Follows the platform's registry of replicas until the signal aborts. */
-export interface ReplicaSource {
-  follow: (registry: ReplicaRegistry, signal: AbortSignal) => Promise<void>
+/** Follows the platform's registry of backend servers until the signal aborts. */
+export interface BackendSource {
+  follow: (registry: BackendRegistry, signal: AbortSignal) => Promise<void>
 }
 
 /** What a platform brings to a gateway. */
 export interface PlatformAdapter {
   configurationSource: ConfigurationSource
   decodeConfiguration: ConfigurationDecoder
-  replicaSource: ReplicaSource
+  backendSource: BackendSource
   memberDirectory: MemberDirectory
   clientCodec: ClientCodec
-  replicaCodec: ReplicaCodec
-  stageClient: (connections: ReplicaConnections) => StageClient
+  backendCodec: BackendCodec
+  stageClient: (connections: BackendConnections) => StageClient
 }
 
 /** Gateways that may come while this one shares limits with those it knows. */
-const SPARE_SHARERS = 1
+const SPARE_GATEWAYS = 1
 /** A kept connection may still bring requests for this long after the balancer looked away, in milliseconds. */
 const DRAIN_SERVE_MS = 3200
 /** The listener closes this long after the end was asked for, in milliseconds. */
@@ -65,12 +66,12 @@
   readonly log: EventLog
   readonly metrics = new GatewayMetrics()
   readonly configuration: ConfigurationHolder
-  readonly registry: ReplicaRegistry
+  readonly registry: BackendRegistry
   readonly members: Members
   readonly clients: ClientServer
-  private readonly scheduler: StageScheduler
+  private readonly stageCoordinator: StageCoordinator
   private readonly peers = new PeerClients()
-  private readonly connections: ReplicaConnections
+  private readonly connections: BackendConnections
   private readonly ending = new AbortController()
   private stopping = false
   private fetching = false
@@ -82,17 +83,17 @@
     this.log = log
     this.self = { name: settings.process.name, address: `${settings.process.host}:${settings.listen['peer-port']}` }
     this.configuration = new ConfigurationHolder(platform.decodeConfiguration, log)
-    this.registry = new ReplicaRegistry(log)
-    this.members = new Members(this.self, { greet: member => this.greet(member) }, log, (member, version) => void this.learnVersion(member, version))
-    this.connections = new ReplicaConnections(service => this.connectionShare(service))
-    const budget = new RetryBudget({ ratio: settings.retry.ratio, extra: settings.retry.extra, windowMs: settings.retry['window-ms'] }, () => this.sharers())
-    const stageBudget = new RetryBudget({ ratio: 0, extra: settings.retry.extra, windowMs: settings.retry['window-ms'] }, () => 1 + SPARE_SHARERS)
-    this.scheduler = new StageScheduler(this.registry, platform.stageClient(this.connections), new ShiftedTargetOrder(), { takeRepeats: service => stageBudget.takeRepeat(service) }, log)
+    this.registry = new BackendRegistry(log)
+    this.members = new Members(this.self, { heartbeat: member => this.heartbeat(member) }, log, (member, version) => void this.learnVersion(member, version))
+    this.connections = new BackendConnections(service => this.connectionShare(service))
+    const budget = new RetryBudget({ ratio: settings.retry.ratio, extra: settings.retry.extra, windowMs: settings.retry['window-ms'] }, () => this.gatewayCount())
+    const stageBudget = new RetryBudget({ ratio: 0, extra: settings.retry.extra, windowMs: settings.retry['window-ms'] }, () => 1 + SPARE_GATEWAYS)
+    this.stageCoordinator = new StageCoordinator(this.registry, platform.stageClient(this.connections), new ShiftedTargetOrder(), { takeRepeats: service => stageBudget.takeRepeat(service) }, log)
     const ejection = new OutlierEjection()
-    const runner = new ReplicaRunner({
-      zone: settings.process.zone,
+    const runner = new BackendRunner({
+      failureDomain: settings.process.failureDomain,
       registry: this.registry,
-      client: new HttpReplicaClient(this.connections, platform.replicaCodec),
+      client: new HttpBackendClient(this.connections, platform.backendCodec),
       ejection,
       plainChoice: new LeastLoadChoice(ejection),
       engineChoice: new PrefixAwareChoice(ejection),
@@ -100,14 +101,14 @@
       log,
       isEngine: service => this.configuration.table?.findService(service)?.engine !== undefined,
     })
-    const preparer = new SharedPreparer(this.members, this.scheduler, this.peers, log)
+    const preparer = new SharedPreparer(this.members, this.stageCoordinator, this.peers, log)
     this.clients = new ClientServer(new PassThrough({ configuration: this.configuration, preparer, runner, metrics: this.metrics, log }), platform.clientCodec, this.configuration, log)
-    this.members.onOwnerChange(() => this.takeOwnerChange())
-    this.configuration.onChange(table => this.scheduler.applyConfiguration(table))
-    this.registry.listen({ removed: replica => this.connections.forget(replica.id) })
+    this.members.onCoordinatorChange(() => this.takeCoordinatorChange())
+    this.configuration.onChange(table => this.stageCoordinator.applyConfiguration(table))
+    this.registry.listen({ removed: backend => this.connections.forget(backend.id) })
   }
 
-  /** Listens, then follows the platform; ready when a configuration and replicas are known. */
+  /** Listens, then follows the platform; ready when a configuration and backend servers are known. */
   async start(): Promise<void> {
     this.log.write('start', { pid: process.pid, startMs: Math.round(performance.now()) })
     const { listen } = this.settings
@@ -120,13 +121,13 @@
     this.metrics.addGauges({
       activeRequests: () => this.clients.activeRequests,
       configurationVersion: () => this.configuration.version,
-      replicas: () => this.registry.size,
+      backends: () => this.registry.size,
       members: () => this.members.count,
-      ownsStages: () => this.members.ownsStages,
+      isCoordinator: () => this.members.isCoordinator,
     })
     const { signal } = this.ending
     void this.platform.configurationSource.follow(text => this.configuration.offer(text, 'platform'), signal)
-    void this.platform.replicaSource.follow(this.registry, signal)
+    void this.platform.backendSource.follow(this.registry, signal)
     void this.platform.memberDirectory.follow(this.members, signal)
     void this.platform.memberDirectory.announce(this.self, signal)
     this.members.start()
@@ -155,7 +156,7 @@
   async close(): Promise<void> {
     this.ending.abort()
     this.members.stop()
-    this.scheduler.stop()
+    this.stageCoordinator.stop()
     this.clients.close()
     for (const server of this.servers) {
       server.close()
@@ -164,36 +165,36 @@
     await Promise.all([this.peers.close(), this.connections.close()])
   }
 
-  private takeOwnerChange(): void {
-    this.scheduler.expectOthers()
-    if (this.members.ownsStages)
-      this.scheduler.takeOver()
+  private takeCoordinatorChange(): void {
+    this.stageCoordinator.expectOtherCoordinator()
+    if (this.members.isCoordinator)
+      this.stageCoordinator.takeOver()
     else if (this.stopping)
-      this.scheduler.handOver()
+      this.stageCoordinator.handOver()
   }
 
   private isReady(): boolean {
     const ready = !this.stopping && this.configuration.table !== undefined && this.registry.size > 0
     if (ready !== this.ready)
-      this.log.write('readiness', { ready, configuration: this.configuration.version, replicas: this.registry.size })
+      this.log.write('readiness', { ready, configuration: this.configuration.version, backends: this.registry.size })
     this.ready = ready
     return ready
   }
 
   private peerService() {
     return {
-      greet: (greeting: { name: string, address: string, version: number }) => {
-        void this.learnVersion(greeting, greeting.version)
+      heartbeat: (heartbeat: { name: string, address: string, version: number }) => {
+        void this.learnVersion(heartbeat, heartbeat.version)
         return { version: this.configuration.version, stopping: this.stopping }
       },
       configuration: () => this.configuration.record,
-      prepare: this.scheduler.prepare.bind(this.scheduler),
-      release: (requestIds: string[]) => requestIds.forEach(id => this.scheduler.release(id)),
+      prepare: this.stageCoordinator.prepare.bind(this.stageCoordinator),
+      release: (requestIds: string[]) => requestIds.forEach(id => this.stageCoordinator.release(id)),
     }
   }
 
-  private greet(member: Member) {
-    return this.peers.greet(member, { ...this.self, version: this.configuration.version })
+  private heartbeat(member: Member) {
+    return this.peers.heartbeat(member, { ...this.self, version: this.configuration.version })
   }
 
   /** Takes a newer configuration from a peer, where the platform's store did not bring it. */
@@ -212,13 +213,13 @@
     this.fetching = false
   }
 
-  private sharers(): number {
-    return this.members.count + SPARE_SHARERS
+  private gatewayCount(): number {
+    return this.members.count + SPARE_GATEWAYS
   }
 
   private connectionShare(service: string): number {
     const limit = this.configuration.table?.findService(service)?.maxConnections ?? 0
-    return Math.floor(limit / this.sharers())
+    return Math.floor(limit / this.gatewayCount())
   }
 
   private async serve(server: Server, port: number, host: string): Promise<void> {
--- a/packages/gateway/src/process/membership/members.ts
+++ b/packages/gateway/src/process/membership/members.ts
@@ -5,13 +5,8 @@
  * from the platform; that a member is alive is learned by direct contact only.
  */
 import type { EventLog } from '@eidermast/common'
-
-/** A gateway and where its peers reach it. */
-export interface Member {
-  name: string
-  /** `IP:PORT` for its peers. */
-  address: string
-}
+import type { Member } from '../../connection/member.js'
+import type { HeartbeatReply } from '../../connection/peer-messages.js'
 
 /** A gateway as the directory lists it. */
 export interface ListedMember extends Member {
@@ -35,37 +30,29 @@
   follow: (sink: MemberSink, signal: AbortSignal) => Promise<void>
 }
 
-/** What a greeting brings back. */
-export interface GreetingReply {
-  /** Configuration version that the peer holds. */
-  version: number
-  /** It is leaving and gives its ownership up. */
-  stopping: boolean
-}
-
 /** What members ask of each other to know who is alive. */
 export interface PeerContact {
-  greet: (member: Member) => Promise<GreetingReply>
+  heartbeat: (member: Member) => Promise<HeartbeatReply>
 }
 
-const GREET_INTERVAL_MS = 150
-/** The owner and the one that would follow it are greeted. */
-const GREETED_USABLE = 2
+const HEARTBEAT_INTERVAL_MS = 150
+/** The coordinator and the one that would follow it are sent heartbeats. */
+const WATCHED_CANDIDATES = 2
 /** A member that has not answered for this long is taken for lost, in milliseconds. */
 const LOST_AFTER_MS = 600
-/** Greetings of one member that may wait for a reply at once: a single one that is lost says nothing. */
-const MOST_PENDING_GREETINGS = 4
+/** Heartbeats of one member that may wait for a reply at once: a single one that is lost says nothing. */
+const MAX_PENDING_HEARTBEATS = 4
 /** A tick this late shows that this process itself stood still, in milliseconds. */
-const LATE_TICK_MS = 2 * GREET_INTERVAL_MS
-/** Lost members are greeted this often, in milliseconds. */
-const LOST_GREET_INTERVAL_MS = 500
+const LATE_TICK_MS = 2 * HEARTBEAT_INTERVAL_MS
+/** Lost members are sent heartbeats this often, in milliseconds. */
+const LOST_HEARTBEAT_INTERVAL_MS = 500
 
 interface MemberState {
   member: Member
   seniority: number
   heardAt: number
-  greetedAt: number
-  pendingGreetings: number
+  heartbeatSentAt: number
+  pendingHeartbeats: number
   stopping: boolean
   alive: boolean
 }
@@ -79,12 +66,12 @@
 /** Called with a peer and the version that it holds. */
 export type VersionListener = (member: Member, version: number) => void
 
-/** Follows members and says who owns the stage work. */
+/** Follows members and says who coordinates the stage work. */
 export class Members implements MemberSink {
   private readonly states = new Map<string, MemberState>()
   private ranked: MemberState[] = []
-  private currentOwner: Member
-  private readonly ownerListeners: ((owner: Member) => void)[] = []
+  private currentCoordinator: Member
+  private readonly coordinatorListeners: ((coordinator: Member) => void)[] = []
   private readonly lossWatchers = new Map<string, Set<() => void>>()
   private timer: NodeJS.Timeout | undefined
   private tickedAt = performance.now()
@@ -95,7 +82,7 @@
     private readonly log: EventLog,
     private readonly onVersion: VersionListener,
   ) {
-    this.currentOwner = self
+    this.currentCoordinator = self
     this.upsert({ ...self, seniority: Number.POSITIVE_INFINITY })
   }
 
@@ -104,16 +91,16 @@
     return this.states.size
   }
 
-  get owner(): Member {
-    return this.currentOwner
+  get coordinator(): Member {
+    return this.currentCoordinator
   }
 
-  get ownsStages(): boolean {
-    return this.currentOwner.name === this.self.name
+  get isCoordinator(): boolean {
+    return this.currentCoordinator.name === this.self.name
   }
 
-  onOwnerChange(listener: (owner: Member) => void): void {
-    this.ownerListeners.push(listener)
+  onCoordinatorChange(listener: (coordinator: Member) => void): void {
+    this.coordinatorListeners.push(listener)
   }
 
   /** A signal that aborts when a member is lost; released by `dispose`. */
@@ -126,7 +113,7 @@
   }
 
   start(): void {
-    this.timer = setInterval(() => this.tick(), GREET_INTERVAL_MS)
+    this.timer = setInterval(() => this.tick(), HEARTBEAT_INTERVAL_MS)
   }
 
   stop(): void {
@@ -139,11 +126,11 @@
     if (existing?.member.address === member.address && existing.seniority === seniority)
       return
     this.log.write('member-listed', { member: member.name, address: member.address, seniority: Number.isFinite(seniority) ? seniority : undefined })
-    this.states.set(member.name, { member, seniority, heardAt: Number.NEGATIVE_INFINITY, greetedAt: Number.NEGATIVE_INFINITY, pendingGreetings: 0, stopping: existing?.stopping === true && member.name === this.self.name, alive: member.name === this.self.name })
+    this.states.set(member.name, { member, seniority, heardAt: Number.NEGATIVE_INFINITY, heartbeatSentAt: Number.NEGATIVE_INFINITY, pendingHeartbeats: 0, stopping: existing?.stopping === true && member.name === this.self.name, alive: member.name === this.self.name })
     this.rank()
   }
 
-  /** This gateway or another gives its ownership up. */
+  /** This gateway or another gives the coordinator role up. */
   markStopping(member: Member): void {
     const state = this.states.get(member.name)
     if (!state)
@@ -159,22 +146,22 @@
     this.rank()
   }
 
-  /** A call to a member failed; it must answer a greeting before it is used again. */
+  /** A call to a member failed; it must answer a heartbeat before it is used again. */
   suspect(member: Member): void {
     const state = this.states.get(member.name)
     if (!state || member.name === this.self.name)
       return
     state.heardAt = Number.NEGATIVE_INFINITY
     this.setAlive(state, false)
-    this.chooseOwner()
+    this.chooseCoordinator()
   }
 
   private rank(): void {
     this.ranked = [...this.states.values()].sort((left, right) => left.seniority - right.seniority || (left.member.name < right.member.name ? -1 : 1))
-    this.chooseOwner()
+    this.chooseCoordinator()
   }
 
-  /** Greets every member that would own the stage work before the one that does, and the next one after it. */
+  /** Sends a heartbeat to every member that would own the stage work before the one that does, and the next one after it. */
   private tick(): void {
     const now = performance.now()
     this.forgiveOwnPause(now)
@@ -186,15 +173,15 @@
         break
       }
       this.setAlive(state, now - state.heardAt < LOST_AFTER_MS)
-      const interval = state.alive ? GREET_INTERVAL_MS : LOST_GREET_INTERVAL_MS
-      if (state.pendingGreetings < MOST_PENDING_GREETINGS && now - state.greetedAt >= interval * 0.9)
-        void this.greet(state, now)
+      const interval = state.alive ? HEARTBEAT_INTERVAL_MS : LOST_HEARTBEAT_INTERVAL_MS
+      if (state.pendingHeartbeats < MAX_PENDING_HEARTBEATS && now - state.heartbeatSentAt >= interval * 0.9)
+        void this.heartbeat(state, now)
       if (state.alive && !state.stopping)
         usable++
-      if (usable === GREETED_USABLE)
+      if (usable === WATCHED_CANDIDATES)
         break
     }
-    this.chooseOwner()
+    this.chooseCoordinator()
   }
 
   /** While this process stood still it heard nobody: that time says nothing of the others. */
@@ -207,11 +194,11 @@
       state.heardAt += pausedMs
   }
 
-  private async greet(state: MemberState, now: number): Promise<void> {
-    state.pendingGreetings++
-    state.greetedAt = now
+  private async heartbeat(state: MemberState, now: number): Promise<void> {
+    state.pendingHeartbeats++
+    state.heartbeatSentAt = now
     try {
-      const reply = await this.contact.greet(state.member)
+      const reply = await this.contact.heartbeat(state.member)
       state.heardAt = performance.now()
       state.stopping = reply.stopping
       this.setAlive(state, true)
@@ -220,15 +207,15 @@
     catch {
       // Whether it is lost is decided by when it was last heard.
     }
-    state.pendingGreetings--
-    this.chooseOwner()
+    state.pendingHeartbeats--
+    this.chooseCoordinator()
   }
 
   private setAlive(state: MemberState, alive: boolean): void {
     if (state.alive === alive)
       return
     state.alive = alive
-    this.log.write(alive ? 'member-regained' : 'member-lost', { member: state.member.name })
+    this.log.write(alive ? 'member-recovered' : 'member-failed', { member: state.member.name })
     if (!alive)
       this.tellLoss(state.member.name)
   }
@@ -240,13 +227,13 @@
       watch()
   }
 
-  private chooseOwner(): void {
-    const owner = this.ranked.find(state => state.alive && !state.stopping)?.member ?? this.self
-    if (owner.name === this.currentOwner.name && owner.address === this.currentOwner.address)
+  private chooseCoordinator(): void {
+    const coordinator = this.ranked.find(state => state.alive && !state.stopping)?.member ?? this.self
+    if (coordinator.name === this.currentCoordinator.name && coordinator.address === this.currentCoordinator.address)
       return
-    this.log.write('stage-owner', { owner: owner.name, previous: this.currentOwner.name, members: this.states.size })
-    this.currentOwner = owner
-    for (const listener of this.ownerListeners)
-      listener(owner)
+    this.log.write('stage-coordinator', { coordinator: coordinator.name, previous: this.currentCoordinator.name, members: this.states.size })
+    this.currentCoordinator = coordinator
+    for (const listener of this.coordinatorListeners)
+      listener(coordinator)
   }
 }
--- a/packages/gateway/src/process/stages/stage-admission.ts
+++ b/packages/gateway/src/process/stages/stage-admission.ts
@@ -1,16 +1,16 @@
 /**
  * Whether stage work that comes now can be done in time. The estimate is a
- * fluid one: the pieces of all requests that go before, at the speed of the
- * replicas that can be used, and the request's own way through its stages.
+ * fluid one: the items of all requests that go before, at the speed of the
+ * backend servers that can be used, and the request's own way through its stages.
  */
 import type { PreparationRequest, PreparationStage } from '../../connection/preparation.js'
 
 /** Speed of one service now. */
 export interface ServicePace {
-  /** Replicas that can be used. */
-  replicas: number
-  /** Time of one piece in a full batch at one replica, in milliseconds. */
-  pieceMs: number
+  /** Backend servers that can be used. */
+  backends: number
+  /** Time of one item in a full batch at one backend server, in milliseconds. */
+  itemMs: number
   /** Time of a usual call, in milliseconds. */
   callMs: number
 }
@@ -18,8 +18,8 @@
 /** Work that was begun and has not ended. */
 export interface CommittedWork {
   rank: number
-  /** Pieces of a service that are not made yet. */
-  remainingPieces: (service: string) => number
+  /** Items of a service that are not made yet. */
+  remainingItems: (service: string) => number
 }
 
 /** What becomes of stage work that is asked for. */
@@ -32,7 +32,7 @@
 /** A decision and what it was made from. */
 export interface AdmissionEstimate {
   decision: AdmissionDecision
-  /** Expected time to the first event, in milliseconds; infinite where a service has no replica. */
+  /** Expected time to the first event, in milliseconds; infinite where a service has no backend server. */
   finishMs: number
   retryAfterMs: number
 }
@@ -41,8 +41,8 @@
 export const ANSWER_TIME_MS = 250
 /** Waiting that no target forbids, in milliseconds: some targets are below the time of the stages themselves. */
 const ALWAYS_ALLOWED_WAIT_MS = 300
-const SHORTEST_RETRY_MS = 300
-const NO_REPLICA_RETRY_MS = 800
+const MIN_RETRY_MS = 300
+const NO_BACKEND_RETRY_MS = 800
 
 /** Decides on a request by the work that goes before it. */
 export function estimateAdmission(request: PreparationRequest, rank: number, committed: Iterable<CommittedWork>, paceOf: (service: string) => ServicePace | undefined): AdmissionEstimate {
@@ -50,7 +50,7 @@
   const baseMs = estimateFinish(request, rank, [], paceOf)
   const finishMs = estimateFinish(request, rank, works, paceOf)
   const targetMs = Math.max(request.targetMs, baseMs + ALWAYS_ALLOWED_WAIT_MS)
-  const retryAfterMs = Number.isFinite(finishMs) ? Math.max(SHORTEST_RETRY_MS, finishMs - request.targetMs * 0.8) : NO_REPLICA_RETRY_MS
+  const retryAfterMs = Number.isFinite(finishMs) ? Math.max(MIN_RETRY_MS, finishMs - request.targetMs * 0.8) : NO_BACKEND_RETRY_MS
   const isInTime = finishMs <= Math.min(targetMs, request.deadlineMs)
   return { decision: isInTime ? AdmissionDecision.InTime : AdmissionDecision.Refused, finishMs, retryAfterMs }
 }
@@ -59,16 +59,16 @@
   const ahead = committed.filter(work => work.rank <= rank)
   const own = new Map<string, number>()
   for (const stage of request.stages)
-    own.set(stage.service, (own.get(stage.service) ?? 0) + stage.pieces)
+    own.set(stage.service, (own.get(stage.service) ?? 0) + stage.items)
   let wait = 0
-  for (const [service, pieces] of own) {
-    if (pieces === 0)
+  for (const [service, items] of own) {
+    if (items === 0)
       continue
     const pace = paceOf(service)
-    if (!pace || pace.replicas === 0)
+    if (!pace || pace.backends === 0)
       return Number.POSITIVE_INFINITY
-    const total = pieces + ahead.reduce((sum, work) => sum + work.remainingPieces(service), 0)
-    wait = Math.max(wait, total * pace.pieceMs / pace.replicas - pace.callMs)
+    const total = items + ahead.reduce((sum, work) => sum + work.remainingItems(service), 0)
+    wait = Math.max(wait, total * pace.itemMs / pace.backends - pace.callMs)
   }
   return wait + longestWay(request.stages, service => paceOf(service)?.callMs ?? 0) + ANSWER_TIME_MS
 }
@@ -78,7 +78,7 @@
   const ends: number[] = []
   for (const stage of stages) {
     const begins = Math.max(0, ...stage.dependsOn.map(dependency => ends[dependency] ?? 0))
-    ends.push(begins + (stage.pieces > 0 ? callMsOf(stage.service) : 0))
+    ends.push(begins + (stage.items > 0 ? callMsOf(stage.service) : 0))
   }
   return Math.max(0, ...ends)
 }
--- a/packages/gateway/src/process/stages/stage-backend.ts
+++ b/packages/gateway/src/process/stages/stage-backend.ts
@@ -1,17 +1,17 @@
-import type { Replica } from '../../connection/backend.js'
+import type { Backend } from '../../connection/backend.js'
 /**
- * One replica that makes stage results, as the scheduler accounts for it:
+ * One backend server that makes stage results, as the scheduler accounts for it:
  * whether it is at work, how fast it is, and what room its results take.
  */
 import type { StageLimits } from '../../version/configuration.js'
 
 /** First pause after a failed call, in milliseconds; it doubles with each further one. */
 const FIRST_PAUSE_MS = 100
-/** Pause after a replica had no room, in milliseconds. */
+/** Pause after a backend server had no room, in milliseconds. */
 const ROOM_PAUSE_MS = 60
-/** Room that a replica turned out not to have is reckoned with again after this time, in milliseconds. */
+/** Room that a backend server turned out not to have is reckoned with again after this time, in milliseconds. */
 const ROOM_DISTRUST_MS = 400
-const LONGEST_PAUSE_MS = 5000
+const MAX_PAUSE_MS = 5000
 /** Part of the room that is planned with: sizes of results are told roughly. */
 const USABLE_ROOM_SHARE = 0.97
 const SPEED_WEIGHT = 0.4
@@ -20,7 +20,7 @@
 
 /** Stands for all results that this process did not ask for. */
 const RESULTS_OF_OTHERS = 'results of others'
-/** Stands for what takes room that the replica was thought to have. */
+/** Stands for what takes room that the backend server was thought to have. */
 const RESULTS_UNKNOWN = 'results unknown'
 
 /** Results this near to their end are not sent to a reader any more, in milliseconds. */
@@ -29,12 +29,12 @@
 interface HeldResult {
   bytes: number
   expiresAt: number
-  /** Given up; its room is free when the replica has said so. */
+  /** Given up; its room is free when the backend server has said so. */
   freeing: boolean
 }
 
-/** Accounts for one replica; times are on the process clock, in milliseconds. */
-export class StageWorker {
+/** Accounts for one backend server; times are on the process clock, in milliseconds. */
+export class StageBackend {
   callsUnderWay = 0
   /** When the call under way should end. */
   busyUntil = 0
@@ -45,15 +45,15 @@
   private readonly held = new Map<string, HeldResult>()
   private lostCalls = 0
 
-  constructor(readonly replica: Replica, public limits: StageLimits) {}
+  constructor(readonly backend: Backend, public limits: StageLimits) {}
 
   /** Measured time of calls over the configured one. */
   get slownessFactor(): number {
     return this.slowness
   }
 
-  get zone(): string {
-    return this.replica.zone
+  get failureDomain(): string {
+    return this.backend.failureDomain
   }
 
   /** Whether a call may be sent now. */
@@ -73,42 +73,42 @@
   }
 
   freeBytes(): number {
-    return this.limits.roomBytes * USABLE_ROOM_SHARE - this.usedBytes
+    return this.limits.resultMemoryBytes * USABLE_ROOM_SHARE - this.usedBytes
   }
 
   /** Expected time of a call, in milliseconds. */
-  callTime(pieces: number): number {
-    return (this.limits.callMs + this.limits.pieceMs * pieces) * this.slowness
+  callTime(items: number): number {
+    return (this.limits.callMs + this.limits.itemMs * items) * this.slowness
   }
 
-  begin(pieces: number, bytes: number, now: number): void {
+  begin(items: number, bytes: number, now: number): void {
     this.callsUnderWay++
     this.usedBytes += bytes
-    this.busyUntil = now + this.callTime(pieces)
+    this.busyUntil = now + this.callTime(items)
   }
 
-  /** A call ended with an answer; one that made every piece tells the replica's speed. */
-  succeed(pieces: number, tookMs: number, madeAll: boolean): void {
+  /** A call ended with an answer; one that made every item tells the backend server's speed. */
+  succeed(items: number, tookMs: number, madeAll: boolean): void {
     this.callsUnderWay--
     this.failures = 0
     if (!madeAll)
       return
-    const measured = tookMs / (this.limits.callMs + this.limits.pieceMs * pieces)
+    const measured = tookMs / (this.limits.callMs + this.limits.itemMs * items)
     const bounded = Math.min(SLOWEST_FACTOR, Math.max(FASTEST_FACTOR, measured))
     this.slowness += (bounded - this.slowness) * SPEED_WEIGHT
   }
 
-  /** A call brought nothing; the replica is left alone for a while. */
+  /** A call brought nothing; the backend server is left alone for a while. */
   fail(now: number): number {
     this.callsUnderWay--
-    const pause = Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** this.failures)
+    const pause = Math.min(MAX_PAUSE_MS, FIRST_PAUSE_MS * 2 ** this.failures)
     this.failures++
     this.pausedUntil = now + pause
     return pause
   }
 
-  /** The replica has no room that it was thought to have: it gets no more than what is freed, for a while. */
-  pauseForRoom(now: number): void {
+  /** The backend server has no room that it was thought to have: it gets no more than what is freed, for a while. */
+  pauseForMemory(now: number): void {
     this.pausedUntil = now + ROOM_PAUSE_MS
     this.drop(RESULTS_UNKNOWN)
     const bytes = Math.max(0, this.freeBytes())
@@ -116,8 +116,8 @@
     this.held.set(RESULTS_UNKNOWN, { bytes, expiresAt: now + ROOM_DISTRUST_MS, freeing: false })
   }
 
-  /** Room reserved for a piece that was not made. */
-  returnRoom(bytes: number): void {
+  /** Room reserved for a item that was not made. */
+  releaseBytes(bytes: number): void {
     this.usedBytes = Math.max(0, this.usedBytes - bytes)
   }
 
@@ -146,7 +146,7 @@
     if (!result)
       return
     this.held.delete(handle)
-    this.returnRoom(result.bytes)
+    this.releaseBytes(result.bytes)
   }
 
   /** Whether a reader can still fetch a result. */
@@ -163,7 +163,7 @@
     }
   }
 
-  /** A result of an earlier owner is this one's now. */
+  /** A result of an earlier coordinator is this one's now. */
   adopt(handle: string, bytes: number, remainingMs: number, now: number): void {
     const others = this.held.get(RESULTS_OF_OTHERS)
     const known = Math.min(bytes, others?.bytes ?? 0)
@@ -178,10 +178,10 @@
     return Math.max(0, (this.held.get(handle)?.expiresAt ?? now) - now)
   }
 
-  /** Room that results of others take there, as the replica told it; it is free again when they end by themselves. */
-  learnRoom(freeBytes: number, now: number): void {
+  /** Room that results of others take there, as the backend server told it; it is free again when they end by themselves. */
+  readFreeMemoryOf(freeBytes: number, now: number): void {
     this.drop(RESULTS_OF_OTHERS)
-    const bytes = this.limits.roomBytes - freeBytes - this.usedBytes
+    const bytes = this.limits.resultMemoryBytes - freeBytes - this.usedBytes
     if (bytes <= 0)
       return
     this.usedBytes += bytes
--- a/packages/gateway/src/process/stages/stage-coordinator.ts
+++ b/packages/gateway/src/process/stages/stage-coordinator.ts
@@ -1,43 +1,43 @@
 import type { EventLog } from '@eidermast/common'
 /**
  * The stage work of all requests that this process owns. Ownership is
- * efficiency, never safety: a piece may be made again, and two schedulers at
+ * efficiency, never safety: a item may be made again, and two schedulers at
  * once cost room and time only.
  */
 import type { Result } from 'ts-results-es'
-import type { Replica } from '../../connection/backend.js'
+import type { Backend } from '../../connection/backend.js'
 import type { PreparationFailure, PreparationRequest, PreparedInputs, Preparer } from '../../connection/preparation.js'
 import type { StageClient } from '../../connection/stage-client.js'
 import type { Service } from '../../version/configuration.js'
 import type { RouteTable } from '../../version/route-table.js'
-import type { ReplicaRegistry } from '../backend-registry.js'
+import type { BackendRegistry } from '../backend-registry.js'
 import type { StageOrder } from './stage-order.js'
 import type { RepeatAllowance } from './stage-pool.js'
 import { Err } from 'ts-results-es'
 import { PreparationFailureKind } from '../../connection/preparation.js'
-import { PreparationRun } from '../../request/stages/stage-run.js'
+import { RequestStages } from '../../request/stages/request-stages.js'
 import { AdmissionDecision, estimateAdmission } from './stage-admission.js'
 import { StagePool } from './stage-pool.js'
 
 const DISPATCH_INTERVAL_MS = 50
 /** Results that nobody gives up are forgotten after this time, in milliseconds. */
-const LONGEST_HOLD_MS = 20_000
+const MAX_HOLD_MS = 20_000
 
 /** Owns the pools of all stage services, and the requests whose results are held. */
-export class StageScheduler implements Preparer {
+export class StageCoordinator implements Preparer {
   private readonly pools = new Map<string, StagePool>()
-  private readonly runs = new Map<string, PreparationRun>()
+  private readonly runs = new Map<string, RequestStages>()
   private readonly timer: NodeJS.Timeout
   private handingOver = false
 
   constructor(
-    private readonly registry: ReplicaRegistry,
+    private readonly registry: BackendRegistry,
     private readonly client: StageClient,
     private readonly order: StageOrder,
     private readonly repeats: RepeatAllowance,
     private readonly log: EventLog,
   ) {
-    const refresh = (replica: Replica): void => this.refresh(replica.service)
+    const refresh = (backend: Backend): void => this.refresh(backend.service)
     registry.listen({ added: refresh, removed: refresh, stateChanged: refresh })
     this.timer = setInterval(() => this.dispatchWaiting(), DISPATCH_INTERVAL_MS)
     this.timer.unref()
@@ -51,9 +51,9 @@
     }
   }
 
-  /** Gives a service's pool the replicas that take work. */
+  /** Gives a service's pool the backend servers that take work. */
   private refresh(service: string): void {
-    this.pools.get(service)?.setReplicas(this.registry.available(service))
+    this.pools.get(service)?.setBackends(this.registry.available(service))
   }
 
   async prepare(request: PreparationRequest, signal: AbortSignal): Promise<Result<PreparedInputs, PreparationFailure>> {
@@ -76,26 +76,26 @@
   }
 
   /**
-   * This process owns the stage work from now on: results of the owner before
+   * This process coordinates the stage work from now on: results of the coordinator before
    * may take room. It may have handed the work over before, to one that is lost.
    */
   takeOver(): void {
     this.handingOver = false
     for (const pool of this.pools.values())
-      pool.learnRooms()
+      pool.readFreeMemory()
   }
 
-  /** Gives the ownership up: the next owner goes on with the work and the results that there are. */
+  /** Gives the the coordinator role up: the next coordinator goes on with the work and the results that there are. */
   handOver(): void {
     this.handingOver = true
     for (const run of [...this.runs.values()])
       run.handOver()
   }
 
-  /** Another owner may be at work at the same replicas. */
-  expectOthers(): void {
+  /** Another coordinator may be at work at the same backend servers. */
+  expectOtherCoordinator(): void {
     for (const pool of this.pools.values())
-      pool.expectOthers()
+      pool.expectOtherCoordinator()
   }
 
   release(requestId: string): void {
@@ -110,14 +110,14 @@
   /** Begins work that can end in time, and refuses other work before any of it is begun. */
   private admit(request: PreparationRequest, now: number, end: (result: Result<PreparedInputs, PreparationFailure>) => void): void {
     if (this.handingOver) {
-      end(Err({ kind: PreparationFailureKind.HandedOver, message: 'the owner is stopping', retryAfterMs: 0 }))
+      end(Err({ kind: PreparationFailureKind.HandedOver, message: 'the coordinator is stopping', retryAfterMs: 0 }))
       return
     }
-    const rank = this.order.rank({ priority: request.priority, returning: request.returning, targetAt: now + request.targetMs })
+    const rank = this.order.rank({ priority: request.priority, isRetry: request.isRetry, targetAt: now + request.targetMs })
     if (request.progress !== undefined)
       return this.begin(request, rank, end)
     const estimate = estimateAdmission(request, rank, this.runs.values(), service => this.pools.get(service)?.pace())
-    this.log.write('stages-admission', { request: request.requestId, decision: estimate.decision, finishMs: Math.round(estimate.finishMs), targetMs: Math.round(request.targetMs), priority: request.priority, returning: request.returning, underWay: this.runs.size })
+    this.log.write('stages-admission', { request: request.requestId, decision: estimate.decision, finishMs: Math.round(estimate.finishMs), targetMs: Math.round(request.targetMs), priority: request.priority, isRetry: request.isRetry, underWay: this.runs.size })
     if (estimate.decision === AdmissionDecision.Refused)
       end(Err({ kind: PreparationFailureKind.Overloaded, message: `the stages would take ${Math.round(estimate.finishMs)} ms`, retryAfterMs: estimate.retryAfterMs }))
     else
@@ -126,9 +126,9 @@
 
   private begin(request: PreparationRequest, rank: number, end: (result: Result<PreparedInputs, PreparationFailure>) => void): void {
     this.release(request.requestId)
-    const run = new PreparationRun(request, rank, service => this.pools.get(service), end)
+    const run = new RequestStages(request, rank, service => this.pools.get(service), end)
     this.runs.set(request.requestId, run)
-    setTimeout(() => this.runs.get(request.requestId) === run && this.release(request.requestId), LONGEST_HOLD_MS).unref()
+    setTimeout(() => this.runs.get(request.requestId) === run && this.release(request.requestId), MAX_HOLD_MS).unref()
     run.start()
   }
 
@@ -144,7 +144,7 @@
 
   private dispatchWaiting(): void {
     for (const pool of this.pools.values()) {
-      if (pool.waitingPieces > 0)
+      if (pool.waitingItems > 0)
         pool.dispatch()
     }
   }
--- a/packages/gateway/src/process/stages/stage-order.ts
+++ b/packages/gateway/src/process/stages/stage-order.ts
@@ -8,7 +8,7 @@
   /** 0 is the most urgent. */
   priority: number
   /** The client was told to come back, and did. */
-  returning: boolean
+  isRetry: boolean
   /** When the answer becomes late, on the process clock in milliseconds. */
   targetAt: number
 }
@@ -34,7 +34,7 @@
  */
 export class ShiftedTargetOrder implements StageOrder {
   rank(subject: RankSubject): number {
-    const level = subject.priority - (subject.returning ? 1 : 0)
+    const level = subject.priority - (subject.isRetry ? 1 : 0)
     return subject.targetAt + level * PRIORITY_STEP_MS
   }
 }
--- a/packages/gateway/src/request/answer-relay.ts
+++ b/packages/gateway/src/request/answer-relay.ts
@@ -4,7 +4,7 @@
  * their end, streams by whole events as they come. What may have been cut
  * short is never framed as complete.
  */
-import type { ReplicaAnswer } from '../connection/backend-client.js'
+import type { BackendAnswer } from '../connection/backend-client.js'
 import type { ClientAnswer } from '../connection/client-answer.js'
 import type { Probe } from './silence-watch.js'
 import { formatError } from '@eidermast/common'
@@ -15,12 +15,12 @@
 
 /** A whole answer that was read to its end. */
 export interface WholeAnswer {
-  answer: ReplicaAnswer
+  answer: BackendAnswer
   body: Buffer
 }
 
 /** Reads a whole answer; an error where it breaks off or the time runs out. */
-export async function readWhole(answer: ReplicaAnswer, controller: AbortController, remainingMs: number): Promise<Result<WholeAnswer, string>> {
+export async function readWhole(answer: BackendAnswer, controller: AbortController, remainingMs: number): Promise<Result<WholeAnswer, string>> {
   const timer = setTimeout(() => controller.abort(), Math.max(1, remainingMs))
   try {
     return Ok({ answer, body: await readBody(answer.body) })
@@ -49,7 +49,7 @@
 }
 
 /** Passes the events of one answer on; an error where it breaks off, is cut or the time runs out. */
-export async function relayStream(answer: ReplicaAnswer, client: ClientAnswer, controller: AbortController, remainingMs: number, probe: Probe, listener: StreamListener): Promise<Result<void, string>> {
+export async function relayStream(answer: BackendAnswer, client: ClientAnswer, controller: AbortController, remainingMs: number, probe: Probe, listener: StreamListener): Promise<Result<void, string>> {
   const timer = setTimeout(() => controller.abort(), Math.max(1, remainingMs))
   const watch = new SilenceWatch(probe, () => controller.abort())
   try {
@@ -71,7 +71,7 @@
   }
 }
 
-function beginStream(answer: ReplicaAnswer, client: ClientAnswer): void {
+function beginStream(answer: BackendAnswer, client: ClientAnswer): void {
   if (client.started)
     return
   if (answer.framed)
@@ -80,7 +80,7 @@
     client.beginUnframed(answer.status, answer.headers)
 }
 
-async function passEvents(answer: ReplicaAnswer, client: ClientAnswer, watch: SilenceWatch, listener: StreamListener): Promise<void> {
+async function passEvents(answer: BackendAnswer, client: ClientAnswer, watch: SilenceWatch, listener: StreamListener): Promise<void> {
   const splitter = new EventSplitter()
   for await (const bytes of answer.body) {
     watch.heard()
--- a/packages/gateway/src/request/backend-run.ts
+++ b/packages/gateway/src/request/backend-run.ts
@@ -3,10 +3,10 @@
  * first choice, then others where that is safe, allowed and worth it.
  */
 import type { EjectionPolicy, EventLog, RequestError } from '@eidermast/common'
-import type { CallFailure, ReplicaAnswer, ReplicaCall, ReplicaClient } from '../connection/backend-client.js'
-import type { Replica } from '../connection/backend.js'
+import type { BackendAnswer, BackendCall, BackendClient, CallFailure } from '../connection/backend-client.js'
+import type { Backend } from '../connection/backend.js'
 import type { ClientAnswer } from '../connection/client-answer.js'
-import type { ReplicaRegistry } from '../process/backend-registry.js'
+import type { BackendRegistry } from '../process/backend-registry.js'
 import type { WholeAnswer } from './answer-relay.js'
 import type { RoutedRequest } from './pass-through.js'
 import type { RetryBudget } from './retry-budget.js'
@@ -18,8 +18,8 @@
 /** Stage results that a request's backend server reads. */
 export interface RunInputs {
   handles: readonly string[] | undefined
-  /** Zone where most of their bytes lie. */
-  zone: string | undefined
+  /** Failure domain where most of their bytes lie. */
+  failureDomain: string | undefined
   bytes: number
   /** The backend server has read them. */
   onRead?: () => void
@@ -28,9 +28,9 @@
 }
 
 /** What runs work with. */
-export interface ReplicaRunParts {
-  registry: ReplicaRegistry
-  client: ReplicaClient
+export interface BackendRunParts {
+  registry: BackendRegistry
+  client: BackendClient
   ejection: EjectionPolicy
   budget: RetryBudget
   log: EventLog
@@ -39,7 +39,7 @@
 }
 
 /** The best backend server that was not tried. */
-export type ChooseReplica = (request: RoutedRequest, inputs: RunInputs, tried: ReadonlySet<string>) => Replica | undefined
+export type ChooseBackend = (request: RoutedRequest, inputs: RunInputs, tried: ReadonlySet<string>) => Backend | undefined
 
 /** How one try ended. */
 enum TryEnd {
@@ -49,7 +49,7 @@
   /** It may have run there. */
   MayHaveRun,
   /** The backend server ran it and answered with a failure of its own. */
-  ReplicaError,
+  ServerError,
 }
 
 interface TryResult {
@@ -63,15 +63,15 @@
 const SERVER_ERROR = 500
 /** A repeatable request without an answer goes to another backend server after this part of its target. */
 const ATTEMPT_TARGET_SHARE = 1.0
-const SHORTEST_ATTEMPT_MS = 150
+const MIN_ATTEMPT_MS = 150
 /** Shortest time worth another try, in milliseconds. */
-const SHORTEST_USEFUL_MS = 30
-const MOST_TRIES = 6
+const MIN_USEFUL_MS = 30
+const MAX_TRIES = 6
 /** Time to come back after every backend server refused, in milliseconds. */
 const REFUSED_RETRY_MS = 200
 
 /** Runs one request. */
-export class ReplicaRun {
+export class BackendRun {
   private readonly tried = new Set<string>()
   private ranAt = 0
   private lastEventId: string | undefined
@@ -81,8 +81,8 @@
   private fallback: WholeAnswer | undefined
 
   constructor(
-    private readonly parts: ReplicaRunParts,
-    private readonly choose: ChooseReplica,
+    private readonly parts: BackendRunParts,
+    private readonly choose: ChooseBackend,
     private readonly request: RoutedRequest,
     private readonly inputs: RunInputs,
     private readonly answer: ClientAnswer,
@@ -95,28 +95,28 @@
   /** Answers the request, or says why there is no answer. */
   async run(): Promise<RequestError | undefined> {
     let failure: CallFailure | undefined
-    for (let attempt = 0; attempt < MOST_TRIES && !this.signal.aborted; attempt++) {
-      const replica = this.choose(this.request, this.inputs, this.tried)
-      if (!replica || !await this.mayTry(attempt))
+    for (let attempt = 0; attempt < MAX_TRIES && !this.signal.aborted; attempt++) {
+      const backend = this.choose(this.request, this.inputs, this.tried)
+      if (!backend || !await this.mayTry(attempt))
         break
-      const result = await this.tryReplica(replica, attempt)
+      const result = await this.tryBackend(backend, attempt)
       if (result.end === TryEnd.Answered)
         return undefined
       failure = result.failure
       this.fallback = result.fallback ?? this.fallback
-      this.takeFailure(replica, result)
+      this.takeFailure(backend, result)
       if (!this.mayGoOn(result.end))
         break
     }
     return this.conclude(failure)
   }
 
-  private takeFailure(replica: Replica, result: TryResult): void {
+  private takeFailure(backend: Backend, result: TryResult): void {
     if (result.end !== TryEnd.NotRun)
       this.ranAt++
     if (result.failure?.kind === CallFailureKind.InputGone) {
       this.inputsRead = true
-      this.tried.delete(replica.id)
+      this.tried.delete(backend.id)
     }
     this.arrived = result.failure?.kind !== CallFailureKind.NotSent
   }
@@ -125,7 +125,7 @@
   private async mayTry(attempt: number): Promise<boolean> {
     if (attempt === 0)
       return true
-    if (this.remainingMs() < SHORTEST_USEFUL_MS)
+    if (this.remainingMs() < MIN_USEFUL_MS)
       return false
     if (this.arrived && !this.parts.budget.takeRepeat(this.request.service))
       return false
@@ -146,47 +146,47 @@
     return repeatable && this.ranAt < route.maxAttempts
   }
 
-  private async tryReplica(replica: Replica, attempt: number): Promise<TryResult> {
-    this.tried.add(replica.id)
-    this.parts.log.write('route', { request: this.request.head.requestId, service: this.request.service, replica: replica.id, replicaZone: replica.zone, attempt, outstanding: replica.outstanding, running: replica.load?.running, loadAgeMs: replica.load ? Math.round(performance.now() - replica.loadAt) : undefined, remainingMs: Math.round(this.remainingMs()) })
+  private async tryBackend(backend: Backend, attempt: number): Promise<TryResult> {
+    this.tried.add(backend.id)
+    this.parts.log.write('route', { request: this.request.head.requestId, service: this.request.service, backend: backend.id, failureDomain: backend.failureDomain, attempt, outstanding: backend.outstanding, running: backend.load?.running, loadAgeMs: backend.load ? Math.round(performance.now() - backend.loadAt) : undefined, remainingMs: Math.round(this.remainingMs()) })
     const controller = new AbortController()
     const abort = (): void => controller.abort()
     this.signal.addEventListener('abort', abort)
     const timer = setTimeout(abort, this.attemptTime())
-    replica.outstanding++
+    backend.outstanding++
     const startedAt = performance.now()
     try {
-      const result = await this.call(replica, controller, timer)
-      this.judge(replica, result, startedAt, controller)
+      const result = await this.call(backend, controller, timer)
+      this.judge(backend, result, startedAt, controller)
       return result
     }
     finally {
-      replica.outstanding--
+      backend.outstanding--
       clearTimeout(timer)
       this.signal.removeEventListener('abort', abort)
     }
   }
 
-  private async call(replica: Replica, controller: AbortController, timer: NodeJS.Timeout): Promise<TryResult> {
-    const result = await this.watched(replica, controller, this.parts.client.run(replica, this.describe(), controller.signal))
+  private async call(backend: Backend, controller: AbortController, timer: NodeJS.Timeout): Promise<TryResult> {
+    const result = await this.watched(backend, controller, this.parts.client.run(backend, this.describe(), controller.signal))
     if (result.isErr())
       return { end: provesNotRun(result.error.kind) ? TryEnd.NotRun : TryEnd.MayHaveRun, failure: result.error }
     clearTimeout(timer)
     const answer = result.value
     if (this.request.route.streaming && answer.status < SUCCESS_STATUS_END)
-      return this.relay(replica, answer, controller)
+      return this.relay(backend, answer, controller)
     if (this.answer.started)
       return this.refuseWhole(answer)
     return this.takeWhole(answer, controller)
   }
 
   /** A stream that has begun cannot end with another answer's head. */
-  private refuseWhole(answer: ReplicaAnswer): TryResult {
+  private refuseWhole(answer: BackendAnswer): TryResult {
     answer.destroy()
     return broken(`status ${answer.status} in place of the rest of the stream`)
   }
 
-  private describe(): ReplicaCall {
+  private describe(): BackendCall {
     const { request } = this
     return {
       requestId: request.head.requestId,
@@ -195,7 +195,7 @@
       headers: request.head.headers,
       body: request.body,
       remainingMs: Math.max(1, Math.round(this.remainingMs())),
-      tenant: request.tenant?.name,
+      account: request.account?.name,
       priority: this.parts.isEngine(request.service) ? request.priority : undefined,
       inputs: this.handles,
       lastEventId: this.lastEventId,
@@ -203,19 +203,19 @@
   }
 
   /** Reads a whole answer before any of it is passed on, so that a broken one never looks whole. */
-  private async takeWhole(answer: ReplicaAnswer, controller: AbortController): Promise<TryResult> {
+  private async takeWhole(answer: BackendAnswer, controller: AbortController): Promise<TryResult> {
     const whole = await readWhole(answer, controller, this.remainingMs())
     if (whole.isErr())
       return broken(whole.error)
     if (answer.status >= SERVER_ERROR && this.request.route.repeatable)
-      return { end: TryEnd.ReplicaError, fallback: whole.value }
+      return { end: TryEnd.ServerError, fallback: whole.value }
     passWhole(whole.value, this.answer)
     return { end: TryEnd.Answered }
   }
 
   /** Passes events on as they come. */
-  private async relay(replica: Replica, answer: ReplicaAnswer, controller: AbortController): Promise<TryResult> {
-    const probe = this.probeOf(replica)
+  private async relay(backend: Backend, answer: BackendAnswer, controller: AbortController): Promise<TryResult> {
+    const probe = this.probeOf(backend)
     const ended = await relayStream(answer, this.answer, controller, this.remainingMs(), probe, { event: id => this.takeEvent(id) })
     return ended.isOk() ? { end: TryEnd.Answered } : broken(ended.error)
   }
@@ -229,10 +229,10 @@
   }
 
   /** Watches the time up to the head of a stream's answer. */
-  private async watched<Value>(replica: Replica, controller: AbortController, head: Promise<Value>): Promise<Value> {
+  private async watched<Value>(backend: Backend, controller: AbortController, head: Promise<Value>): Promise<Value> {
     if (!this.request.route.streaming)
       return head
-    const watch = new SilenceWatch(this.probeOf(replica), () => controller.abort())
+    const watch = new SilenceWatch(this.probeOf(backend), () => controller.abort())
     try {
       return await head
     }
@@ -241,8 +241,8 @@
     }
   }
 
-  private probeOf(replica: Replica) {
-    return (timeoutMs: number): Promise<boolean> => this.parts.client.probe(replica, timeoutMs)
+  private probeOf(backend: Backend) {
+    return (timeoutMs: number): Promise<boolean> => this.parts.client.probe(backend, timeoutMs)
   }
 
   /** How long one try may take until its head. */
@@ -252,22 +252,22 @@
     const hasOther = !route.streaming && route.repeatable && this.ranAt + 1 < route.maxAttempts
     if (!hasOther)
       return whole
-    return Math.min(whole, Math.max(SHORTEST_ATTEMPT_MS, route.targetLatencyMs * ATTEMPT_TARGET_SHARE))
+    return Math.min(whole, Math.max(MIN_ATTEMPT_MS, route.targetLatencyMs * ATTEMPT_TARGET_SHARE))
   }
 
-  private judge(replica: Replica, result: TryResult, startedAt: number, controller: AbortController): void {
+  private judge(backend: Backend, result: TryResult, startedAt: number, controller: AbortController): void {
     const tookMs = performance.now() - startedAt
     const { ejection } = this.parts
     if (result.end === TryEnd.Answered && !this.request.route.streaming)
-      ejection.recordSuccess(replica.id, replica.service, tookMs)
+      ejection.recordSuccess(backend.id, backend.service, tookMs)
     else if (result.failure?.kind === CallFailureKind.Broken || result.failure?.kind === CallFailureKind.NotSent)
-      ejection.recordFailure(replica.id)
+      ejection.recordFailure(backend.id)
     else if (result.failure?.kind === CallFailureKind.Aborted && !this.signal.aborted && controller.signal.aborted)
-      ejection.recordGivenUp(replica.id, replica.service, tookMs)
+      ejection.recordGivenUp(backend.id, backend.service, tookMs)
     if (result.failure)
-      this.parts.log.write('call-failed', { request: this.request.head.requestId, replica: replica.id, kind: result.failure.kind, reason: result.failure.message, tookMs: Math.round(tookMs) })
+      this.parts.log.write('call-failed', { request: this.request.head.requestId, backend: backend.id, kind: result.failure.kind, reason: result.failure.message, tookMs: Math.round(tookMs) })
     if (result.failure?.kind === CallFailureKind.Misdirected)
-      this.parts.registry.remove(replica.id, 'another replica has its address')
+      this.parts.registry.remove(backend.id, 'another backend server has its address')
   }
 
   private conclude(failure: CallFailure | undefined): RequestError | undefined {
@@ -280,8 +280,8 @@
     if (this.ranAt > 0)
       return createError(ErrorKind.OutcomeUnknown, failure?.message ?? 'no answer came', { ran: Ran.Unknown })
     if (failure)
-      return createError(ErrorKind.Overloaded, `no replica took it: ${failure.message}`, { retryAfterMs: REFUSED_RETRY_MS })
-    return createError(ErrorKind.NoBackend, `no replica of ${this.request.service} can be used`, { ran: Ran.None })
+      return createError(ErrorKind.Overloaded, `no backend server took it: ${failure.message}`, { retryAfterMs: REFUSED_RETRY_MS })
+    return createError(ErrorKind.NoBackend, `no backend server of ${this.request.service} can be used`, { ran: Ran.None })
   }
 
   private remainingMs(): number {
--- a/packages/gateway/src/request/pass-through.ts
+++ b/packages/gateway/src/request/pass-through.ts
@@ -1,5 +1,5 @@
 /**
- * Serves one request by passing it through to a replica, after the stages
+ * Serves one request by passing it through to a backend server, after the stages
  * that its route asks for.
  */
 import type { EventLog, RequestError } from '@eidermast/common'
@@ -8,9 +8,9 @@
 import type { PreparationRequest, Preparer } from '../connection/preparation.js'
 import type { GatewayMetrics } from '../process/gateway-metrics.js'
 import type { ConfigurationHolder } from '../version/configuration-holder.js'
-import type { Route, Tenant } from '../version/configuration.js'
+import type { ClientAccount, Route } from '../version/configuration.js'
 import type { RouteTable } from '../version/route-table.js'
-import type { ReplicaRunner } from './backend-runner.js'
+import type { BackendRunner } from './backend-runner.js'
 import { createError, ErrorKind, Ran } from '@eidermast/common'
 import { PreparationFailureKind } from '../connection/preparation.js'
 import { pickService } from '../version/route-table.js'
@@ -20,9 +20,9 @@
 const HASH_RANGE = 2 ** 32
 const DEFAULT_DEADLINE_MS = 10_000
 /** A client with less than this part of the longest time of its route tries again. */
-const RETURNING_SHARE = 0.985
+const RETRY_DEADLINE_SHARE = 0.985
 /** Clients give a stream up after the longest of these. */
-const SHORTEST_SILENCE_MS = 2000
+const MIN_SILENCE_MS = 2000
 const SILENCE_TARGETS = 4
 const SILENCE_GAPS = 8
 /** Time kept for the answer's way back, in milliseconds. */
@@ -42,7 +42,7 @@
 /** A request with what the configuration says of it. */
 export interface RoutedRequest extends ClientRequest {
   route: Route
-  tenant: Tenant | undefined
+  account: ClientAccount | undefined
   service: string
   /** 0 is the most urgent. */
   priority: number
@@ -51,14 +51,14 @@
   /** When its client gives up without a first event, on the process clock. */
   firstEventBy: number
   /** The client was told to come back, and did. */
-  returning: boolean
+  isRetry: boolean
 }
 
 /** What the pass-through works with. */
 export interface PassThroughParts {
   configuration: ConfigurationHolder
   preparer: Preparer
-  runner: ReplicaRunner
+  runner: BackendRunner
   metrics: GatewayMetrics
   log: EventLog
 }
@@ -72,7 +72,7 @@
     parts.configuration.onChange(table => this.forgetRoutes(table))
   }
 
-  /** Finds the route and tenant of a request, or the error that answers it. */
+  /** Finds the route and client account of a request, or the error that answers it. */
   route(request: ClientRequest): RoutedRequest | RequestError {
     const table = this.parts.configuration.table
     if (!table)
@@ -81,8 +81,8 @@
     const route = table.findRoute(request.head.host, path)
     if (!route)
       return createError(ErrorKind.UnknownPath, `no route for ${request.head.host}${path}`)
-    const tenant = this.findTenant(table, route, request.head.key)
-    if (tenant === 'unknown')
+    const account = this.findAccount(table, route, request.head.key)
+    if (account === 'unknown')
       return createError(ErrorKind.Unauthenticated, 'the key is not known')
     const service = pickService(route, hashText(request.head.requestId) / HASH_RANGE)
     if (!service)
@@ -92,12 +92,12 @@
     return {
       ...request,
       route,
-      tenant,
+      account,
       service,
-      priority: table.priorityOf(route, tenant),
+      priority: table.priorityOf(route, account),
       deadlineAt,
       firstEventBy: Math.min(deadlineAt, request.arrivedAt + silenceLimit(route) - ANSWER_MARGIN_MS),
-      returning: this.isReturning(route, request.head.deadlineMs),
+      isRetry: this.isRetry(route, request.head.deadlineMs),
     }
   }
 
@@ -121,7 +121,7 @@
     if (prepared.isErr())
       return preparationError(prepared.error.kind, prepared.error.message, prepared.error.retryAfterMs)
     try {
-      const inputs = { handles: prepared.value.handles, zone: prepared.value.zone, bytes: prepared.value.bytes, onRead: () => this.parts.preparer.release(requestId), renew: () => this.renew(request, clock) }
+      const inputs = { handles: prepared.value.handles, failureDomain: prepared.value.failureDomain, bytes: prepared.value.bytes, onRead: () => this.parts.preparer.release(requestId), renew: () => this.renew(request, clock) }
       return await this.parts.runner.run(request, inputs, answer, signal)
     }
     finally {
@@ -139,23 +139,23 @@
     const elapsed = performance.now() - request.arrivedAt
     return {
       requestId: request.head.requestId,
-      stages: request.route.stages.map((stage, number) => ({ ...stage, pieces: request.head.stagePieces[number] ?? 0 })),
+      stages: request.route.stages.map((stage, number) => ({ ...stage, items: request.head.stageItems[number] ?? 0 })),
       key: request.head.stageKey,
       priority: request.priority,
       targetMs: request.route.targetLatencyMs - elapsed,
       deadlineMs: request.firstEventBy - performance.now(),
-      returning: request.returning,
-      zone: this.parts.runner.preferredZone(request),
+      isRetry: request.isRetry,
+      failureDomain: this.parts.runner.preferredFailureDomain(request),
     }
   }
 
   /** A client that tries again has less time left than others of its route had. */
-  private isReturning(route: Route, deadlineMs: number | undefined): boolean {
+  private isRetry(route: Route, deadlineMs: number | undefined): boolean {
     if (deadlineMs === undefined)
       return false
     const longest = Math.max(this.longestDeadlines.get(route.name) ?? 0, deadlineMs)
     this.longestDeadlines.set(route.name, longest)
-    return deadlineMs < longest * RETURNING_SHARE
+    return deadlineMs < longest * RETRY_DEADLINE_SHARE
   }
 
   private forgetRoutes(table: RouteTable): void {
@@ -166,10 +166,10 @@
     }
   }
 
-  private findTenant(table: RouteTable, route: Route, key: string | undefined): Tenant | undefined | 'unknown' {
+  private findAccount(table: RouteTable, route: Route, key: string | undefined): ClientAccount | undefined | 'unknown' {
     if (route.public || !table.needsKeys)
       return undefined
-    return (key === undefined ? undefined : table.findTenant(key)) ?? 'unknown'
+    return (key === undefined ? undefined : table.findAccount(key)) ?? 'unknown'
   }
 
   private finish(request: ClientRequest | RoutedRequest, answer: ClientAnswer, error: RequestError | undefined, configurationVersion: number): void {
@@ -194,7 +194,7 @@
 function silenceLimit(route: Route): number {
   if (!route.streaming)
     return route.timeoutMs
-  return Math.max(SHORTEST_SILENCE_MS, SILENCE_TARGETS * route.targetLatencyMs, SILENCE_GAPS * route.targetGapMs)
+  return Math.max(MIN_SILENCE_MS, SILENCE_TARGETS * route.targetLatencyMs, SILENCE_GAPS * route.targetGapMs)
 }
 
 function isError(routed: RoutedRequest | RequestError): routed is RequestError {
@@ -205,7 +205,7 @@
   switch (kind) {
     case PreparationFailureKind.TooLate:
       return createError(ErrorKind.DeadlineUnreachable, message, { ran: Ran.None, retryAfterMs })
-    case PreparationFailureKind.NoReplica:
+    case PreparationFailureKind.NoBackend:
       return createError(ErrorKind.NoBackend, message, { ran: Ran.None, retryAfterMs })
     case PreparationFailureKind.Overloaded:
       return createError(ErrorKind.Overloaded, message, { retryAfterMs })
--- a/packages/gateway/src/request/retry-budget.ts
+++ b/packages/gateway/src/request/retry-budget.ts
@@ -31,7 +31,7 @@
   constructor(
     private readonly settings: RetryBudgetSettings,
     /** Gateways that share the allowance. */
-    private readonly sharers: () => number,
+    private readonly gatewayCount: () => number,
     private readonly now: () => number = () => performance.now(),
   ) {
     this.bucketMs = settings.windowMs / BUCKETS
@@ -46,7 +46,7 @@
     const buckets = this.recent(service)
     const requests = buckets.reduce((sum, bucket) => sum + bucket.requests, 0)
     const repeats = buckets.reduce((sum, bucket) => sum + bucket.repeats, 0)
-    const allowed = USED_SHARE * (this.settings.ratio * requests + this.settings.extra / Math.max(1, this.sharers()))
+    const allowed = USED_SHARE * (this.settings.ratio * requests + this.settings.extra / Math.max(1, this.gatewayCount()))
     if (repeats + 1 > allowed)
       return false
     this.bucket(service).repeats++
--- a/packages/gateway/src/request/silence-watch.ts
+++ b/packages/gateway/src/request/silence-watch.ts
@@ -10,7 +10,7 @@
 const SILENCE_MS = 900
 const CHECK_INTERVAL_MS = SILENCE_MS / 3
 const PROBE_TIMEOUT_MS = 500
-const MOST_FAILED_PROBES = 2
+const MAX_FAILED_PROBES = 2
 
 /** Watches one answer until it is stopped. */
 export class SilenceWatch {
@@ -43,7 +43,7 @@
       await this.probeOnce()
     if (this.stopped)
       return
-    if (this.failedProbes >= MOST_FAILED_PROBES)
+    if (this.failedProbes >= MAX_FAILED_PROBES)
       this.giveUp()
     else
       this.timer = this.schedule()
--- a/packages/gateway/src/request/stages/index.ts
+++ b/packages/gateway/src/request/stages/index.ts
@@ -1,2 +1,2 @@
-export * from './stage-run.js'
+export * from './request-stages.js'
 export * from './stage-task.js'
--- a/packages/gateway/src/request/stages/stage-run.ts
+++ b/packages/gateway/src/request/stages/request-stages.ts
@@ -9,11 +9,11 @@
 import type { StageResult } from './stage-task.js'
 import { Err, Ok } from 'ts-results-es'
 import { PreparationFailureKind } from '../../connection/preparation.js'
-import { PieceFailure } from '../../connection/stage-client.js'
+import { ItemFailure } from '../../connection/stage-client.js'
 import { ANSWER_TIME_MS } from '../../process/stages/stage-admission.js'
 
 /** How often a request's stage work begins anew after a lost result. */
-const MOST_RESTARTS = 2
+const MAX_RESTARTS = 2
 const RETRY_AFTER_MS = 1000
 
 interface StageState {
@@ -29,7 +29,7 @@
 export type PreparationListener = (result: Result<PreparedInputs, PreparationFailure>) => void
 
 /** Runs the stages of one request. */
-export class PreparationRun implements CommittedWork {
+export class RequestStages implements CommittedWork {
   private states: StageState[] = []
   private restarts = 0
   private ended = false
@@ -60,18 +60,18 @@
     this.advance()
   }
 
-  /** Lets another owner go on: at once, or when the pieces that are under way are made. */
+  /** Lets another coordinator go on: at once, or when the items that are under way are made. */
   handOver(): void {
     this.handingOver = true
     if (!this.ended && !this.states.some(state => state.task?.isUnderWay()))
       this.handOverNow()
   }
 
-  /** Pieces of a service that are not made yet. */
-  remainingPieces(service: string): number {
+  /** Items of a service that are not made yet. */
+  remainingItems(service: string): number {
     if (this.ended)
       return 0
-    return this.request.stages.reduce((sum, stage, number) => sum + (stage.service === service && !this.states[number]?.results ? stage.pieces : 0), 0)
+    return this.request.stages.reduce((sum, stage, number) => sum + (stage.service === service && !this.states[number]?.results ? stage.items : 0), 0)
   }
 
   /** Gives everything up. */
@@ -98,23 +98,23 @@
     const definition = this.request.stages[stage]
     const state = this.states[stage]
     state.begun = true
-    if (definition.pieces === 0) {
+    if (definition.items === 0) {
       state.results = []
       this.markFetched(stage)
       return
     }
     const pool = this.poolOf(definition.service)
     if (!pool)
-      return this.fail(PreparationFailureKind.NoReplica, `no service ${definition.service}`)
+      return this.fail(PreparationFailureKind.NoBackend, `no service ${definition.service}`)
     state.task = pool.submit({
       requestId: this.request.requestId,
       stage,
       service: definition.service,
-      pieces: definition.pieces,
+      items: definition.items,
       resultBytes: definition.resultBytes,
       key: definition.dependsOn.length === 0 ? this.request.key : undefined,
       inputs: definition.dependsOn.flatMap(dependency => this.states[dependency].results ?? []),
-      readerZone: this.readersOf(stage).length === 0 ? this.request.zone : undefined,
+      readerDomain: this.readersOf(stage).length === 0 ? this.request.failureDomain : undefined,
       rank: this.rank,
       targetAt: this.targetAt,
       deadlineAt: this.deadlineAt,
@@ -137,7 +137,7 @@
       this.advance()
   }
 
-  /** Goes on after the stages that an earlier owner has done, as far as their results can be used. */
+  /** Goes on after the stages that an earlier coordinator has done, as far as their results can be used. */
   private adoptProgress(): void {
     const progress = new Map(this.progress?.map(done => [done.stage, done]))
     this.progress = undefined
@@ -165,23 +165,23 @@
 
   private usableResults(stage: number, progress: ReadonlyMap<number, StageProgress>, adopted: Map<number, StageResult[] | undefined>): StageResult[] | undefined {
     const done = progress.get(stage)
-    const { service, pieces } = this.request.stages[stage]
+    const { service, items } = this.request.stages[stage]
     if (!done)
       return undefined
     const readers = this.readersOf(stage)
     if (readers.length > 0 && readers.every(reader => this.adopt(reader, progress, adopted)))
       return []
-    return done.results.length === pieces ? this.poolOf(service)?.adopt(done) : undefined
+    return done.results.length === items ? this.poolOf(service)?.adopt(done) : undefined
   }
 
-  /** The results stay where they are: they belong to the next owner. */
+  /** The results stay where they are: they belong to the next coordinator. */
   private handOverNow(): void {
     const progress = this.collectProgress()
     this.ended = true
     for (const state of this.states)
       state.task?.cancel()
     this.states = []
-    this.listener(Err({ kind: PreparationFailureKind.HandedOver, message: 'the owner is stopping', retryAfterMs: 0, progress }))
+    this.listener(Err({ kind: PreparationFailureKind.HandedOver, message: 'the coordinator is stopping', retryAfterMs: 0, progress }))
   }
 
   private collectProgress(): StageProgress[] {
@@ -191,7 +191,7 @@
         return []
       const isRead = readersLeft === 0 && this.readersOf(stage).length > 0
       const kept = isRead ? [] : results
-      return [{ stage, results: kept.map(({ handle, worker, bytes }) => ({ handle, replica: worker.replica.id, bytes, remainingMs: worker.remainingLife(handle, now) })) }]
+      return [{ stage, results: kept.map(({ handle, backend, bytes }) => ({ handle, backend: backend.backend.id, bytes, remainingMs: backend.remainingLife(handle, now) })) }]
     })
   }
 
@@ -209,16 +209,16 @@
     }
   }
 
-  private takeFailure(stage: number, failure: PieceFailure): void {
+  private takeFailure(stage: number, failure: ItemFailure): void {
     if (this.ended)
       return
     this.states[stage].task = undefined
     if (this.handingOver)
       return this.handOver()
-    if (failure === PieceFailure.Late)
+    if (failure === ItemFailure.Late)
       return this.fail(PreparationFailureKind.TooLate, `stage ${stage} cannot be done in time`)
     this.restarts++
-    if (this.restarts > MOST_RESTARTS)
+    if (this.restarts > MAX_RESTARTS)
       return this.fail(PreparationFailureKind.Failed, `stage ${stage} failed: ${failure}`)
     this.freeEverything()
     this.start()
@@ -234,12 +234,12 @@
   private finish(): void {
     this.ended = true
     const results = this.finalStages().flatMap(stage => this.states[stage].results ?? [])
-    const byZone = new Map<string, number>()
+    const bytesByDomain = new Map<string, number>()
     for (const result of results)
-      byZone.set(result.worker.zone, (byZone.get(result.worker.zone) ?? 0) + result.bytes)
-    const zone = [...byZone].sort((left, right) => right[1] - left[1])[0]?.[0] ?? this.request.zone
+      bytesByDomain.set(result.backend.failureDomain, (bytesByDomain.get(result.backend.failureDomain) ?? 0) + result.bytes)
+    const failureDomain = [...bytesByDomain].sort((left, right) => right[1] - left[1])[0]?.[0] ?? this.request.failureDomain
     const bytes = results.reduce((sum, result) => sum + result.bytes, 0)
-    this.listener(Ok({ handles: results.map(result => result.handle), zone, bytes }))
+    this.listener(Ok({ handles: results.map(result => result.handle), failureDomain, bytes }))
   }
 
   private freeEverything(): void {
@@ -267,7 +267,7 @@
   /** Expected time of the longest way from a stage to the first event. */
   private remainingAfter(stage: number): number {
     const after = this.readersOf(stage)
-      .filter(reader => this.request.stages[reader].pieces > 0)
+      .filter(reader => this.request.stages[reader].items > 0)
       .map(reader => (this.poolOf(this.request.stages[reader].service)?.typicalCallMs() ?? 0) + this.remainingAfter(reader))
     return Math.max(ANSWER_TIME_MS, ...after)
   }
--- a/packages/gateway/src/request/stages/stage-task.ts
+++ b/packages/gateway/src/request/stages/stage-task.ts
@@ -1,36 +1,36 @@
 /**
  * One stage of one request, waiting for or at work in its service's pool.
  */
-import type { PieceFailure } from '../../connection/stage-client.js'
-import type { StageWorker } from '../../process/stages/stage-backend.js'
+import type { ItemFailure } from '../../connection/stage-client.js'
+import type { StageBackend } from '../../process/stages/stage-backend.js'
 
-/** A result and the replica that holds it. */
+/** A result and the backend server that holds it. */
 export interface StageResult {
   handle: string
-  worker: StageWorker
+  backend: StageBackend
   bytes: number
 }
 
 /** What a task reports. */
 export interface StageTaskListener {
-  /** The replicas have fetched all inputs of all pieces, as far as can be told. */
+  /** The backend servers have fetched all inputs of all items, as far as can be told. */
   inputsFetched: () => void
   completed: (results: StageResult[]) => void
-  failed: (failure: PieceFailure) => void
+  failed: (failure: ItemFailure) => void
 }
 
-/** The pieces of one stage of one request. */
+/** The items of one stage of one request. */
 export interface StageTask {
   requestId: string
   stage: number
   service: string
-  pieces: number
+  items: number
   /** Bytes of one result. */
   resultBytes: number
   key: string | undefined
   inputs: readonly StageResult[]
-  /** Zone of the replica that reads the results, if it does so directly. */
-  readerZone: string | undefined
+  /** Failure domain of the backend server that reads the results, if it does so directly. */
+  readerDomain: string | undefined
   /** Place in the order; the least goes first. */
   rank: number
   /** When the request's answer becomes late, on the process clock. */
@@ -42,13 +42,13 @@
   listener: StageTaskListener
 }
 
-/** Bytes that cross zones if the task's pieces run in a zone. */
-export function crossingBytes(task: StageTask, zone: string): number {
+/** Bytes that cross failure domains if the task's items run in a failure domain. */
+export function crossingBytes(task: StageTask, failureDomain: string): number {
   let fetched = 0
   for (const input of task.inputs) {
-    if (input.worker.zone !== zone)
+    if (input.backend.failureDomain !== failureDomain)
       fetched += input.bytes
   }
-  const handedOn = task.readerZone !== undefined && task.readerZone !== zone ? task.resultBytes : 0
-  return task.pieces * (fetched + handedOn)
+  const handedOn = task.readerDomain !== undefined && task.readerDomain !== failureDomain ? task.resultBytes : 0
+  return task.items * (fetched + handedOn)
 }
--- a/packages/gateway/src/version/configuration-holder.ts
+++ b/packages/gateway/src/version/configuration-holder.ts
@@ -46,7 +46,7 @@
     const configuration = this.read(text, source)
     if (!configuration || configuration.version <= this.version)
       return false
-    this.log.write('configuration', { version: configuration.version, previous: this.version, source, routes: configuration.routes.length, tenants: configuration.tenants.length })
+    this.log.write('configuration', { version: configuration.version, previous: this.version, source, routes: configuration.routes.length, accounts: configuration.accounts.length })
     this.currentRecord = { version: configuration.version, text }
     this.currentTable = new RouteTable(configuration)
     for (const listener of this.listeners)
--- a/packages/gateway/src/version/configuration.ts
+++ b/packages/gateway/src/version/configuration.ts
@@ -1,5 +1,5 @@
 /**
- * What operators publish: routes, services, tenants and limits, held whole
+ * What operators publish: routes, services, client accounts and limits, held whole
  * under one version.
  */
 
@@ -29,7 +29,7 @@
   streaming: boolean
   /** Whether a request may run more than once. */
   repeatable: boolean
-  /** Whether a stream may go on at another replica after its last event. */
+  /** Whether a stream may go on at another backend server after its last event. */
   resumable: boolean
   /** The longest time that a request is held, in milliseconds. */
   timeoutMs: number
@@ -40,32 +40,32 @@
   /** 0 is the most urgent. */
   priority: number
   services: WeightedService[]
-  /** The most replicas that one request may be sent to. */
+  /** The most backend servers that one request may be sent to. */
   maxAttempts: number
   stages: StageDefinition[]
   /** Served without a key. */
   public: boolean
 }
 
-/** Limits of a replica that makes stage results. */
+/** Limits of a backend server that makes stage results. */
 export interface StageLimits {
   /** Calls at work at once. */
   concurrency: number
-  /** The most pieces in one call. */
+  /** The most items in one call. */
   batch: number
   /** Fixed time of a call, in milliseconds. */
   callMs: number
-  /** Further time of each piece, in milliseconds. */
-  pieceMs: number
+  /** Further time of each item, in milliseconds. */
+  itemMs: number
   /** Room for results, in bytes. */
-  roomBytes: number
+  resultMemoryBytes: number
   /** How long a result is kept after its call, in milliseconds. */
   resultLifetimeMs: number
   /** Speed at which results are fetched, in megabits a second. */
   bandwidthMbps: number
 }
 
-/** Limits of a model replica. */
+/** Limits of a model backend server. */
 export interface EngineLimits {
   /** Requests at work at once. */
   concurrency: number
@@ -73,10 +73,10 @@
   memoryTokens: number
 }
 
-/** A pool of replicas. */
+/** A pool of backend servers. */
 export interface Service {
   name: string
-  /** Connections that one replica takes from all callers together. */
+  /** Connections that one backend server takes from all callers together. */
   maxConnections: number
   engine?: EngineLimits
   stage?: StageLimits
@@ -91,7 +91,7 @@
 }
 
 /** A customer with its keys. */
-export interface Tenant {
+export interface ClientAccount {
   name: string
   keys: string[]
   /** Goes before the route's priority. */
@@ -104,5 +104,5 @@
   routes: Route[]
   services: Service[]
   limits: ClientLimits
-  tenants: Tenant[]
+  accounts: ClientAccount[]
 }
--- a/packages/gateway/src/version/route-table.ts
+++ b/packages/gateway/src/version/route-table.ts
@@ -1,30 +1,30 @@
 /**
  * Look-ups in one version of the configuration.
  */
-import type { Configuration, Route, Service, Tenant } from './configuration.js'
+import type { ClientAccount, Configuration, Route, Service } from './configuration.js'
 
-/** One level of tenants weighs as much as this many of routes; more would leave replicas, which know ten, no room for routes. */
+/** One level of client accounts weighs as much as this many of routes; more would leave backend servers, which know ten, no room for routes. */
 const ROUTE_LEVELS = 3
 
 /** One version of the configuration, indexed for requests. */
 export class RouteTable {
   private readonly routesByHost = new Map<string, Route[]>()
-  private readonly tenantsByKey = new Map<string, Tenant>()
+  private readonly accountsByKey = new Map<string, ClientAccount>()
   private readonly servicesByName = new Map<string, Service>()
-  private readonly mostUrgentTenant: number
+  private readonly mostUrgentAccount: number
 
   constructor(readonly configuration: Configuration) {
     for (const route of configuration.routes)
       this.addRoute(route)
     for (const routes of this.routesByHost.values())
       routes.sort((left, right) => right.pathPrefix.length - left.pathPrefix.length)
-    for (const tenant of configuration.tenants) {
-      for (const key of tenant.keys)
-        this.tenantsByKey.set(key, tenant)
+    for (const account of configuration.accounts) {
+      for (const key of account.keys)
+        this.accountsByKey.set(key, account)
     }
     for (const service of configuration.services)
       this.servicesByName.set(service.name, service)
-    this.mostUrgentTenant = Math.min(...configuration.tenants.map(tenant => tenant.priority ?? 0))
+    this.mostUrgentAccount = Math.min(...configuration.accounts.map(account => account.priority ?? 0))
   }
 
   get version(): number {
@@ -33,7 +33,7 @@
 
   /** Whether requests on routes that are not public need a key. */
   get needsKeys(): boolean {
-    return this.configuration.tenants.length > 0
+    return this.configuration.accounts.length > 0
   }
 
   /** The route with the longest prefix that begins the path, among those of the host. */
@@ -41,15 +41,15 @@
     return this.routesByHost.get(host.toLowerCase())?.find(route => path.startsWith(route.pathPrefix))
   }
 
-  /** The tenant that holds a key. */
-  findTenant(key: string): Tenant | undefined {
-    return this.tenantsByKey.get(key)
+  /** The client account that holds a key. */
+  findAccount(key: string): ClientAccount | undefined {
+    return this.accountsByKey.get(key)
   }
 
-  /** Priority of a request, 0 the most urgent: its tenant's goes before its route's, which decides among tenants alike. */
-  priorityOf(route: Route, tenant: Tenant | undefined): number {
-    const tenantLevel = tenant ? (tenant.priority ?? 0) - this.mostUrgentTenant : 0
-    return tenantLevel * ROUTE_LEVELS + route.priority
+  /** Priority of a request, 0 the most urgent: its client account's goes before its route's, which decides among client accounts alike. */
+  priorityOf(route: Route, account: ClientAccount | undefined): number {
+    const accountLevel = account ? (account.priority ?? 0) - this.mostUrgentAccount : 0
+    return accountLevel * ROUTE_LEVELS + route.priority
   }
 
   findService(name: string): Service | undefined {
--- a/test/gateway/backend-registry.test.ts
+++ b/test/gateway/backend-registry.test.ts
@@ -1,13 +1,13 @@
-import { ReplicaRegistry } from '@eidermast/gateway'
+import { BackendRegistry } from '@eidermast/gateway'
 import { afterEach, beforeEach, describe, expect, test, vi } from 'vitest'
 import { createLog, createRecord } from './support/fakes.js'
 
 const RECORD = createRecord({ id: 'encode-a' })
-let registry: ReplicaRegistry
+let registry: BackendRegistry
 
 beforeEach(() => {
   vi.useFakeTimers()
-  registry = new ReplicaRegistry(createLog().log)
+  registry = new BackendRegistry(createLog().log)
   registry.upsert(RECORD)
 })
 afterEach(() => void vi.useRealTimers())
@@ -33,20 +33,20 @@
   })
 
   test('and comes back in that time stays, with what was learned of it', () => {
-    const replica = registry.find('encode-a')
+    const backend = registry.find('encode-a')
     registry.noteSourceReturned()
     registry.unlist('encode-a')
     vi.advanceTimersByTime(1000)
     registry.upsert(RECORD)
     vi.advanceTimersByTime(5000)
-    expect(registry.find('encode-a')).toBe(replica)
+    expect(registry.find('encode-a')).toBe(backend)
     expect(isUsed()).toBe(true)
   })
 
   test('and whose address another one has is used no more at once', () => {
     registry.noteSourceReturned()
     registry.unlist('encode-a')
-    registry.remove('encode-a', 'another replica has its address')
+    registry.remove('encode-a', 'another backend server has its address')
     expect(isUsed()).toBe(false)
   })
 
--- a/test/gateway/members.test.ts
+++ b/test/gateway/members.test.ts
@@ -1,15 +1,15 @@
-import type { GreetingReply, Member } from '@eidermast/gateway'
+import type { HeartbeatReply, Member } from '@eidermast/gateway'
 import { Members } from '@eidermast/gateway'
 import { afterEach, beforeEach, describe, expect, test, vi } from 'vitest'
 import { createLog } from './support/fakes.js'
 
 /** Peers whose answers a test decides. */
 class FakePeers {
-  readonly replies = new Map<string, GreetingReply | 'silent' | 'refused'>()
-  greetings = 0
+  readonly replies = new Map<string, HeartbeatReply | 'silent' | 'refused'>()
+  heartbeats = 0
 
-  async greet(member: Member): Promise<GreetingReply> {
-    this.greetings++
+  async heartbeat(member: Member): Promise<HeartbeatReply> {
+    this.heartbeats++
     const reply = this.replies.get(member.name) ?? 'refused'
     if (reply === 'refused')
       throw new Error('refused')
@@ -19,7 +19,7 @@
   }
 }
 
-const ALIVE: GreetingReply = { version: 1, stopping: false }
+const ALIVE: HeartbeatReply = { version: 1, stopping: false }
 
 function createMembers(self = 'gateway-c') {
   const peers = new FakePeers()
@@ -34,33 +34,33 @@
 beforeEach(() => void vi.useFakeTimers())
 afterEach(() => void vi.useRealTimers())
 
-describe('who owns the stage work', () => {
+describe('who coordinates the stage work', () => {
   test.each([
     ['the member announced first, if it answers', { 'gateway-a': ALIVE, 'gateway-b': ALIVE }, 'gateway-a'],
     ['the next one, if the first is silent', { 'gateway-a': 'silent', 'gateway-b': ALIVE }, 'gateway-b'],
     ['the next one, if the first refuses', { 'gateway-a': 'refused', 'gateway-b': ALIVE }, 'gateway-b'],
     ['the next one, if the first is stopping', { 'gateway-a': { version: 1, stopping: true }, 'gateway-b': ALIVE }, 'gateway-b'],
     ['this gateway, if nobody before it answers', {}, 'gateway-c'],
-  ] as const)('is %s', async (_name, replies, owner) => {
+  ] as const)('is %s', async (_name, replies, coordinator) => {
     const { members, peers } = createMembers()
     for (const [name, reply] of Object.entries(replies))
       peers.replies.set(name, reply)
     await vi.advanceTimersByTimeAsync(1500)
-    expect(members.owner.name).toBe(owner)
+    expect(members.coordinator.name).toBe(coordinator)
   })
 
-  test('stays when a single greeting of the owner gets no answer', async () => {
+  test('stays when a single heartbeat of the coordinator gets no answer', async () => {
     const { members, peers } = createMembers()
     peers.replies.set('gateway-a', ALIVE)
     peers.replies.set('gateway-b', ALIVE)
     await vi.advanceTimersByTimeAsync(1500)
-    const owners = new Set<string>()
-    members.onOwnerChange(owner => owners.add(owner.name))
+    const coordinators = new Set<string>()
+    members.onCoordinatorChange(coordinator => coordinators.add(coordinator.name))
     peers.replies.set('gateway-a', 'silent')
     await vi.advanceTimersByTimeAsync(150)
     peers.replies.set('gateway-a', ALIVE)
     await vi.advanceTimersByTimeAsync(1500)
-    expect([...owners]).toEqual([])
+    expect([...coordinators]).toEqual([])
   })
 
   test('stays when this process itself stood still and heard nobody', async () => {
@@ -68,13 +68,13 @@
     peers.replies.set('gateway-a', ALIVE)
     peers.replies.set('gateway-b', ALIVE)
     await vi.advanceTimersByTimeAsync(1500)
-    const owners = new Set<string>()
-    members.onOwnerChange(owner => owners.add(owner.name))
+    const coordinators = new Set<string>()
+    members.onCoordinatorChange(coordinator => coordinators.add(coordinator.name))
     const now = performance.now.bind(performance)
     const standStill = vi.spyOn(performance, 'now').mockImplementation(() => now() + 5000)
     await vi.advanceTimersByTimeAsync(1500)
     standStill.mockRestore()
-    expect([...owners]).toEqual([])
+    expect([...coordinators]).toEqual([])
   })
 
   test('stays when a gateway that was gone is announced anew', async () => {
@@ -84,7 +84,7 @@
     peers.replies.set('gateway-a', ALIVE)
     members.upsert({ name: 'gateway-a', address: 'gateway-a', seniority: 9 })
     await vi.advanceTimersByTimeAsync(1500)
-    expect(members.owner.name).toBe('gateway-b')
+    expect(members.coordinator.name).toBe('gateway-b')
   })
 
   test('passes on within half a second of the loss being noticed, and those who wait for it are told', async () => {
@@ -92,10 +92,10 @@
     peers.replies.set('gateway-a', ALIVE)
     peers.replies.set('gateway-b', ALIVE)
     await vi.advanceTimersByTimeAsync(1000)
-    const loss = members.watchLoss(members.owner)
+    const loss = members.watchLoss(members.coordinator)
     peers.replies.set('gateway-a', 'silent')
     await vi.advanceTimersByTimeAsync(1100)
-    expect(members.owner.name).toBe('gateway-b')
+    expect(members.coordinator.name).toBe('gateway-b')
     expect(loss.signal.aborted).toBe(true)
   })
 
@@ -103,13 +103,13 @@
     const { members, peers } = createMembers('gateway-a')
     peers.replies.set('gateway-b', ALIVE)
     await vi.advanceTimersByTimeAsync(500)
-    expect(members.ownsStages).toBe(true)
+    expect(members.isCoordinator).toBe(true)
     members.markStopping(members.self)
     await vi.advanceTimersByTimeAsync(500)
-    expect(members.owner.name).toBe('gateway-b')
+    expect(members.coordinator.name).toBe('gateway-b')
   })
 
-  test('costs greetings to the owner and the one that would follow it, however many there are', async () => {
+  test('costs heartbeats to the coordinator and the one that would follow it, however many there are', async () => {
     const { members, peers } = createMembers('gateway-z')
     for (let index = 0; index < 20; index++)
       members.upsert({ name: `gateway-${index}`, address: `gateway-${index}`, seniority: 10 + index })
@@ -117,10 +117,10 @@
     for (const name of ['gateway-a', 'gateway-b', 'gateway-c', ...Array.from({ length: 20 }, (_, index) => `gateway-${index}`)])
       peers.replies.set(name, ALIVE)
     await vi.advanceTimersByTimeAsync(1000)
-    peers.greetings = 0
+    peers.heartbeats = 0
     await vi.advanceTimersByTimeAsync(1500)
-    expect(members.owner.name).toBe('gateway-a')
-    expect(peers.greetings).toBeLessThanOrEqual(22)
+    expect(members.coordinator.name).toBe('gateway-a')
+    expect(peers.heartbeats).toBeLessThanOrEqual(22)
   })
 
   test('passes on at once to a follower that was heard lately, never to one that was last heard long ago', async () => {
@@ -130,8 +130,8 @@
     await vi.advanceTimersByTimeAsync(1000)
     peers.replies.set('gateway-b', 'silent')
     await vi.advanceTimersByTimeAsync(2000)
-    members.suspect(members.owner)
-    expect(members.owner.name).toBe('gateway-c')
+    members.suspect(members.coordinator)
+    expect(members.coordinator.name).toBe('gateway-c')
   })
 
   test('tells the versions that peers hold', async () => {
--- a/test/gateway/pass-through.test.ts
+++ b/test/gateway/pass-through.test.ts
@@ -4,7 +4,7 @@
 import { createConfiguration, createLog, createRoute } from './support/fakes.js'
 
 function createRequest(deadlineMs: number): ClientRequest {
-  const head = { requestId: 'id-1', host: 'host.example', key: undefined, deadlineMs, promptParts: [], stagePieces: [], stageKey: '', lastEventId: undefined, headers: [] }
+  const head = { requestId: 'id-1', host: 'host.example', key: undefined, deadlineMs, promptParts: [], stageItems: [], stageKey: '', lastEventId: undefined, headers: [] }
   return { method: 'GET', path: '/a/', head, body: undefined, arrivedAt: 0 }
 }
 
@@ -12,11 +12,11 @@
   const { log } = createLog()
   const configuration = new ConfigurationHolder(text => createConfiguration(JSON.parse(text)), log)
   const passThrough = new PassThrough({ configuration, log } as PassThroughParts)
-  const isReturning = (deadlineMs: number): boolean => (passThrough.route(createRequest(deadlineMs)) as RoutedRequest).returning
+  const isRetry = (deadlineMs: number): boolean => (passThrough.route(createRequest(deadlineMs)) as RoutedRequest).isRetry
   configuration.offer('{"version":1}', 'test')
-  expect(isReturning(1000)).toBe(false)
-  expect(isReturning(500)).toBe(true)
+  expect(isRetry(1000)).toBe(false)
+  expect(isRetry(500)).toBe(true)
   configuration.offer(JSON.stringify({ version: 2, routes: [createRoute({ name: 'other', host: 'other.example' })] }), 'test')
   configuration.offer('{"version":3}', 'test')
-  expect(isReturning(500)).toBe(false)
+  expect(isRetry(500)).toBe(false)
 })
--- /dev/null
+++ b/test/gateway/peer-messages.test.ts
@@ -0,0 +1,57 @@
+import type { PreparationRequest } from '@eidermast/gateway'
+import { decodePreparationReply, encodePreparationReply, encodePreparationRequest, PreparationFailureKind, preparationRequestSchema } from '@eidermast/gateway'
+import { Err, Ok } from 'ts-results-es'
+import { describe, expect, test } from 'vitest'
+
+const REQUEST: PreparationRequest = {
+  requestId: 'id-1',
+  stages: [{ service: 'encoder', dependsOn: [], resultBytes: 10, items: 3 }, { service: 'ranker', dependsOn: [0], resultBytes: 20, items: 1 }],
+  key: 'input',
+  priority: 2,
+  targetMs: -5,
+  deadlineMs: 400,
+  isRetry: true,
+  failureDomain: 'domain-a',
+  progress: [{ stage: 0, results: [{ handle: 'h-1', backend: 'backend-1', bytes: 10, remainingMs: 90 }] }],
+}
+
+/** As the first release spells it. */
+const REQUEST_MESSAGE = {
+  requestId: 'id-1',
+  stages: [{ service: 'encoder', dependsOn: [], resultBytes: 10, pieces: 3 }, { service: 'ranker', dependsOn: [0], resultBytes: 20, pieces: 1 }],
+  key: 'input',
+  priority: 2,
+  targetMs: -5,
+  deadlineMs: 400,
+  returning: true,
+  zone: 'domain-a',
+  progress: [{ stage: 0, results: [{ handle: 'h-1', replica: 'backend-1', bytes: 10, remainingMs: 90 }] }],
+}
+
+function overTheWire(value: object): unknown {
+  return JSON.parse(JSON.stringify(value))
+}
+
+describe('messages between gateways of two releases', () => {
+  test('spell a preparation request as the first release does', () => {
+    expect(overTheWire(encodePreparationRequest(REQUEST))).toStrictEqual(REQUEST_MESSAGE)
+    expect(preparationRequestSchema.parse(REQUEST_MESSAGE)).toEqual(REQUEST)
+  })
+
+  test('leave progress out where there is none', () => {
+    const { progress, ...message } = REQUEST_MESSAGE
+    expect(overTheWire(encodePreparationRequest({ ...REQUEST, progress: undefined }))).toStrictEqual(message)
+    expect(preparationRequestSchema.parse(message).progress).toBeUndefined()
+  })
+
+  test.each([
+    ['prepared inputs', Ok({ handles: ['h-1'], failureDomain: 'domain-a', bytes: 10 }), { prepared: { handles: ['h-1'], zone: 'domain-a', bytes: 10 } }],
+    ['a handover with its progress', Err({ kind: PreparationFailureKind.HandedOver, message: 'stopping', retryAfterMs: 0, progress: REQUEST.progress }), { failure: { kind: 'handed-over', message: 'stopping', retryAfterMs: 0, progress: REQUEST_MESSAGE.progress } }],
+    ['a failure without a backend server', Err({ kind: PreparationFailureKind.NoBackend, message: 'none', retryAfterMs: 800 }), { failure: { kind: 'no-replica', message: 'none', retryAfterMs: 800 } }],
+  ])('spell %s as the first release does', (_name, result, message) => {
+    expect(overTheWire(encodePreparationReply(result))).toStrictEqual(message)
+    const decoded = decodePreparationReply(message as never)
+    expect(decoded.isOk()).toBe(result.isOk())
+    expect(decoded.isOk() ? decoded.value : decoded.error).toEqual(result.isOk() ? result.value : result.error)
+  })
+})
--- a/test/gateway/request-parts.test.ts
+++ b/test/gateway/request-parts.test.ts
@@ -39,17 +39,17 @@
   const OTHER = createRoute({ name: 'other', priority: 2 })
   const FIRST = { name: 'first', keys: ['key-1'], priority: 1 }
   const SECOND = { name: 'second', keys: ['key-2'], priority: 2 }
-  const table = new RouteTable(createConfiguration({ routes: [URGENT, OTHER], tenants: [FIRST, SECOND] }))
+  const table = new RouteTable(createConfiguration({ routes: [URGENT, OTHER], accounts: [FIRST, SECOND] }))
 
   test.each([
-    ['of a more urgent route among requests of one tenant', [URGENT, FIRST], [OTHER, FIRST]],
-    ['of a more urgent tenant whatever the routes', [OTHER, FIRST], [URGENT, SECOND]],
-    ['of a route without a tenant by its route', [URGENT, undefined], [OTHER, undefined]],
-  ] as const)('goes first %s', (_name, [route, tenant], [otherRoute, otherTenant]) => {
-    expect(table.priorityOf(route, tenant)).toBeLessThan(table.priorityOf(otherRoute, otherTenant))
+    ['of a more urgent route among requests of one client account', [URGENT, FIRST], [OTHER, FIRST]],
+    ['of a more urgent client account whatever the routes', [OTHER, FIRST], [URGENT, SECOND]],
+    ['of a route without a client account by its route', [URGENT, undefined], [OTHER, undefined]],
+  ] as const)('goes first %s', (_name, [route, account], [otherRoute, otherAccount]) => {
+    expect(table.priorityOf(route, account)).toBeLessThan(table.priorityOf(otherRoute, otherAccount))
   })
 
-  test('is the route\'s own where all tenants are alike', () => {
+  test('is the route\'s own where all client accounts are alike', () => {
     expect(table.priorityOf(OTHER, FIRST)).toBe(OTHER.priority)
   })
 })
--- a/test/gateway/shared-preparer.test.ts
+++ b/test/gateway/shared-preparer.test.ts
@@ -6,19 +6,19 @@
 
 const SELF = { name: 'gateway-a', address: '127.0.0.1:1' }
 const NEVER = new AbortController().signal
-const REQUEST: PreparationRequest = { requestId: 'id-1', stages: [], key: '', priority: 0, targetMs: 1000, deadlineMs: 4000, returning: false, zone: 'zone-a' }
-const PREPARED = Ok({ handles: ['handle'], zone: 'zone-a', bytes: 1 })
+const REQUEST: PreparationRequest = { requestId: 'id-1', stages: [], key: '', priority: 0, targetMs: 1000, deadlineMs: 4000, isRetry: false, failureDomain: 'zone-a' }
+const PREPARED = Ok({ handles: ['handle'], failureDomain: 'zone-a', bytes: 1 })
 const REFUSED = Err({ kind: PreparationFailureKind.Overloaded, message: 'too much waits', retryAfterMs: 300 })
 
 function createPreparer(prepare: Preparer['prepare']) {
   const { log } = createLog()
-  const members = new Members(SELF, { greet: () => Promise.reject(new Error('nobody')) }, log, () => {})
+  const members = new Members(SELF, { heartbeat: () => Promise.reject(new Error('nobody')) }, log, () => {})
   const local = { prepare, release: vi.fn() }
   return { local, shared: new SharedPreparer(members, local, new PeerClients(), log) }
 }
 
 describe('stage work of this gateway\'s own', () => {
-  test('is given up at its owner when its request releases it', async () => {
+  test('is given up at its coordinator when its request releases it', async () => {
     const { shared, local } = createPreparer(async () => PREPARED)
     await shared.prepare(REQUEST, NEVER)
     shared.release('id-1')
@@ -34,7 +34,7 @@
 })
 
 describe('stage work at another gateway', () => {
-  const OWNER = { name: 'gateway-b', address: '127.0.0.1:2' }
+  const COORDINATOR = { name: 'gateway-b', address: '127.0.0.1:2' }
 
   /** An error as undici's fetch and tRPC wrap it. */
   function createError(code: string): Error {
@@ -43,17 +43,17 @@
 
   async function createShared(failures: Error[]) {
     const { log } = createLog()
-    const members = new Members(SELF, { greet: async () => ({ version: 1, stopping: false }) }, log, () => {})
-    members.upsert({ ...OWNER, seniority: 0 })
+    const members = new Members(SELF, { heartbeat: async () => ({ version: 1, stopping: false }) }, log, () => {})
+    members.upsert({ ...COORDINATOR, seniority: 0 })
     members.start()
     await vi.advanceTimersByTimeAsync(500)
     const askedAt: string[] = []
     const peers = { prepare: async () => {
-      askedAt.push(OWNER.name)
+      askedAt.push(COORDINATOR.name)
       const failure = failures.shift()
       if (failure)
         throw failure
-      return { prepared: PREPARED.value }
+      return PREPARED
     }, release: async () => {} }
     const local = { prepare: async () => {
       askedAt.push(SELF.name)
@@ -66,14 +66,14 @@
   afterEach(() => void vi.useRealTimers())
 
   test.each([
-    ['asks it again after one connection that was reset', [createError('ECONNRESET')], [OWNER.name, OWNER.name]],
-    ['goes on here where nobody listens there any more', [createError('ECONNREFUSED')], [OWNER.name, SELF.name]],
-    ['goes on here after a second failure', [createError('ECONNRESET'), createError('ECONNRESET')], [OWNER.name, OWNER.name, SELF.name]],
+    ['asks it again after one connection that was reset', [createError('ECONNRESET')], [COORDINATOR.name, COORDINATOR.name]],
+    ['goes on here where nobody listens there any more', [createError('ECONNREFUSED')], [COORDINATOR.name, SELF.name]],
+    ['goes on here after a second failure', [createError('ECONNRESET'), createError('ECONNRESET')], [COORDINATOR.name, COORDINATOR.name, SELF.name]],
   ])('%s', async (_name, failures, asked) => {
     const { shared, members, askedAt } = await createShared([...failures])
     expect((await shared.prepare(REQUEST, NEVER)).isOk()).toBe(true)
     expect(askedAt).toEqual(asked)
-    expect(members.owner.name).toBe(asked.at(-1))
+    expect(members.coordinator.name).toBe(asked.at(-1))
     members.stop()
   })
 })
--- a/test/gateway/support/fakes.ts
+++ b/test/gateway/support/fakes.ts
@@ -3,9 +3,9 @@
  * Fakes at the gateway's interfaces: a log that is kept, a stage service in
  * memory, and makers of records.
  */
-import type { Configuration, PieceOutcome, Replica, ReplicaRecord, Route, StageCallResult, StageClient, StageLimits, StagePiece } from '@eidermast/gateway'
+import type { Backend, BackendRecord, Configuration, ItemOutcome, Route, StageCallResult, StageClient, StageItem, StageLimits } from '@eidermast/gateway'
 import { EventLog } from '@eidermast/common'
-import { PieceFailure, StageCallEnd } from '@eidermast/gateway'
+import { ItemFailure, StageCallEnd } from '@eidermast/gateway'
 
 /** A log whose lines are kept. */
 export function createLog(): { log: EventLog, lines: EventFields[] } {
@@ -13,12 +13,12 @@
   return { log: new EventLog({ write: line => lines.push(JSON.parse(line)) }, { process: 'test' }), lines }
 }
 
-export function createRecord(overrides: Partial<ReplicaRecord> = {}): ReplicaRecord {
-  return { id: 'replica-a', service: 'encode', address: '127.0.0.1:1', zone: 'zone-a', capacity: 1, draining: false, ...overrides }
+export function createRecord(overrides: Partial<BackendRecord> = {}): BackendRecord {
+  return { id: 'replica-a', service: 'encode', address: '127.0.0.1:1', failureDomain: 'zone-a', capacity: 1, draining: false, ...overrides }
 }
 
 export function createStageLimits(overrides: Partial<StageLimits> = {}): StageLimits {
-  return { concurrency: 1, batch: 4, callMs: 100, pieceMs: 10, roomBytes: 1000, resultLifetimeMs: 4000, bandwidthMbps: 10_000, ...overrides }
+  return { concurrency: 1, batch: 4, callMs: 100, itemMs: 10, resultMemoryBytes: 1000, resultLifetimeMs: 4000, bandwidthMbps: 10_000, ...overrides }
 }
 
 export function createRoute(overrides: Partial<Route> = {}): Route {
@@ -47,21 +47,21 @@
     routes: [createRoute()],
     services: [{ name: 'plain', maxConnections: 50 }],
     limits: { maxHeaderBytes: 16_384, maxBodyBytes: 100_000, headerTimeoutMs: 3000, idleTimeoutMs: 5000 },
-    tenants: [],
+    accounts: [],
     ...overrides,
   }
 }
 
-/** A call that a fake stage replica got. */
+/** A call that a fake stage backend server got. */
 export interface FakeStageCall {
-  replicaId: string
-  pieces: readonly StagePiece[]
+  backendId: string
+  items: readonly StageItem[]
 }
 
-/** What a fake stage replica does with a call. */
-export type StageBehaviour = (call: FakeStageCall) => StageCallEnd | ((piece: StagePiece) => PieceFailure | undefined) | 'silent'
+/** What a fake stage backend server does with a call. */
+export type StageBehaviour = (call: FakeStageCall) => StageCallEnd | ((item: StageItem) => ItemFailure | undefined) | 'silent'
 
-/** A stage service in memory: one slot a replica, results with handles that end when they are freed or their maker dies. */
+/** A stage service in memory: one slot a backend server, results with handles that end when they are freed or their maker dies. */
 export class FakeStageService implements StageClient {
   readonly calls: FakeStageCall[] = []
   readonly freed: string[] = []
@@ -69,14 +69,14 @@
   behaviour: StageBehaviour = () => StageCallEnd.Done
   /** How long the freeing of results takes, in milliseconds. */
   freeTakesMs = 0
-  /** What replicas tell of their room. */
+  /** What backend servers tell of their room. */
   toldFreeRoom: number | undefined
   private made = 0
 
   constructor(private readonly limits: StageLimits) {}
 
-  async run(replica: Replica, pieces: readonly StagePiece[], signal: AbortSignal): Promise<StageCallResult> {
-    const call = { replicaId: replica.id, pieces }
+  async run(backend: Backend, items: readonly StageItem[], signal: AbortSignal): Promise<StageCallResult> {
+    const call = { backendId: backend.id, items }
     this.calls.push(call)
     const behaviour = this.behaviour(call)
     if (behaviour === 'silent') {
@@ -86,12 +86,12 @@
     if (typeof behaviour === 'string' && behaviour !== StageCallEnd.Done)
       return { end: behaviour, outcomes: [] }
     const failureOf = typeof behaviour === 'function' ? behaviour : () => undefined
-    const missing = pieces.map(piece => piece.inputs?.some(handle => !this.live.has(handle)) ?? false)
-    await new Promise(resolve => setTimeout(resolve, this.limits.callMs + this.limits.pieceMs * pieces.length))
-    return { end: StageCallEnd.Done, outcomes: pieces.map((piece, index) => missing[index] ? { failure: PieceFailure.InputGone } : this.make(replica, failureOf(piece))) }
+    const missing = items.map(item => item.inputs?.some(handle => !this.live.has(handle)) ?? false)
+    await new Promise(resolve => setTimeout(resolve, this.limits.callMs + this.limits.itemMs * items.length))
+    return { end: StageCallEnd.Done, outcomes: items.map((item, index) => missing[index] ? { failure: ItemFailure.InputGone } : this.make(backend, failureOf(item))) }
   }
 
-  async free(_replica: Replica, handles: readonly string[]): Promise<boolean> {
+  async free(_replica: Backend, handles: readonly string[]): Promise<boolean> {
     if (this.freeTakesMs > 0)
       await new Promise(resolve => setTimeout(resolve, this.freeTakesMs))
     for (const handle of handles) {
@@ -101,23 +101,23 @@
     return true
   }
 
-  async freeRoom(): Promise<number | undefined> {
+  async freeResultMemory(): Promise<number | undefined> {
     return this.toldFreeRoom
   }
 
-  /** The replica dies with its results. */
-  kill(replicaId: string): void {
+  /** The backend server dies with its results. */
+  kill(backendId: string): void {
     for (const [handle, maker] of this.live) {
-      if (maker === replicaId)
+      if (maker === backendId)
         this.live.delete(handle)
     }
   }
 
-  private make(replica: Replica, failure: PieceFailure | undefined): PieceOutcome {
+  private make(backend: Backend, failure: ItemFailure | undefined): ItemOutcome {
     if (failure)
       return { failure }
-    const handle = `${replica.id}/${this.made++}`
-    this.live.set(handle, replica.id)
+    const handle = `${backend.id}/${this.made++}`
+    this.live.set(handle, backend.id)
     return { handle }
   }
 }
--- a/test/platform/backend-client.test.ts
+++ b/test/platform/backend-client.test.ts
@@ -1,31 +1,31 @@
-import type { ReplicaCall } from '@eidermast/gateway'
+import type { BackendCall } from '@eidermast/gateway'
 import type { AddressInfo, Server, Socket } from 'node:net'
 import { createServer } from 'node:net'
-import { CallFailureKind, HttpReplicaClient, Replica, ReplicaConnections } from '@eidermast/gateway'
-import { PlatformReplicaCodec } from '@eidermast/platform'
+import { Backend, BackendConnections, CallFailureKind, HttpBackendClient } from '@eidermast/gateway'
+import { PlatformBackendCodec } from '@eidermast/platform'
 import { afterEach, describe, expect, test } from 'vitest'
 import { createRecord } from '../gateway/support/fakes.js'
 
-const CALL: ReplicaCall = { requestId: 'id-1', method: 'POST', path: '/a/', headers: [['Attempt-Id', 'id-1']], body: Buffer.from('body'), remainingMs: 1000 }
+const CALL: BackendCall = { requestId: 'id-1', method: 'POST', path: '/a/', headers: [['Attempt-Id', 'id-1']], body: Buffer.from('body'), remainingMs: 1000 }
 const NEVER = new AbortController().signal
 
 let server: Server | undefined
-let connections: ReplicaConnections | undefined
+let connections: BackendConnections | undefined
 
-/** A replica that writes raw bytes for each request that it gets. */
-async function startReplica(respond: (socket: Socket, request: number) => void): Promise<Replica> {
+/** A backend server that writes raw bytes for each request that it gets. */
+async function startBackend(respond: (socket: Socket, request: number) => void): Promise<Backend> {
   let requests = 0
   server = createServer((socket) => {
     socket.on('error', () => {})
     socket.on('data', () => respond(socket, ++requests))
   })
   await new Promise<void>(resolve => server!.listen(0, '127.0.0.1', () => resolve()))
-  return new Replica(createRecord({ address: `127.0.0.1:${(server.address() as AddressInfo).port}` }))
+  return new Backend(createRecord({ address: `127.0.0.1:${(server.address() as AddressInfo).port}` }))
 }
 
-function createClient(): HttpReplicaClient {
-  connections = new ReplicaConnections(() => 4)
-  return new HttpReplicaClient(connections, new PlatformReplicaCodec())
+function createClient(): HttpBackendClient {
+  connections = new BackendConnections(() => 4)
+  return new HttpBackendClient(connections, new PlatformBackendCodec())
 }
 
 function answer(status: string, headers: Record<string, string>, body = ''): string {
@@ -45,14 +45,14 @@
   server?.close()
 })
 
-describe('an answer of a replica', () => {
+describe('an answer of a backend server', () => {
   test('is handed on with its head and body', async () => {
-    const replica = await startReplica(socket => socket.write(answer('200 OK', { 'Server-Signature': 's', 'Replica-Load': '2,1,6' }, 'whole')))
-    const result = (await createClient().run(replica, CALL, NEVER)).unwrap()
+    const backend = await startBackend(socket => socket.write(answer('200 OK', { 'Server-Signature': 's', 'Replica-Load': '2,1,6' }, 'whole')))
+    const result = (await createClient().run(backend, CALL, NEVER)).unwrap()
     expect(result.status).toBe(200)
     expect(new Map(result.headers).get('server-signature')).toBe('s')
     expect(await readAll(result.body)).toBe('whole')
-    expect(replica.load).toEqual({ running: 2, waiting: 1, capacity: 6 })
+    expect(backend.load).toEqual({ running: 2, waiting: 1, capacity: 6 })
   })
 
   test.each([
@@ -60,78 +60,78 @@
     ['echoes no id', 'HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx', CallFailureKind.Broken],
     ['is no answer', 'nonsense\r\n\r\n', CallFailureKind.Broken],
     ['is a refusal', answer('503 Full', { 'Not-Executed': '1' }), CallFailureKind.Refused],
-    ['is of another replica', answer('421 Misdirected', {}), CallFailureKind.Misdirected],
+    ['is of another backend server', answer('421 Misdirected', {}), CallFailureKind.Misdirected],
     ['says that an input is gone', answer('409 Conflict', { 'Not-Executed': '1' }), CallFailureKind.InputGone],
   ])('that %s is told as that', async (_name, bytes, kind) => {
-    const replica = await startReplica(socket => socket.write(bytes))
-    expect((await createClient().run(replica, CALL, NEVER)).unwrapErr().kind).toBe(kind)
+    const backend = await startBackend(socket => socket.write(bytes))
+    expect((await createClient().run(backend, CALL, NEVER)).unwrapErr().kind).toBe(kind)
   })
 
   test.each([
     ['with a length', answer('200 OK', { 'Content-Length': '10' }).replace('\r\n\r\n', '\r\n\r\nhalf')],
     ['in chunks', 'HTTP/1.1 200 OK\r\nAttempt-Id: id-1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n'],
   ])('%s that breaks off never looks whole', async (_name, bytes) => {
-    const replica = await startReplica((socket) => {
+    const backend = await startBackend((socket) => {
       socket.write(bytes)
       setTimeout(() => socket.destroy(), 30)
     })
-    const result = (await createClient().run(replica, CALL, NEVER)).unwrap()
+    const result = (await createClient().run(backend, CALL, NEVER)).unwrap()
     await expect(readAll(result.body)).rejects.toThrow()
   })
 
   test('without a length ends with its connection', async () => {
-    const replica = await startReplica(socket => socket.end('HTTP/1.1 200 OK\r\nAttempt-Id: id-1\r\n\r\nwhole'))
-    const result = (await createClient().run(replica, CALL, NEVER)).unwrap()
+    const backend = await startBackend(socket => socket.end('HTTP/1.1 200 OK\r\nAttempt-Id: id-1\r\n\r\nwhole'))
+    const result = (await createClient().run(backend, CALL, NEVER)).unwrap()
     expect(await readAll(result.body)).toBe('whole')
   })
 
   test('without a length that is reset never looks whole', async () => {
-    const replica = await startReplica((socket) => {
+    const backend = await startBackend((socket) => {
       socket.write('HTTP/1.1 200 OK\r\nAttempt-Id: id-1\r\nConnection: close\r\n\r\nhalf')
       setTimeout(() => socket.resetAndDestroy(), 30)
     })
-    const result = (await createClient().run(replica, CALL, NEVER)).unwrap()
+    const result = (await createClient().run(backend, CALL, NEVER)).unwrap()
     await expect(readAll(result.body)).rejects.toThrow()
   })
 
   test('that comes twice spoils its own connection alone', async () => {
-    const replica = await startReplica((socket, request) => {
+    const backend = await startBackend((socket, request) => {
       const own = answer('200 OK', { 'Attempt-Id': `id-${request}` }, `body-${request}`)
       socket.write(request === 1 ? own + answer('200 OK', { 'Attempt-Id': 'id-1' }, 'surplus') : own)
     })
     const client = createClient()
-    const first = (await client.run(replica, CALL, NEVER)).unwrap()
+    const first = (await client.run(backend, CALL, NEVER)).unwrap()
     expect(await readAll(first.body)).toBe('body-1')
-    const second = (await client.run(replica, { ...CALL, requestId: 'id-2' }, NEVER)).unwrap()
+    const second = (await client.run(backend, { ...CALL, requestId: 'id-2' }, NEVER)).unwrap()
     expect(await readAll(second.body)).toBe('body-2')
   })
 
   test('that comes late, in the place of the next one, is not taken for it', async () => {
-    const replica = await startReplica((socket, request) => {
+    const backend = await startBackend((socket, request) => {
       socket.write(answer('200 OK', { 'Attempt-Id': 'id-1' }, `body-${request}`))
     })
     const client = createClient()
-    await readAll((await client.run(replica, CALL, NEVER)).unwrap().body)
-    expect((await client.run(replica, { ...CALL, requestId: 'id-2' }, NEVER)).unwrapErr().kind).toBe(CallFailureKind.Broken)
+    await readAll((await client.run(backend, CALL, NEVER)).unwrap().body)
+    expect((await client.run(backend, { ...CALL, requestId: 'id-2' }, NEVER)).unwrapErr().kind).toBe(CallFailureKind.Broken)
   })
 })
 
 describe('a call that gets no answer', () => {
   test('may have run where its bytes were sent', async () => {
-    const replica = await startReplica(socket => socket.destroy())
-    expect((await createClient().run(replica, CALL, NEVER)).unwrapErr().kind).toBe(CallFailureKind.Broken)
+    const backend = await startBackend(socket => socket.destroy())
+    expect((await createClient().run(backend, CALL, NEVER)).unwrapErr().kind).toBe(CallFailureKind.Broken)
   })
 
   test('has not run where nobody listens', async () => {
-    const replica = await startReplica(() => {})
+    const backend = await startBackend(() => {})
     await new Promise(resolve => server!.close(resolve))
-    expect((await createClient().run(replica, CALL, NEVER)).unwrapErr().kind).toBe(CallFailureKind.NotSent)
+    expect((await createClient().run(backend, CALL, NEVER)).unwrapErr().kind).toBe(CallFailureKind.NotSent)
   })
 
   test('may have run where this process gave it up', async () => {
-    const replica = await startReplica(() => {})
+    const backend = await startBackend(() => {})
     const ending = new AbortController()
     setTimeout(() => ending.abort(), 50)
-    expect((await createClient().run(replica, CALL, ending.signal)).unwrapErr().kind).toBe(CallFailureKind.Aborted)
+    expect((await createClient().run(backend, CALL, ending.signal)).unwrapErr().kind).toBe(CallFailureKind.Aborted)
   })
 })
--- a/test/platform/boundary.test.ts
+++ b/test/platform/boundary.test.ts
@@ -3,7 +3,7 @@
 import { expect, test } from 'vitest'
 
 const ROOT = join(import.meta.dirname, '../..')
-const MOST_LINES = 1500
+const MAX_LINES = 1500
 /** Names of the platform's wire, settings and store; the product's words for them are its own. */
 const PLATFORM_NAMES = /Attempt-Id|Server-Signature|Prompt-Prefix|Expected-Replica|Not-Executed|Input-Count|Chunk-Count|Chunk-Key|Deadline-Ms|Api-Key|Request-Priority|log-newest|log-read|log-append|stage-run(?!ner)|stage-free|'keyed\.(?:op|servers|status)|EIDERMAST_SETTINGS|HeadroomMb|WatchRevision|TlsKey|PromptHandle|GracePeriodS/i
 
@@ -23,5 +23,5 @@
 
 test('the platform folder only translates, and stays small', () => {
   const lines = sourceFiles('platform/src').reduce((sum, file) => sum + readFileSync(join(ROOT, file), 'utf8').split('\n').length, 0)
-  expect(lines).toBeLessThan(MOST_LINES)
+  expect(lines).toBeLessThan(MAX_LINES)
 })
--- a/test/platform/codecs.test.ts
+++ b/test/platform/codecs.test.ts
@@ -1,12 +1,12 @@
-import type { ReplicaCall } from '@eidermast/gateway'
+import type { BackendCall } from '@eidermast/gateway'
 import { createError, ErrorKind, Ran } from '@eidermast/common'
-import { CallFailureKind, PieceFailure, Replica, StageCallEnd } from '@eidermast/gateway'
-import { decodeConfiguration, PlatformClientCodec, PlatformReplicaCodec, readOutcomes } from '@eidermast/platform'
+import { Backend, CallFailureKind, ItemFailure, StageCallEnd } from '@eidermast/gateway'
+import { decodeConfiguration, PlatformBackendCodec, PlatformClientCodec, readOutcomes } from '@eidermast/platform'
 import { describe, expect, test } from 'vitest'
 import { createRecord } from '../gateway/support/fakes.js'
 
 const clientCodec = new PlatformClientCodec()
-const replicaCodec = new PlatformReplicaCodec()
+const backendCodec = new PlatformBackendCodec()
 
 const ROUTE = { Name: 'r', Host: 'h', PathPrefix: '/a/', Type: 'streaming', TimeoutMs: 9, TargetLatencyMs: 5, Service: 's' }
 const CONFIGURATION = { Version: 4, Routes: [ROUTE], Services: [{ Name: 's' }], Limits: { MaxHeaderBytes: 1, MaxBodyBytes: 2, HeaderTimeoutMs: 3, IdleTimeoutMs: 4 } }
@@ -40,17 +40,17 @@
     expect(head).toMatchObject({ requestId: 'id', key: 'secret', deadlineMs: 700 })
   })
 
-  test('tells the parts of the prompt and the pieces of each stage', () => {
+  test('tells the parts of the prompt and the items of each stage', () => {
     const head = clientCodec.readHead(['Attempt-Id', 'id', 'Prompt-Prefix', 'aa:800,bb:41', 'Chunk-Count', '2,0,6']).unwrap()
     expect(head.promptParts).toEqual([{ id: 'aa', tokens: 800 }, { id: 'bb', tokens: 41 }])
-    expect(head.stagePieces).toEqual([2, 0, 6])
+    expect(head.stageItems).toEqual([2, 0, 6])
   })
 
   test.each([
     ['without an id', ['Host', 'h']],
     ['with a deadline that is no number', ['Attempt-Id', 'id', 'Deadline-Ms', 'soon']],
     ['with a deadline that is too long to be one', ['Attempt-Id', 'id', 'Deadline-Ms', '9'.repeat(30)]],
-    ['with pieces that are no numbers', ['Attempt-Id', 'id', 'Chunk-Count', '1,x']],
+    ['with items that are no numbers', ['Attempt-Id', 'id', 'Chunk-Count', '1,x']],
   ])('%s is refused', (_name, raw) => {
     expect(clientCodec.readHead(raw).isErr()).toBe(true)
   })
@@ -69,46 +69,46 @@
   })
 })
 
-describe('a call to a replica', () => {
-  const call: ReplicaCall = { requestId: 'id', method: 'POST', path: '/a/', headers: [['Attempt-Id', 'id'], ['Host', 'h']], body: undefined, remainingMs: 640 }
+describe('a call to a backend server', () => {
+  const call: BackendCall = { requestId: 'id', method: 'POST', path: '/a/', headers: [['Attempt-Id', 'id'], ['Host', 'h']], body: undefined, remainingMs: 640 }
 
-  test('names the replica that is meant and the time left', () => {
-    const headers = new Map(replicaCodec.encode(new Replica(createRecord({ id: 'i-1' })), call))
+  test('names the backend server that is meant and the time left', () => {
+    const headers = new Map(backendCodec.encode(new Backend(createRecord({ id: 'i-1' })), call))
     expect(headers.get('Expected-Replica')).toBe('i-1')
     expect(headers.get('Deadline-Ms')).toBe('640')
     expect(headers.has('Tenant')).toBe(false)
   })
 
-  test('carries tenant, priority, inputs and the last event where they are given', () => {
-    const headers = new Map(replicaCodec.encode(new Replica(createRecord()), { ...call, tenant: 't', priority: 12, inputs: ['a/1', 'b/2'], lastEventId: '7' }))
+  test('carries client account, priority, inputs and the last event where they are given', () => {
+    const headers = new Map(backendCodec.encode(new Backend(createRecord()), { ...call, account: 't', priority: 12, inputs: ['a/1', 'b/2'], lastEventId: '7' }))
     expect([...headers].slice(-4)).toEqual([['Tenant', 't'], ['Request-Priority', '9'], ['Input-Count', 'a/1,b/2'], ['Last-Event-Id', '7']])
   })
 
   test.each([
     ['a whole answer', 200, {}, undefined],
-    ['a failure of the replica\'s own', 503, {}, undefined],
+    ['a failure of the backend server\'s own', 503, {}, undefined],
     ['a refusal', 503, { 'not-executed': '1' }, CallFailureKind.Refused],
     ['a lost input', 409, { 'not-executed': '1' }, CallFailureKind.InputGone],
-    ['another replica at the address', 421, {}, CallFailureKind.Misdirected],
+    ['another backend server at the address', 421, {}, CallFailureKind.Misdirected],
   ])('tells %s', (_name, status, headers, failure) => {
-    expect(replicaCodec.decode(status, { 'attempt-id': 'id', ...headers }).failure).toBe(failure)
+    expect(backendCodec.decode(status, { 'attempt-id': 'id', ...headers }).failure).toBe(failure)
   })
 
   test('reads the load, and passes over one that is none', () => {
-    expect(replicaCodec.decode(200, { 'replica-load': '3,1,8' }).load).toEqual({ running: 3, waiting: 1, capacity: 8 })
-    expect(replicaCodec.decode(200, { 'replica-load': 'x' }).load).toBeUndefined()
+    expect(backendCodec.decode(200, { 'replica-load': '3,1,8' }).load).toEqual({ running: 3, waiting: 1, capacity: 8 })
+    expect(backendCodec.decode(200, { 'replica-load': 'x' }).load).toBeUndefined()
   })
 })
 
 describe('the answer of a stage call', () => {
-  test('gives an outcome for each piece in order', () => {
+  test('gives an outcome for each item in order', () => {
     const text = JSON.stringify({ Items: [{ PromptHandle: 'a/1' }, { Reason: 'gone' }, { Reason: 'late' }, { Reason: 'room' }, { Reason: 'other' }] })
-    expect(readOutcomes(text, 5)).toEqual({ end: StageCallEnd.Done, outcomes: [{ handle: 'a/1' }, { failure: PieceFailure.InputGone }, { failure: PieceFailure.Late }, { failure: PieceFailure.NoRoom }, { failure: PieceFailure.Error }] })
+    expect(readOutcomes(text, 5)).toEqual({ end: StageCallEnd.Done, outcomes: [{ handle: 'a/1' }, { failure: ItemFailure.InputGone }, { failure: ItemFailure.Late }, { failure: ItemFailure.NoMemory }, { failure: ItemFailure.Error }] })
   })
 
   test.each([
-    ['for fewer pieces', '{"Items":[{"PromptHandle":"a/1"}]}'],
-    ['for more pieces', '{"Items":[{"PromptHandle":"a"},{"PromptHandle":"b"},{"PromptHandle":"c"}]}'],
+    ['for fewer items', '{"Items":[{"PromptHandle":"a/1"}]}'],
+    ['for more items', '{"Items":[{"PromptHandle":"a"},{"PromptHandle":"b"},{"PromptHandle":"c"}]}'],
     ['that is cut', '{"Items":[{"Prompt'],
     ['of another shape', '[]'],
   ])('%s is no answer', (_name, text) => {
--- a/test/platform/gateway.test.ts
+++ b/test/platform/gateway.test.ts
@@ -2,7 +2,7 @@
 import { request } from 'undici'
 import { afterEach, beforeEach, describe, expect, test, vi } from 'vitest'
 import { startGateway } from './support/gateway-process.js'
-import { answerUnframed, answerWhole, hang, StandInReplica, streamEvents } from './support/stand-in-backend.js'
+import { answerUnframed, answerWhole, hang, StandInBackend, streamEvents } from './support/stand-in-backend.js'
 import { StandInStore } from './support/stand-in-store.js'
 
 const ROUTE = { Host: 'host.example', TimeoutMs: 4000, TargetLatencyMs: 1000, MaxAttempts: 2 }
@@ -23,7 +23,7 @@
 let gateway: Gateway
 let address: string
 let readiness: string
-let replicas: StandInReplica[]
+let backends: StandInBackend[]
 
 beforeEach(async () => {
   store = new StandInStore()
@@ -31,21 +31,21 @@
   gateway = started.gateway
   address = started.address
   readiness = started.readiness
-  replicas = [new StandInReplica('plain-a', 'plain'), new StandInReplica('model-a', 'model'), new StandInReplica('model-b', 'model')]
-  await Promise.all(replicas.map(replica => replica.start()))
+  backends = [new StandInBackend('plain-a', 'plain'), new StandInBackend('model-a', 'model'), new StandInBackend('model-b', 'model')]
+  await Promise.all(backends.map(backend => backend.start()))
 })
 
 afterEach(async () => {
   await gateway.close()
-  await Promise.all([store.stop(), ...replicas.map(replica => replica.stop())])
+  await Promise.all([store.stop(), ...backends.map(backend => backend.stop())])
 })
 
 async function publish(): Promise<void> {
   store.put('keyed.op', 'config', CONFIGURATION)
-  for (const replica of replicas)
-    store.put('keyed.servers', replica.id, replica.entry())
+  for (const backend of backends)
+    store.put('keyed.servers', backend.id, backend.entry())
   await vi.waitFor(async () => {
-    expect(gateway.registry.size).toBe(replicas.length)
+    expect(gateway.registry.size).toBe(backends.length)
     expect((await request(readiness)).statusCode).toBe(200)
   })
 }
@@ -66,11 +66,11 @@
 describe('a request', () => {
   beforeEach(publish)
 
-  test('reaches a replica unchanged but for the system\'s own headers', async () => {
+  test('reaches a backend server unchanged but for the system\'s own headers', async () => {
     const response = await send('/plain/x?query=1', { 'x-own': 'kept', 'tenant': 'forged' })
     expect(await response.body.text()).toBe('answer to /plain/x?query=1')
     expect(response.headers['server-signature']).toBe('signed')
-    const [seen] = replicas[0].seen
+    const [seen] = backends[0].seen
     expect(seen).toMatchObject({ method: 'POST', path: '/plain/x?query=1', body: 'body' })
     expect(seen.headers).toMatchObject({ 'attempt-id': 'id-1', 'tenant': 'tenant', 'x-own': 'kept', 'expected-replica': 'plain-a', 'host': 'host.example' })
     expect(seen.headers['api-key']).toBeUndefined()
@@ -84,22 +84,22 @@
     ['with too many bytes of headers', '/plain/', { 'x-long': 'x'.repeat(9000) }, 431],
   ])('%s reaches nobody', async (_name, path, headers, status) => {
     expect((await send(path, headers)).statusCode).toBe(status)
-    expect(replicas.flatMap(replica => replica.seen)).toEqual([])
+    expect(backends.flatMap(backend => backend.seen)).toEqual([])
   })
 
   test('with too large a body reaches nobody', async () => {
     expect((await send('/plain/', {}, 'x'.repeat(2000))).statusCode).toBe(413)
-    expect(replicas.flatMap(replica => replica.seen)).toEqual([])
+    expect(backends.flatMap(backend => backend.seen)).toEqual([])
   })
 
   test('that may run once runs once, and is promised nothing when its answer is lost', async () => {
-    replicas[0].respond = (_, response) => void response.destroy()
+    backends[0].respond = (_, response) => void response.destroy()
     expect((await send('/once/x')).statusCode).toBe(502)
-    expect(replicas[0].seen).toHaveLength(1)
+    expect(backends[0].seen).toHaveLength(1)
   })
 
-  test('that may be repeated gets the replica\'s own failure where no other replica is', async () => {
-    replicas[0].respond = answerWhole(500)
+  test('that may be repeated gets the backend server\'s own failure where no other backend server is', async () => {
+    backends[0].respond = answerWhole(500)
     const response = await send('/plain/x')
     expect(response.statusCode).toBe(500)
     expect(response.headers['server-signature']).toBe('signed')
@@ -108,8 +108,8 @@
   test.each([
     ['a whole answer', '/plain/x', 0, 'answer'],
     ['a stream', '/stream/x', 1, 'id: 1\ndata: 1\n\n'],
-  ])('whose replica sends %s without a length gets it without one, so that nothing cut short is framed as complete', async (_name, path, first, body) => {
-    replicas.slice(first).forEach(replica => replica.respond = answerUnframed(body))
+  ])('whose backend server sends %s without a length gets it without one, so that nothing cut short is framed as complete', async (_name, path, first, body) => {
+    backends.slice(first).forEach(backend => backend.respond = answerUnframed(body))
     const response = await send(path)
     expect(response.statusCode).toBe(200)
     expect(response.headers).toMatchObject({ 'server-signature': 'signed', 'connection': 'close' })
@@ -118,12 +118,12 @@
     expect(await response.body.text()).toBe(body)
   })
 
-  test('whose client leaves stops its replica', async () => {
+  test('whose client leaves stops its backend server', async () => {
     const left = vi.fn()
-    replicas[0].respond = hang(left)
+    backends[0].respond = hang(left)
     const leaving = new AbortController()
     const sent = request(`${address}/plain/x`, { method: 'POST', headers: { 'host': 'host.example', 'attempt-id': 'id-1', 'api-key': 'key' }, signal: leaving.signal })
-    await vi.waitFor(() => expect(replicas[0].seen).toHaveLength(1))
+    await vi.waitFor(() => expect(backends[0].seen).toHaveLength(1))
     leaving.abort()
     await expect(sent).rejects.toThrow()
     await vi.waitFor(() => expect(left).toHaveBeenCalled())
@@ -136,15 +136,15 @@
   beforeEach(publish)
 
   test('is passed on whole', async () => {
-    replicas.slice(1).forEach(replica => replica.respond = streamEvents(6))
+    backends.slice(1).forEach(backend => backend.respond = streamEvents(6))
     const response = await send('/stream/x')
     expect(await response.body.text()).toBe(WHOLE)
   })
 
-  test('that may be resumed goes on at another replica, without a missing, doubled or half event', async () => {
+  test('that may be resumed goes on at another backend server, without a missing, doubled or half event', async () => {
     let broken = false
-    for (const replica of replicas.slice(1)) {
-      replica.respond = (seen, response) => {
+    for (const backend of backends.slice(1)) {
+      backend.respond = (seen, response) => {
         const respond = broken ? streamEvents(6) : streamEvents(6, 3)
         broken = true
         return respond(seen, response)
@@ -152,14 +152,14 @@
     }
     const response = await send('/resumed/x')
     expect(await response.body.text()).toBe(WHOLE)
-    const seen = replicas.slice(1).flatMap(replica => replica.seen)
+    const seen = backends.slice(1).flatMap(backend => backend.seen)
     expect(seen.map(entry => entry.headers['last-event-id'])).toEqual(expect.arrayContaining([undefined, '3']))
   })
 
   test('that goes on with an answer without a length ends as broken: its end cannot be told from a cut', async () => {
     let broken = false
-    for (const replica of replicas.slice(1)) {
-      replica.respond = (seen, response) => {
+    for (const backend of backends.slice(1)) {
+      backend.respond = (seen, response) => {
         const respond = broken ? answerUnframed('id: 4\ndata: 4\n\n') : streamEvents(6, 3)
         broken = true
         return respond(seen, response)
@@ -170,22 +170,22 @@
   })
 
   test('that may not be resumed ends as broken, never as whole', async () => {
-    replicas.slice(1).forEach(replica => replica.respond = streamEvents(6, 3))
+    backends.slice(1).forEach(backend => backend.respond = streamEvents(6, 3))
     const response = await send('/stream/x')
     await expect(response.body.text()).rejects.toThrow()
-    expect(replicas.slice(1).flatMap(replica => replica.seen)).toHaveLength(1)
+    expect(backends.slice(1).flatMap(backend => backend.seen)).toHaveLength(1)
   })
 })
 
 describe('a planned stop', () => {
   test('answers what is under way and what still comes, and is not ready at once', async () => {
     await publish()
-    replicas[0].respond = async (seen, response) => {
+    backends[0].respond = async (seen, response) => {
       await new Promise(resolve => setTimeout(resolve, 300))
       await answerWhole()(seen, response)
     }
     const underWay = send('/plain/x')
-    await vi.waitFor(() => expect(replicas[0].seen).toHaveLength(1))
+    await vi.waitFor(() => expect(backends[0].seen).toHaveLength(1))
     const drained = gateway.drain()
     expect((await request(readiness)).statusCode).toBe(503)
     const later = send('/plain/y', { 'attempt-id': 'id-2' })
--- a/test/platform/gateways.test.ts
+++ b/test/platform/gateways.test.ts
@@ -4,7 +4,7 @@
 import { request } from 'undici'
 import { afterEach, beforeEach, describe, expect, test, vi } from 'vitest'
 import { startGateway } from './support/gateway-process.js'
-import { StandInReplica, streamEvents } from './support/stand-in-backend.js'
+import { StandInBackend, streamEvents } from './support/stand-in-backend.js'
 import { StandInStore, StoreFault } from './support/stand-in-store.js'
 
 const LIMITS = { MaxHeaderBytes: 8000, MaxBodyBytes: 1000, HeaderTimeoutMs: 3000, IdleTimeoutMs: 5000 }
@@ -22,11 +22,11 @@
 
 let store: StandInStore
 let gateways: StartedGateway[]
-let model: StandInReplica
-let encoder: StandInReplica
+let model: StandInBackend
+let encoder: StandInBackend
 let made: number
 
-/** Makes a result for each piece, after a while. */
+/** Makes a result for each item, after a while. */
 async function makeResults(seen: SeenRequest, response: ServerResponse): Promise<void> {
   if (seen.path !== '/-/stage-run')
     return void response.end(JSON.stringify({ FreeMb: 5 }))
@@ -39,8 +39,8 @@
   made = 0
   store = new StandInStore()
   const address = await store.start()
-  model = new StandInReplica('model-a', 'model')
-  encoder = new StandInReplica('encode-a', 'encode')
+  model = new StandInBackend('model-a', 'model')
+  encoder = new StandInBackend('encode-a', 'encode')
   model.respond = streamEvents(3)
   encoder.respond = makeResults
   await Promise.all([model.start(), encoder.start()])
@@ -54,7 +54,7 @@
     for (const { gateway } of gateways) {
       expect(gateway.registry.size).toBe(2)
       expect(gateway.members.count).toBe(2)
-      expect(gateway.members.owner.name).toBe('gateway-a')
+      expect(gateway.members.coordinator.name).toBe('gateway-a')
     }
   })
 })
@@ -73,33 +73,33 @@
 }
 
 describe('two gateways', () => {
-  test('have the stages of all requests made by the owner, and hand each request its own results', async () => {
+  test('have the stages of all requests made by the coordinator, and hand each request its own results', async () => {
     const answers = await Promise.all([send(gateways[1], 'id-1'), send(gateways[0], 'id-2')])
     for (const answer of answers)
       expect(await answer.body.text()).toContain('data: 3')
-    const pieces = stageCalls().flatMap(seen => (JSON.parse(seen.body) as { Items: { Id: string, Segment: number }[] }).Items)
-    expect(pieces.map(piece => `${piece.Id}.${piece.Segment}`).sort()).toEqual(['id-1.0', 'id-1.1', 'id-2.0', 'id-2.1'])
+    const items = stageCalls().flatMap(seen => (JSON.parse(seen.body) as { Items: { Id: string, Segment: number }[] }).Items)
+    expect(items.map(item => `${item.Id}.${item.Segment}`).sort()).toEqual(['id-1.0', 'id-1.1', 'id-2.0', 'id-2.1'])
     const inputs = model.seen.map(seen => String(seen.headers['input-count']).split(','))
     expect(inputs.map(handles => handles.length)).toEqual([2, 2])
     expect(new Set(inputs.flat()).size).toBe(4)
   })
 
-  test('serve a request whose owner dies while its stages are made', async () => {
+  test('serve a request whose coordinator dies while its stages are made', async () => {
     const answer = send(gateways[1], 'id-1')
     await vi.waitFor(() => expect(stageCalls().length).toBeGreaterThan(0))
     await gateways[0].gateway.close()
     expect(await (await answer).body.text()).toContain('data: 3')
     expect(model.seen).toHaveLength(1)
-    expect(gateways[1].gateway.members.ownsStages).toBe(true)
+    expect(gateways[1].gateway.members.isCoordinator).toBe(true)
   })
 
-  test('serve a request whose owner stops while its stages are made', async () => {
+  test('serve a request whose coordinator stops while its stages are made', async () => {
     const answer = send(gateways[1], 'id-1')
     await vi.waitFor(() => expect(stageCalls().length).toBeGreaterThan(0))
     const drained = gateways[0].gateway.drain()
     expect(await (await answer).body.text()).toContain('data: 3')
     expect(model.seen).toHaveLength(1)
-    await vi.waitFor(() => expect(gateways[1].gateway.members.ownsStages).toBe(true), { timeout: 3000 })
+    await vi.waitFor(() => expect(gateways[1].gateway.members.isCoordinator).toBe(true), { timeout: 3000 })
     await drained
   })
 
--- a/test/platform/operations-page.test.ts
+++ b/test/platform/operations-page.test.ts
@@ -37,8 +37,8 @@
   test('tells every metric of the gateway that is served, and no other', async () => {
     const text = await gateway.metrics.registry.metrics()
     const served = [...text.matchAll(/^# HELP (\S+)/gm)].map(match => match[1])
-    const told = tableNames(GATEWAY_SECTION).filter(name => name.startsWith('eidermast_'))
-    expect(told.sort()).toEqual(served.sort())
+    const reported = tableNames(GATEWAY_SECTION).filter(name => name.startsWith('eidermast_'))
+    expect(reported.sort()).toEqual(served.sort())
   })
 
   test('tells every event that is written', () => {
--- a/test/platform/support/stand-in-backend.ts
+++ b/test/platform/support/stand-in-backend.ts
@@ -1,5 +1,5 @@
 /**
- * A small stand-in for a replica behind the platform's wire: plain answers
+ * A small stand-in for a backend server behind the platform's wire: plain answers
  * and streams of events, with faults that a test decides.
  */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
@@ -7,7 +7,7 @@
 import { Buffer } from 'node:buffer'
 import { createServer } from 'node:http'
 
-/** One request as the replica got it. */
+/** One request as the backend server got it. */
 export interface SeenRequest {
   method: string
   path: string
@@ -24,7 +24,7 @@
   return typeof id === 'string' ? { 'Attempt-Id': id } : {}
 }
 
-/** Answers whole with the replica's name. */
+/** Answers whole with the backend server's name. */
 export function answerWhole(status = 200): Respond {
   return (request, response) => {
     response.writeHead(status, { ...echoedId(request), 'Server-Signature': 'signed' })
@@ -62,8 +62,8 @@
   return (_, response) => void response.on('close', left)
 }
 
-/** A replica on a port of its own. */
-export class StandInReplica {
+/** A backend server on a port of its own. */
+export class StandInBackend {
   readonly seen: SeenRequest[] = []
   respond: Respond = answerWhole()
   private readonly server: Server
--- a/test/soak/gateway-soak.test.ts
+++ b/test/soak/gateway-soak.test.ts
@@ -41,27 +41,27 @@
   },
   deployment => deployment.publish(),
   async (deployment, draw) => {
-    const replica = deployment.replicas[draw(deployment.replicas.length)]
-    deployment.list(replica, 'draining')
+    const backend = deployment.backends[draw(deployment.backends.length)]
+    deployment.list(backend, 'draining')
     await new Promise(resolve => setTimeout(resolve, PAUSE_MS))
-    deployment.list(replica, 'ready')
+    deployment.list(backend, 'ready')
   },
 ]
 
-/** What a client was told against what replicas saw; undefined where it holds. */
-function findFault(told: ToldRequest, runs: number): string | undefined {
-  if (told.kind === RequestKind.Once && runs > 1)
-    return `${told.id} may run once and ran ${runs} times`
-  if (told.status === undefined)
+/** What a client was told against what backend servers saw; undefined where it holds. */
+function findFault(reported: ToldRequest, runs: number): string | undefined {
+  if (reported.kind === RequestKind.Once && runs > 1)
+    return `${reported.id} may run once and ran ${runs} times`
+  if (reported.status === undefined)
     return undefined
-  if (told.echoedId !== told.id)
-    return `${told.id} got the answer of ${told.echoedId}`
-  if (PROMISES.has(told.status) && runs > 0)
-    return `${told.id} was told ${told.status} and ran ${runs} times`
-  if (told.status !== 200 || told.body === undefined)
+  if (reported.echoedId !== reported.id)
+    return `${reported.id} got the answer of ${reported.echoedId}`
+  if (PROMISES.has(reported.status) && runs > 0)
+    return `${reported.id} was told ${reported.status} and ran ${runs} times`
+  if (reported.status !== 200 || reported.body === undefined)
     return undefined
-  const whole = told.kind === RequestKind.Stream ? WHOLE_STREAM : `answer to /${told.kind}/${told.id}`
-  return told.body === whole ? undefined : `${told.id} got ${JSON.stringify(told.body)} as whole`
+  const whole = reported.kind === RequestKind.Stream ? WHOLE_STREAM : `answer to /${reported.kind}/${reported.id}`
+  return reported.body === whole ? undefined : `${reported.id} got ${JSON.stringify(reported.body)} as whole`
 }
 
 describe('a soak of gateways as processes', () => {
@@ -86,9 +86,9 @@
       await Promise.all(faults)
       await allReady()
       await clients.stop()
-      expect(clients.told.map(told => findFault(told, deployment.runsOf(told.id))).filter(Boolean)).toEqual([])
+      expect(clients.reported.map(reported => findFault(reported, deployment.runsOf(reported.id))).filter(Boolean)).toEqual([])
       for (const kind of Object.values(RequestKind))
-        expect(clients.told.filter(told => told.kind === kind && told.status === 200).length).toBeGreaterThan(0)
+        expect(clients.reported.filter(reported => reported.kind === kind && reported.status === 200).length).toBeGreaterThan(0)
     }
     finally {
       await clients.stop()
--- a/test/soak/support/soak-clients.ts
+++ b/test/soak/support/soak-clients.ts
@@ -1,6 +1,6 @@
 /**
  * Clients of a soak: they send requests of three kinds and keep what they
- * were told, to be held against what the replicas saw.
+ * were told, to be held against what the backend servers saw.
  */
 import type { GatewayChild } from './gateway-child.js'
 import { request } from 'undici'
@@ -34,7 +34,7 @@
 
 /** Sends requests until it is stopped. */
 export class SoakClients {
-  readonly told: ToldRequest[] = []
+  readonly reported: ToldRequest[] = []
   private readonly underWay = new Set<Promise<void>>()
   private timer: NodeJS.Timeout | undefined
   private sent = 0
@@ -54,21 +54,21 @@
   private send(): void {
     const kind = KINDS[this.draw(KINDS.length)]
     const gateway = this.gateways[this.draw(this.gateways.length)]
-    const told: ToldRequest = { id: `${kind}-${this.sent++}`, kind }
-    this.told.push(told)
-    const call = this.call(gateway.address, told).catch(() => {}).finally(() => this.underWay.delete(call))
+    const reported: ToldRequest = { id: `${kind}-${this.sent++}`, kind }
+    this.reported.push(reported)
+    const call = this.call(gateway.address, reported).catch(() => {}).finally(() => this.underWay.delete(call))
     this.underWay.add(call)
   }
 
-  private async call(address: string, told: ToldRequest): Promise<void> {
-    const response = await request(`${address}/${told.kind}/${told.id}`, {
+  private async call(address: string, reported: ToldRequest): Promise<void> {
+    const response = await request(`${address}/${reported.kind}/${reported.id}`, {
       method: 'POST',
-      headers: { 'host': 'host.example', 'attempt-id': told.id, 'deadline-ms': '3000', 'chunk-count': '2', 'chunk-key': 'key' },
+      headers: { 'host': 'host.example', 'attempt-id': reported.id, 'deadline-ms': '3000', 'chunk-count': '2', 'chunk-key': 'key' },
       body: 'body',
       signal: AbortSignal.timeout(5000),
     })
-    told.status = response.statusCode
-    told.echoedId = String(response.headers['attempt-id'])
-    told.body = await response.body.text()
+    reported.status = response.statusCode
+    reported.echoedId = String(response.headers['attempt-id'])
+    reported.body = await response.body.text()
   }
 }
--- a/test/soak/support/soak-deployment.ts
+++ b/test/soak/support/soak-deployment.ts
@@ -1,5 +1,5 @@
 /**
- * What a soak plays with: a stand-in store, stand-in replicas, and gateways
+ * What a soak plays with: a stand-in store, stand-in backend servers, and gateways
  * as processes of their own.
  */
 import type { ServerResponse } from 'node:http'
@@ -7,7 +7,7 @@
 import { mkdtempSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import path from 'node:path'
-import { answerWhole, StandInReplica, streamEvents } from '../../platform/support/stand-in-backend.js'
+import { answerWhole, StandInBackend, streamEvents } from '../../platform/support/stand-in-backend.js'
 import { StandInStore } from '../../platform/support/stand-in-store.js'
 import { GatewayChild } from './gateway-child.js'
 import { RequestKind } from './soak-clients.js'
@@ -15,7 +15,7 @@
 /** Events of a whole stream. */
 export const STREAM_EVENTS = 4
 const GATEWAYS = 3
-const REPLICAS_EACH = 2
+const BACKENDS_EACH = 2
 const ANSWER_MS = 20
 const STAGE_MS = 60
 const STAGE = { Capacity: 1, Queue: 2, Batch: 6, CallMs: 40, ItemMs: 5, HeadroomMb: 5, HandleTtlS: 4, BandwidthMbps: 10_000 }
@@ -35,7 +35,7 @@
 export class SoakDeployment {
   readonly store = new StandInStore()
   readonly directory = mkdtempSync(path.join(tmpdir(), 'eidermast-soak-'))
-  readonly replicas: StandInReplica[] = []
+  readonly backends: StandInBackend[] = []
   gateways: GatewayChild[] = []
   private version = 0
   private made = 0
@@ -44,8 +44,8 @@
     const address = await this.store.start()
     const responds: Record<string, Respond> = { plain: delayed, model: streamEvents(STREAM_EVENTS), encode: (seen, response) => this.makeResults(seen, response) }
     for (const [service, respond] of Object.entries(responds)) {
-      for (let number = 0; number < REPLICAS_EACH; number++)
-        await this.addReplica(service, number, respond)
+      for (let number = 0; number < BACKENDS_EACH; number++)
+        await this.addBackend(service, number, respond)
     }
     this.publish()
     this.gateways = Array.from({ length: GATEWAYS }, (_, number) => new GatewayChild(`gateway-${number}`, address, this.directory))
@@ -54,7 +54,7 @@
 
   async stop(): Promise<void> {
     await Promise.all(this.gateways.map(gateway => gateway.end()))
-    await Promise.all(this.replicas.map(replica => replica.stop()))
+    await Promise.all(this.backends.map(backend => backend.stop()))
     await this.store.stop()
   }
 
@@ -68,22 +68,22 @@
     })
   }
 
-  /** Lists a replica as ready or as leaving. */
-  list(replica: StandInReplica, state: 'ready' | 'draining'): void {
-    this.store.put('keyed.servers', replica.id, replica.entry(state))
+  /** Lists a backend server as ready or as leaving. */
+  list(backend: StandInBackend, state: 'ready' | 'draining'): void {
+    this.store.put('keyed.servers', backend.id, backend.entry(state))
   }
 
-  /** Runs of a request that replicas began. */
+  /** Runs of a request that backend servers began. */
   runsOf(id: string): number {
-    return this.replicas.filter(replica => replica.service !== 'encode').flatMap(replica => replica.seen).filter(seen => seen.headers['attempt-id'] === id).length
+    return this.backends.filter(backend => backend.service !== 'encode').flatMap(backend => backend.seen).filter(seen => seen.headers['attempt-id'] === id).length
   }
 
-  private async addReplica(service: string, number: number, respond: Respond): Promise<void> {
-    const replica = new StandInReplica(`${service}-${number}`, service)
-    replica.respond = respond
-    await replica.start()
-    this.replicas.push(replica)
-    this.list(replica, 'ready')
+  private async addBackend(service: string, number: number, respond: Respond): Promise<void> {
+    const backend = new StandInBackend(`${service}-${number}`, service)
+    backend.respond = respond
+    await backend.start()
+    this.backends.push(backend)
+    this.list(backend, 'ready')
   }
 
   private async makeResults(seen: SeenRequest, response: ServerResponse): Promise<void> {
