--- a/packages/command-line/src/load/load-report.ts
+++ b/packages/command-line/src/load/load-report.ts
@@ -1,20 +1,21 @@
 /**
- * What a load run measured.
+ * The figures of a load run: the form that `eidermast load` prints, and the
+ * tally that counts results into it. The tally lives as long as its run.
  */
 import type { Histogram } from 'hdr-histogram-js'
 import { build } from 'hdr-histogram-js'
 
 /** How a request ended for its caller. */
 export enum LoadEnd {
-  /** Whole, within its deadline. */
+  /** Answered within its deadline. */
   Attained = 'attained',
-  /** Whole, after its deadline. */
+  /** Answered after its deadline. */
   Late = 'late',
-  /** An error was told. */
+  /** The entry answered with an error. */
   Refused = 'refused',
-  /** Something else than the whole answer to its own request. */
+  /** An answer of status 200 without an output. */
   Wrong = 'wrong',
-  /** Nothing was told. */
+  /** No answer, or one that is no JSON; the reason is in the log `eidermast:load`. */
   Lost = 'lost',
 }
 
@@ -23,7 +24,7 @@
   group: string
   sent: number
   attained: number
-  /** Attained by sent. */
+  /** Attained by sent; 1 where nothing was sent. */
   attainment: number
   late: number
   refused: number
@@ -50,6 +51,13 @@
   costByStage: Record<string, number>
 }
 
+/** What one stage of a request cost. */
+export interface StageCost {
+  stage: string
+  /** In the operators' own unit. */
+  cost: number
+}
+
 /** One finished request. */
 export interface LoadResult {
   name: string
@@ -59,13 +67,21 @@
   /** Milliseconds from the planned arrival. */
   milliseconds: number
   errorKind?: string
-  costs: { stage: string, cost: number }[]
+  costs: StageCost[]
 }
 
-const HIGHEST_MS = 600_000
+/** Milliseconds; the longest latency that a histogram tells apart. Far above any deadline, so never reached. */
+const MAX_LATENCY_MS = 600_000
+
+/** Latencies are kept to 0.1%, in whole milliseconds; finer than any figure printed. */
+const SIGNIFICANT_DIGITS = 3
 
 function createHistogram(): Histogram {
-  return build({ highestTrackableValue: HIGHEST_MS, numberOfSignificantValueDigits: 3 })
+  return build({ highestTrackableValue: MAX_LATENCY_MS, numberOfSignificantValueDigits: SIGNIFICANT_DIGITS })
+}
+
+function recordLatency(histogram: Histogram, milliseconds: number): void {
+  histogram.recordValue(Math.max(1, Math.round(milliseconds)))
 }
 
 /** Counts of one group. */
@@ -80,7 +96,7 @@
     this.sent++
     this.ends.set(result.end, this.count(result.end) + 1)
     if (result.end === LoadEnd.Attained || result.end === LoadEnd.Late)
-      this.latencies.recordValue(Math.max(1, Math.round(result.milliseconds)))
+      recordLatency(this.latencies, result.milliseconds)
   }
 
   report(): GroupReport {
@@ -127,7 +143,7 @@
       this.attained++
     if (result.errorKind !== undefined) {
       this.refusals[result.errorKind] = (this.refusals[result.errorKind] ?? 0) + 1
-      this.refusalLatencies.recordValue(Math.max(1, Math.round(result.milliseconds)))
+      recordLatency(this.refusalLatencies, result.milliseconds)
     }
     for (const { stage, cost } of result.costs)
       this.costs[stage] = (this.costs[stage] ?? 0) + cost
@@ -139,13 +155,18 @@
       ratePerSecond,
       goodputPerSecond: this.attained / seconds,
       overall: this.overall.report(),
-      groups: [...this.groups.values()].map(group => group.report()).sort((left, right) => left.group.localeCompare(right.group)),
+      groups: this.reportGroups(),
       refusals: this.refusals,
       refusalP99: this.refusalLatencies.getValueAtPercentile(99),
       costByStage: this.costs,
     }
   }
 
+  private reportGroups(): GroupReport[] {
+    const reports = [...this.groups.values()].map(group => group.report())
+    return reports.sort((left, right) => left.group.localeCompare(right.group))
+  }
+
   private groupOf(name: string): GroupTally {
     const existing = this.groups.get(name)
     if (existing)
--- a/packages/command-line/src/load/load-run.ts
+++ b/packages/command-line/src/load/load-run.ts
@@ -1,22 +1,16 @@
 /**
  * An open-loop load run: requests are sent at their planned times whether or
  * not earlier ones were answered, and latency counts from the planned time.
+ * It owns the connections and the count of results until the run ends; if the
+ * process dies, the results are lost.
  */
 import type { LoadKind } from './load-kind.js'
-import type { LoadReport, LoadResult } from './load-report.js'
+import type { LoadReport } from './load-report.js'
+import { wait } from '@eidermast/common'
 import { unsafeUniformIntDistribution, xoroshiro128plus } from 'pure-rand'
-import { Agent, request } from 'undici'
-import { LoadEnd, LoadTally } from './load-report.js'
-
-/** A burst of one client account's requests. */
-export interface LoadBurst {
-  account: string
-  /** Seconds from the start. */
-  fromSecond: number
-  toSecond: number
-  /** The account's requests are sent this many times as often. */
-  factor: number
-}
+import { Agent } from 'undici'
+import { LoadTally } from './load-report.js'
+import { sendLoadRequest } from './load-request.js'
 
 /** Options of a load run. */
 export interface LoadRunOptions {
@@ -24,139 +18,101 @@
   kinds: LoadKind[]
   /** Requests a second, of all kinds together. */
   ratePerSecond: number
+  /** How long requests are sent; the run ends when the last one has ended. */
   seconds: number
-  /**
-   * Seed of arrivals and of the mix.
-   * @default 1
-   */
-  seed?: number
-  burst?: LoadBurst
-  /**
-   * Checks an answer's output; by default any output of the right request counts.
-   */
-  verify?: (kind: LoadKind, index: number, output: string) => boolean
-  /** Creates the id that a request carries, or undefined to let the entry make one. */
-  createRequestId?: (kind: LoadKind) => string | undefined
-  /** Called about once a second with the number sent and answered. */
-  onProgress?: (sent: number, answered: number) => void
+  /** Seed of the arrivals and of the mix of kinds and entries. */
+  seed: number
+  /** Called once a second with the number of requests sent and ended. */
+  onProgress?: (sent: number, ended: number) => void
 }
 
-/** Time after its deadline for which a caller still listens, in milliseconds. */
-const PATIENCE_MS = 3000
-const RANDOM_STEPS = 1_000_000
-const PROGRESS_MS = 1000
+const MILLISECONDS_PER_SECOND = 1000
 
-interface Answer {
-  output?: string
-  kind?: string
-  stages?: { stage: string, cost: number }[]
-}
+/** Milliseconds between two reports of progress; for the eye only. */
+const PROGRESS_INTERVAL_MS = 1000
+
+/**
+ * Connections to one entry, one request each. Not measured: with fewer than
+ * the requests in flight the tool itself would delay requests; more costs only
+ * sockets.
+ */
+const MAX_CONNECTIONS_PER_ENTRY = 2000
+
+/** Values that a draw can take, evenly spread from 0 to 1; fine enough for any mix of kinds. */
+const RANDOM_STEPS = 1_000_000
 
-/** Runs a load and returns what was measured. */
-export async function runLoad(options: LoadRunOptions): Promise<LoadReport> {
+/** Runs a load and returns its figures. A request that fails is counted, never thrown. */
+export function runLoad(options: LoadRunOptions): Promise<LoadReport> {
   return new LoadRun(options).run()
 }
 
 class LoadRun {
   private readonly tally = new LoadTally()
   private readonly random
-  private readonly agent = new Agent({ connections: 2000, pipelining: 1 })
+  private readonly agent = new Agent({ connections: MAX_CONNECTIONS_PER_ENTRY, pipelining: 1 })
+  private readonly totalWeight: number
   private sent = 0
 
   constructor(private readonly options: LoadRunOptions) {
-    this.random = xoroshiro128plus(options.seed ?? 1)
+    this.random = xoroshiro128plus(options.seed)
+    this.totalWeight = options.kinds.reduce((sum, kind) => sum + kind.weight, 0)
   }
 
   async run(): Promise<LoadReport> {
-    const progress = setInterval(() => this.options.onProgress?.(this.sent, this.tally.count), PROGRESS_MS)
-    const pending: Promise<void>[] = []
-    const startedAt = performance.now()
-    const endAt = startedAt + this.options.seconds * 1000
-    let plannedAt = startedAt + this.drawGap(0)
-    while (plannedAt < endAt) {
-      const early = plannedAt - performance.now()
-      if (early > 0)
-        await new Promise(resolve => setTimeout(resolve, early))
-      pending.push(this.sendOne(plannedAt, plannedAt - startedAt))
-      plannedAt += this.drawGap(plannedAt - startedAt)
-    }
-    await Promise.all(pending)
+    const { seconds, ratePerSecond, onProgress } = this.options
+    const progress = setInterval(() => onProgress?.(this.sent, this.tally.count), PROGRESS_INTERVAL_MS)
+    await Promise.all(await this.sendAll())
     clearInterval(progress)
     await this.agent.destroy()
-    return this.tally.report(this.options.seconds, this.options.ratePerSecond)
-  }
-
-  private async sendOne(plannedAt: number, elapsedMs: number): Promise<void> {
-    const index = this.sent++
-    const kind = this.drawKind(elapsedMs)
-    const entryUrl = this.options.entryUrls[Math.floor(this.draw() * this.options.entryUrls.length)]
-    this.tally.add(await this.send(kind, index, entryUrl, plannedAt))
+    return this.tally.report(seconds, ratePerSecond)
   }
 
-  private async send(kind: LoadKind, index: number, entryUrl: string, plannedAt: number): Promise<LoadResult> {
-    const base = { name: kind.name, account: kind.account, priority: kind.priority }
-    const headers: Record<string, string> = { 'eidermast-account': kind.account }
-    const requestId = this.options.createRequestId?.(kind)
-    if (requestId)
-      headers['eidermast-request-id'] = requestId
-    try {
-      const response = await request(entryUrl + kind.path(index), {
-        method: kind.method,
-        headers,
-        body: kind.input ? JSON.stringify({ input: kind.input(index) }) : null,
-        signal: AbortSignal.timeout(kind.deadlineMs + PATIENCE_MS),
-        dispatcher: this.agent,
-      })
-      const answer = await response.body.json() as Answer
-      const milliseconds = performance.now() - plannedAt
-      if (response.statusCode !== 200)
-        return { ...base, end: LoadEnd.Refused, milliseconds, errorKind: answer.kind ?? `status-${response.statusCode}`, costs: [] }
-      const end = this.judge(kind, index, answer, milliseconds)
-      return { ...base, end, milliseconds, costs: answer.stages ?? [] }
-    }
-    catch {
-      return { ...base, end: LoadEnd.Lost, milliseconds: performance.now() - plannedAt, costs: [] }
+  /** Sends every request at its planned time; the promises end with the requests. */
+  private async sendAll(): Promise<Promise<void>[]> {
+    const pending: Promise<void>[] = []
+    const startedAt = performance.now()
+    const endAt = startedAt + this.options.seconds * MILLISECONDS_PER_SECOND
+    let plannedAt = startedAt + this.drawGap()
+    while (plannedAt < endAt) {
+      const earlyMs = plannedAt - performance.now()
+      if (earlyMs > 0)
+        await wait(earlyMs)
+      pending.push(this.sendOne(plannedAt))
+      plannedAt += this.drawGap()
     }
+    return pending
   }
 
-  private judge(kind: LoadKind, index: number, answer: Answer, milliseconds: number): LoadEnd {
-    const { verify } = this.options
-    if (kind.input && (answer.output === undefined || (verify && !verify(kind, index, answer.output))))
-      return LoadEnd.Wrong
-    return milliseconds <= kind.deadlineMs ? LoadEnd.Attained : LoadEnd.Late
-  }
-
-  /** Milliseconds to the next arrival, by a Poisson process. */
-  private drawGap(elapsedMs: number): number {
-    const rate = this.options.ratePerSecond * this.rateFactor(elapsedMs)
-    return -Math.log(1 - this.draw()) * (1000 / rate)
+  private async sendOne(plannedAt: number): Promise<void> {
+    const index = this.sent++
+    const kind = this.drawKind()
+    const entryUrl = this.drawEntry()
+    this.tally.add(await sendLoadRequest({ kind, index, entryUrl, plannedAt, dispatcher: this.agent }))
   }
 
-  /** How much a burst raises the whole rate. */
-  private rateFactor(elapsedMs: number): number {
-    const weights = this.options.kinds.reduce((sum, kind) => sum + kind.weight, 0)
-    const raised = this.options.kinds.reduce((sum, kind) => sum + this.weightAt(kind, elapsedMs), 0)
-    return raised / weights
+  /** Milliseconds to the next arrival of a Poisson process. */
+  private drawGap(): number {
+    return -Math.log(1 - this.draw()) * (MILLISECONDS_PER_SECOND / this.options.ratePerSecond)
   }
 
-  private weightAt(kind: LoadKind, elapsedMs: number): number {
-    const { burst } = this.options
-    const seconds = elapsedMs / 1000
-    const bursting = burst && burst.account === kind.account && seconds >= burst.fromSecond && seconds < burst.toSecond
-    return bursting ? kind.weight * burst.factor : kind.weight
+  private drawEntry(): string {
+    const { entryUrls } = this.options
+    return entryUrls[Math.floor(this.draw() * entryUrls.length)]
   }
 
-  private drawKind(elapsedMs: number): LoadKind {
+  /** A kind, each as often as its weight says. */
+  private drawKind(): LoadKind {
     const { kinds } = this.options
-    let left = this.draw() * kinds.reduce((sum, kind) => sum + this.weightAt(kind, elapsedMs), 0)
+    let left = this.draw() * this.totalWeight
     for (const kind of kinds) {
-      left -= this.weightAt(kind, elapsedMs)
+      left -= kind.weight
       if (left < 0)
         return kind
     }
     return kinds.at(-1)!
   }
 
+  /** A number from 0 up to, but not including, 1. */
   private draw(): number {
     return unsafeUniformIntDistribution(0, RANDOM_STEPS - 1, this.random) / RANDOM_STEPS
   }
--- a/packages/stand-ins/src/log-service.ts
+++ b/packages/stand-ins/src/log-service.ts
@@ -77,8 +77,6 @@
   private readonly now: () => number
   private tokens: number
   private refilledAt = performance.now()
-  /** Appends that were taken. */
-  private appends = 0
 
   constructor(options: LogServiceOptions = {}) {
     this.retentionMs = options.retentionMs ?? DAY_MS
@@ -104,8 +102,6 @@
       this.setFaults(JSON.parse(call.body) as Partial<LogFaults>)
       return sendJson(call.response, 200, this.faults)
     }
-    if (call.path === '/statistics')
-      return sendJson(call.response, 200, { appends: this.appends })
     const name = RECORDS_PATH.exec(call.path)?.[1]
     if (!name)
       return sendJson(call.response, 404, { message: 'no such path' })
@@ -131,7 +127,6 @@
     const { records } = appendSchema.parse(JSON.parse(call.body))
     if (this.faults.refuseAppends || !this.takeToken())
       return sendJson(call.response, 429, { message: 'too many appends' })
-    this.appends++
     const offset = this.store(stream, records)
     if (this.faults.repeatAppends > 0) {
       this.faults.repeatAppends--
