--- a/packages/common/src/wait.ts
+++ b/packages/common/src/wait.ts
@@ -2,6 +2,9 @@
  * Waits that leave no listener behind on signals that live longer.
  */
 
+/** A signal that never aborts, for a wait that only its time ends. */
+export const UNABORTED: AbortSignal = new AbortController().signal
+
 /** Waits for a time, or until one of the signals aborts. */
 export function wait(milliseconds: number, ...signals: AbortSignal[]): Promise<void> {
   return new Promise((resolve) => {
--- a/packages/daemon/src/process/decision-log.ts
+++ b/packages/daemon/src/process/decision-log.ts
@@ -3,6 +3,7 @@
  * ones kept in memory so that operators can ask why a request went where.
  */
 import type { LogFields, Logger } from '@eidermast/common'
+import type { DecisionRecorder } from '../request/decision-recorder.js'
 import { createLogger } from '@eidermast/common'
 
 /** One decision about a request. */
@@ -19,7 +20,7 @@
 const DEFAULT_CAPACITY = 20_000
 
 /** Logs and remembers decisions. */
-export class DecisionLog {
+export class DecisionLog implements DecisionRecorder {
   private readonly ring: Decision[] = []
   private next = 0
   private readonly log: Logger = createLogger('route')
--- a/packages/daemon/src/process/membership.ts
+++ b/packages/daemon/src/process/membership.ts
@@ -4,7 +4,7 @@
  * at the first sign to the contrary from any of them.
  */
 import type { Load } from '../connection/messages.js'
-import type { ChoiceCandidate } from '../request/choice.js'
+import type { LinkedBackend, LinkedBackends } from '../request/linked-backends.js'
 import type { PlannedStage } from '../request/plan.js'
 import type { Configuration } from '../version/configuration.js'
 import type { Backend } from '../version/objects.js'
@@ -39,7 +39,7 @@
 }
 
 /** A backend server that an entry keeps a link to. */
-export class Member implements ChoiceCandidate {
+export class Member implements LinkedBackend {
   private loggedState: MemberState | undefined
 
   constructor(public backend: Backend, readonly link: SideLink, private readonly machines: VirtualMachineList) {}
@@ -99,7 +99,7 @@
 }
 
 /** The backend servers of one entry. */
-export class Membership {
+export class Membership implements LinkedBackends {
   private readonly members = new Map<string, Member>()
   private membersByService = new Map<string, Member[]>()
   private readonly unsubscribe: () => void
--- a/packages/daemon/src/process/metrics.ts
+++ b/packages/daemon/src/process/metrics.ts
@@ -2,21 +2,13 @@
  * Metrics of entries and sides, by prom-client.
  */
 import type { StageCall, StageReply } from '../connection/messages.js'
+import type { RequestEnd, RequestMetrics, StageMetrics } from '../request/request-metrics.js'
 import { collectDefaultMetrics, Counter, Gauge, Histogram, Registry } from 'prom-client'
 import { StageReplyKind } from '../connection/messages.js'
 
 const SECONDS_BUCKETS = [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10]
 const MILLISECONDS_PER_SECOND = 1000
 
-/** How a request ended, for attainment. */
-export enum RequestEnd {
-  /** Whole, within its deadline. */
-  Attained = 'attained',
-  /** Whole, after its deadline. */
-  Late = 'late',
-  Error = 'error',
-}
-
 function createRegistry(): Registry {
   const registry = new Registry()
   collectDefaultMetrics({ register: registry })
@@ -24,7 +16,7 @@
 }
 
 /** Metrics of an entry. */
-export class EntryMetrics {
+export class EntryMetrics implements RequestMetrics {
   readonly registry = createRegistry()
   private readonly requests = new Counter({ name: 'eidermast_requests_total', help: 'Requests by how they ended; attainment is attained / all', labelNames: ['target', 'priority', 'end'], registers: [this.registry] })
   private readonly errors = new Counter({ name: 'eidermast_errors_total', help: 'Errors told to callers, by kind', labelNames: ['kind', 'ran'], registers: [this.registry] })
@@ -74,7 +66,7 @@
 }
 
 /** Metrics of a side. */
-export class SideMetrics {
+export class SideMetrics implements StageMetrics {
   readonly registry = createRegistry()
   private readonly stages = new Counter({ name: 'eidermast_side_stages_total', help: 'Stage calls by how they ended', labelNames: ['stage', 'end'], registers: [this.registry] })
   private readonly seconds = new Histogram({ name: 'eidermast_side_service_seconds', help: 'Service time at the backend server', labelNames: ['stage'], buckets: SECONDS_BUCKETS, registers: [this.registry] })
--- a/packages/daemon/src/process/virtual-machine-list.ts
+++ b/packages/daemon/src/process/virtual-machine-list.ts
@@ -1,8 +1,9 @@
-import { createLogger, wait } from '@eidermast/common'
 /**
  * The platform's list of live and leaving VMs. It lags and may be out; the
  * newest answer is kept meanwhile.
  */
+import type { ListedEntries } from '../request/not-run-proof.js'
+import { createLogger, wait } from '@eidermast/common'
 import { z } from 'zod'
 import { callJson } from './json-http.js'
 
@@ -52,7 +53,7 @@
 }
 
 /** The newest known VM list of one process. */
-export class VirtualMachineList {
+export class VirtualMachineList implements ListedEntries {
   private known: Map<string, VirtualMachine> | undefined
   /** When each entry VM was last listed, in epoch milliseconds. */
   private readonly entriesSeen = new Map<string, number>()
--- a/packages/daemon/src/request/not-run-proof.ts
+++ b/packages/daemon/src/request/not-run-proof.ts
@@ -4,18 +4,25 @@
  * log was last read answers that it knows of none either.
  */
 import type { EntryPeers } from '../connection/entry-peers.js'
-import type { VirtualMachineList } from '../process/virtual-machine-list.js'
 import type { ClaimRegistry } from './claims.js'
 import { OutcomeState } from '../connection/messages.js'
 
 /** Milliseconds by which the VM list may lag behind. */
 const LIST_LAG_MS = 30_000
 
+/** The entries that the platform's VM list named. */
+export interface ListedEntries {
+  /** Whether the list was read at least once. */
+  readonly hasRead: boolean
+  /** Addresses of every entry that was listed within the last milliseconds. */
+  entryAddressesWithin: (milliseconds: number) => string[]
+}
+
 /** Parts of the proof. */
 export interface NotRunProofOptions {
   claims: ClaimRegistry
   peers: EntryPeers
-  machines: VirtualMachineList
+  machines: ListedEntries
   /** This entry's own address between processes. */
   address: string
 }
--- a/packages/daemon/src/request/outcome-finder.ts
+++ b/packages/daemon/src/request/outcome-finder.ts
@@ -3,19 +3,20 @@
  * to run. Never runs anything.
  */
 import type { EntryPeers } from '../connection/entry-peers.js'
-import type { DecisionLog } from '../process/decision-log.js'
-import type { Membership } from '../process/membership.js'
 import type { RequestAnswer } from './answer.js'
 import type { Claim, ClaimRegistry } from './claims.js'
+import type { DecisionRecorder } from './decision-recorder.js'
+import type { IncomingRequest } from './incoming-request.js'
+import type { LinkedBackends } from './linked-backends.js'
 import type { OutcomeTable } from './outcomes.js'
-import type { IncomingRequest } from './request-service.js'
 import type { Ticket } from './tickets.js'
-import { createError, ErrorKind, settleWithin } from '@eidermast/common'
+import { createError, ErrorKind, settleWithin, UNABORTED } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
 import { ForwardState } from '../connection/entry-peers.js'
 import { StageReplyKind } from '../connection/messages.js'
 import { parseAnswer } from './answer.js'
 import { createRequestKey, digestRequest } from './identity.js'
+import { remainingMs } from './incoming-request.js'
 
 /** Parts of an outcome finder. */
 export interface OutcomeFinderOptions {
@@ -23,8 +24,8 @@
   claims: ClaimRegistry
   outcomes: OutcomeTable
   peers: EntryPeers
-  membership: Membership
-  decisions: DecisionLog
+  membership: LinkedBackends
+  decisions: DecisionRecorder
 }
 
 /** A request that another entry asks for. */
@@ -36,9 +37,6 @@
   deadlineMs: number
 }
 
-/** A signal that never aborts. */
-const NEVER = new AbortController().signal
-
 /** Finds outcomes for one entry. */
 export class OutcomeFinder {
   constructor(private readonly options: OutcomeFinderOptions) {}
@@ -51,7 +49,7 @@
     if (known && known.digest !== digest)
       return Err(createError(ErrorKind.RequestIdReused, 'This request id was used for another request; make a new id.'))
     if (known) {
-      const answer = await settleWithin(known.answer, deadlineMs, NEVER)
+      const answer = await settleWithin(known.answer, deadlineMs, UNABORTED)
       return (known.finished ?? answer) ?? Err(createError(ErrorKind.OutcomeUnknown, 'The request still runs or its answer is no longer kept; ask for its outcome with GET /v1/requests/{id}.'))
     }
     const holder = this.options.claims.find(key)
@@ -63,7 +61,7 @@
   /** Another process life holds the claim: asks it, then the sides of the last stage, and never runs the request. */
   async askHolder(incoming: IncomingRequest, requestId: string, holder: Claim): Promise<RequestAnswer> {
     const { account, plan, body } = incoming
-    const deadlineMs = incoming.arrivedAt + plan.deadlineMs - performance.now()
+    const deadlineMs = remainingMs(incoming)
     if (holder.incarnation === this.options.incarnation)
       return this.answerForPeer({ account, requestId, digest: digestRequest(plan.target, body), deadlineMs })
     const { state, answer } = await this.options.peers.forward(holder.address, holder.incarnation, { account, requestId, target: plan.target, body, deadlineMs })
@@ -91,7 +89,7 @@
   async forward(incoming: IncomingRequest, requestId: string, ticket: Ticket): Promise<RequestAnswer> {
     const { account, plan, body, ticketText } = incoming
     const [stage] = plan.stages
-    const deadlineMs = incoming.arrivedAt + plan.deadlineMs - performance.now()
+    const deadlineMs = remainingMs(incoming)
     const { state, answer } = await this.options.peers.forward(ticket.address, ticket.incarnation, {
       account,
       requestId,
--- a/packages/daemon/src/request/request-runner.ts
+++ b/packages/daemon/src/request/request-runner.ts
@@ -3,9 +3,9 @@
  * Runs the stages of one request in order, from its plan to its one answer.
  */
 import type { LinkTokenListener } from '../connection/side-link.js'
-import type { EntryMetrics } from '../process/metrics.js'
 import type { RequestAnswer, StageReport, WholeAnswer } from './answer.js'
 import type { PlannedStage, RequestPlan } from './plan.js'
+import type { RequestMetrics } from './request-metrics.js'
 import type { StageBudgetPolicy } from './stage-budget.js'
 import type { RequestProgress, StageCaller, StageTask } from './stage-caller.js'
 import { createError, ErrorKind, RecentTimesByKey } from '@eidermast/common'
@@ -30,7 +30,7 @@
 export interface RequestRunnerOptions {
   stageCaller: StageCaller
   stageBudget: StageBudgetPolicy
-  metrics: EntryMetrics
+  metrics: RequestMetrics
 }
 
 /** Recent time of a later stage that is kept free for it. */
--- a/packages/daemon/src/request/request-service.ts
+++ b/packages/daemon/src/request/request-service.ts
@@ -3,46 +3,27 @@
  * Takes requests in at an entry: joins repeats, admits or sheds, makes sure
  * that an unrepeatable request is run by one process life only, and runs it.
  */
-import type { LinkTokenListener } from '../connection/side-link.js'
-import type { DecisionLog } from '../process/decision-log.js'
-import type { Membership } from '../process/membership.js'
-import type { EntryMetrics } from '../process/metrics.js'
 import type { AdmissionPolicy } from './admission.js'
 import type { RequestAnswer } from './answer.js'
 import type { ClaimRegistry } from './claims.js'
+import type { DecisionRecorder } from './decision-recorder.js'
+import type { IncomingRequest } from './incoming-request.js'
+import type { LinkedBackends } from './linked-backends.js'
 import type { NotRunProof } from './not-run-proof.js'
 import type { OutcomeFinder } from './outcome-finder.js'
 import type { Outcome, OutcomeTable } from './outcomes.js'
 import type { RequestPlan } from './plan.js'
+import type { RequestMetrics } from './request-metrics.js'
 import type { RequestRunner } from './request-runner.js'
-import type { Ticket } from './tickets.js'
-import { createError, ErrorKind, Ran, settleWithin } from '@eidermast/common'
+import { createError, ErrorKind, Ran, settleWithin, UNABORTED } from '@eidermast/common'
 import { Err } from 'ts-results-es'
 import { OutcomeState } from '../connection/messages.js'
-import { RequestEnd } from '../process/metrics.js'
 import { AccountLoad } from './account-load.js'
 import { predictWaitMs } from './choice.js'
 import { ClaimResultKind } from './claims.js'
 import { createRequestId, createRequestKey, digestRequest, requestIdTime } from './identity.js'
-
-/** A request as it came in. */
-export interface IncomingRequest {
-  account: string
-  /** Weight of the client account. */
-  share: number
-  /** The id that the caller made, if any. */
-  requestId?: string
-  /** The checked ticket that the request comes with, if any. */
-  ticket?: Ticket
-  /** The ticket as the caller sent it. */
-  ticketText?: string
-  plan: RequestPlan
-  body: string
-  /** Time of the process clock at which the request came, in milliseconds. */
-  arrivedAt: number
-  callerGone: AbortSignal
-  onToken?: LinkTokenListener
-}
+import { remainingMs } from './incoming-request.js'
+import { RequestEnd } from './request-metrics.js'
 
 /** Parts of a request service. */
 export interface RequestServiceOptions {
@@ -56,17 +37,14 @@
   outcomes: OutcomeTable
   proof: NotRunProof
   finder: OutcomeFinder
-  membership: Membership
-  decisions: DecisionLog
-  metrics: EntryMetrics
+  membership: LinkedBackends
+  decisions: DecisionRecorder
+  metrics: RequestMetrics
 }
 
 /** How far a caller's clock may be ahead, in milliseconds. */
 const CLOCK_AHEAD_MS = 60_000
 
-/** A signal that never aborts. */
-const NEVER = new AbortController().signal
-
 /** Where the authority to run a request stands. */
 type Authority = { granted: true } | { granted: false, answer: RequestAnswer, state: OutcomeState }
 
@@ -191,7 +169,7 @@
     }
     const { account, plan, body, arrivedAt, callerGone, onToken } = incoming
     // The one run of an unrepeatable request goes on without its caller, who may come back for the answer.
-    const stopSignal = plan.unrepeatable ? NEVER : callerGone
+    const stopSignal = plan.unrepeatable ? UNABORTED : callerGone
     const answer = await this.options.runner.run({ account, requestId, plan, body, deadlineAt: arrivedAt + plan.deadlineMs, callerGone: stopSignal, onToken })
     this.options.outcomes.finish(outcome, answer)
     // A repeatable request that failed may be sent again under its id.
@@ -202,10 +180,9 @@
 
   /** Claims an unrepeatable request; gives up at once when the log cannot say who holds it. */
   private async claim(incoming: IncomingRequest, requestId: string, outcome: Outcome): Promise<Authority> {
-    const { account, plan, arrivedAt, callerGone } = incoming
+    const { account, callerGone } = incoming
     const attempt = this.options.claims.claim(account, requestId)
-    const deadlineMs = arrivedAt + plan.deadlineMs - performance.now()
-    const result = await settleWithin(attempt.result, deadlineMs, callerGone)
+    const result = await settleWithin(attempt.result, remainingMs(incoming), callerGone)
     this.options.decisions.record('claim', requestId, { account, result: result?.kind ?? 'over' })
     this.options.metrics.recordClaim(result?.kind ?? 'over')
     if (!result) {
@@ -277,7 +254,6 @@
 
 /** Waits for a running request's answer within the deadline of its repeat. */
 async function waitForAnswer(answer: Promise<RequestAnswer>, incoming: IncomingRequest): Promise<RequestAnswer> {
-  const deadlineMs = incoming.arrivedAt + incoming.plan.deadlineMs - performance.now()
-  const settled = await settleWithin(answer, deadlineMs, incoming.callerGone)
+  const settled = await settleWithin(answer, remainingMs(incoming), incoming.callerGone)
   return settled ?? Err(createError(ErrorKind.DeadlineExceeded, 'The request still runs; ask for its outcome with GET /v1/requests/{id}.', { ran: Ran.Unknown }))
 }
--- a/packages/daemon/src/request/stage-caller.ts
+++ b/packages/daemon/src/request/stage-caller.ts
@@ -6,13 +6,13 @@
  */
 import type { DoneReply, FailedReply, RefusedReply, StageCall } from '../connection/messages.js'
 import type { LinkResult, LinkTokenListener } from '../connection/side-link.js'
-import type { DecisionLog } from '../process/decision-log.js'
-import type { Member, Membership } from '../process/membership.js'
-import type { EntryMetrics } from '../process/metrics.js'
 import type { Priority } from '../version/objects.js'
 import type { StageReport } from './answer.js'
 import type { ChoicePolicy } from './choice.js'
+import type { DecisionRecorder } from './decision-recorder.js'
+import type { LinkedBackend, LinkedBackends } from './linked-backends.js'
 import type { PlannedStage } from './plan.js'
+import type { RequestMetrics } from './request-metrics.js'
 import type { RetryPolicy } from './retry.js'
 import { createError, ErrorKind, Ran, wait } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
@@ -63,12 +63,12 @@
 export interface StageCallerOptions {
   entryIncarnation: string
   failureDomain: string
-  membership: Membership
+  membership: LinkedBackends
   choice: ChoicePolicy
   ejection: EjectionPolicy
   retry: RetryPolicy
-  decisions: DecisionLog
-  metrics: EntryMetrics
+  decisions: DecisionRecorder
+  metrics: RequestMetrics
   /** Offset of the configuration in force. */
   offset: () => number
 }
@@ -81,12 +81,12 @@
 
 /** Members that a stage was tried on. */
 interface TriedMembers {
-  refused: Set<Member>
-  failed: Set<Member>
+  refused: Set<LinkedBackend>
+  failed: Set<LinkedBackend>
 }
 
 interface Attempt {
-  member: Member
+  member: LinkedBackend
   call: StageCall
   number: number
   startedAt: number
@@ -124,7 +124,7 @@
     }
   }
 
-  private choose(task: StageTask, tried: TriedMembers, number: number): Member | undefined {
+  private choose(task: StageTask, tried: TriedMembers, number: number): LinkedBackend | undefined {
     const { membership, ejection, choice, failureDomain, decisions } = this.options
     const inForce = membership.candidates(task.stage)
     const candidates = leaveOutTried(ejection.filter(inForce), tried)
@@ -144,7 +144,7 @@
     return chosen
   }
 
-  private createAttempt(task: StageTask, member: Member, number: number, budgetMs: number): Attempt {
+  private createAttempt(task: StageTask, member: LinkedBackend, number: number, budgetMs: number): Attempt {
     const { stage, account, requestId, input, priority } = task
     const { entryIncarnation } = this.options
     const identity = { entryIncarnation, account, requestId, stage: stage.name, attempt: number, sideIncarnation: member.link.incarnation! }
@@ -288,7 +288,7 @@
 }
 
 /** Members not tried yet; else those that failed, since another call may succeed there. */
-function leaveOutTried(members: Member[], tried: TriedMembers): Member[] {
+function leaveOutTried(members: LinkedBackend[], tried: TriedMembers): LinkedBackend[] {
   const untried = members.filter(member => !tried.refused.has(member) && !tried.failed.has(member))
   return untried.length > 0 ? untried : members.filter(member => tried.failed.has(member) && !tried.refused.has(member))
 }
--- a/packages/daemon/src/request/stage-runner.ts
+++ b/packages/daemon/src/request/stage-runner.ts
@@ -5,8 +5,8 @@
  */
 import type { BackendClient, BackendResult } from '../connection/backend-client.js'
 import type { CancelReply, Load, StageCall, StageReply } from '../connection/messages.js'
-import type { DecisionLog } from '../process/decision-log.js'
-import type { SideMetrics } from '../process/metrics.js'
+import type { DecisionRecorder } from './decision-recorder.js'
+import type { StageMetrics } from './request-metrics.js'
 import type { StageQueue, WaitingCall } from './stage-queue.js'
 import type { StageRun, StageTable, TokenListener } from './stage-table.js'
 import { RecentTimesByKey } from '@eidermast/common'
@@ -29,8 +29,8 @@
   table: StageTable
   queue: StageQueue
   slots: number
-  decisions: DecisionLog
-  metrics: SideMetrics
+  decisions: DecisionRecorder
+  metrics: StageMetrics
 }
 
 /** Time to come back after a refusal where nothing is known, in milliseconds. */
