--- a/packages/common/src/ejection.ts
+++ b/packages/common/src/ejection.ts
@@ -21,8 +21,8 @@
   filter: <Subject extends EjectionSubject>(candidates: readonly Subject[]) => Subject[]
   recordSuccess: (backendName: string, pool: string, milliseconds: number) => void
   recordFailure: (backendName: string) => void
-  /** A call was given up without an end after a time, in milliseconds. */
-  recordGivenUp: (backendName: string, pool: string, milliseconds: number) => void
+  /** A call was abandoned without an end after a time, in milliseconds. */
+  recordAbandoned: (backendName: string, pool: string, milliseconds: number) => void
 }
 
 /** The baseline: nobody is left out. */
@@ -35,7 +35,7 @@
 
   recordFailure(): void {}
 
-  recordGivenUp(): void {}
+  recordAbandoned(): void {}
 }
 
 interface BackendHealth {
@@ -101,8 +101,8 @@
       this.eject(backendName, health, 'failing')
   }
 
-  /** A call that has run far longer than its pool's calls do counts as failed, whoever gave it up. */
-  recordGivenUp(backendName: string, pool: string, milliseconds: number): void {
+  /** A call that has run far longer than its pool's calls do counts as failed, whoever abandoned it. */
+  recordAbandoned(backendName: string, pool: string, milliseconds: number): void {
     const times = this.poolTimes.of(pool)
     if (times.count >= SLOW_MINIMUM_CALLS && milliseconds > times.quantile(0.5) * SLOW_FACTOR + SLOW_MARGIN_MS)
       this.recordFailure(backendName)
--- a/packages/daemon/src/request/stage-caller.ts
+++ b/packages/daemon/src/request/stage-caller.ts
@@ -238,7 +238,7 @@
     const { backendName } = attempt.member
     // A call that ended with its request says nothing, unless it had run far too long.
     if (task.signal.aborted)
-      this.options.ejection.recordGivenUp(backendName, task.stage.service, performance.now() - attempt.startedAt)
+      this.options.ejection.recordAbandoned(backendName, task.stage.service, performance.now() - attempt.startedAt)
     else
       this.options.ejection.recordFailure(backendName)
   }
--- a/packages/gateway/src/request/backend-run.ts
+++ b/packages/gateway/src/request/backend-run.ts
@@ -263,7 +263,7 @@
     else if (result.failure?.kind === CallFailureKind.Broken || result.failure?.kind === CallFailureKind.NotSent)
       ejection.recordFailure(replica.id)
     else if (result.failure?.kind === CallFailureKind.Aborted && !this.signal.aborted && controller.signal.aborted)
-      ejection.recordGivenUp(replica.id, replica.service, tookMs)
+      ejection.recordAbandoned(replica.id, replica.service, tookMs)
     if (result.failure)
       this.parts.log.write('call-failed', { request: this.request.head.requestId, replica: replica.id, kind: result.failure.kind, reason: result.failure.message, tookMs: Math.round(tookMs) })
     if (result.failure?.kind === CallFailureKind.Misdirected)
--- a/test/request/decisions.test.ts
+++ b/test/request/decisions.test.ts
@@ -95,13 +95,13 @@
     expect(names(ejection.filter(pool))).toEqual(['a', 'c'])
   })
 
-  test('counts calls that were given up after far too long, and no others', () => {
+  test('counts calls that were abandoned after far too long, and no others', () => {
     const ejection = new OutlierEjection(() => clock)
     for (let index = 0; index < 5; index++)
       ejection.recordSuccess('a', 'pool', 10)
     for (let index = 0; index < 3; index++) {
-      ejection.recordGivenUp('b', 'pool', 500)
-      ejection.recordGivenUp('c', 'pool', 30)
+      ejection.recordAbandoned('b', 'pool', 500)
+      ejection.recordAbandoned('c', 'pool', 30)
     }
     expect(names(ejection.filter(pool))).toEqual(['a', 'c'])
   })
