--- a/packages/gateway/src/request/backend-run.ts
+++ b/packages/gateway/src/request/backend-run.ts
@@ -263,7 +263,7 @@
     else if (result.failure?.kind === CallFailureKind.Broken || result.failure?.kind === CallFailureKind.NotSent)
       ejection.recordFailure(backend.id)
     else if (result.failure?.kind === CallFailureKind.Aborted && !this.signal.aborted && controller.signal.aborted)
-      ejection.recordGivenUp(backend.id, backend.service, tookMs)
+      ejection.recordAbandoned(backend.id, backend.service, tookMs)
     if (result.failure)
       this.parts.log.write('call-failed', { request: this.request.head.requestId, backend: backend.id, kind: result.failure.kind, reason: result.failure.message, tookMs: Math.round(tookMs) })
     if (result.failure?.kind === CallFailureKind.Misdirected)
