--- a/packages/gateway/src/connection/client-codec.ts
+++ b/packages/gateway/src/connection/client-codec.ts
@@ -4,9 +4,14 @@
  */
 import type { RequestError } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
-import type { PromptPart } from '../request/backend-choice.js'
 import type { HeaderList } from './backend-client.js'
 
+/** One part of a prompt; several requests may begin with the same parts. */
+export interface PromptPart {
+  id: string
+  tokens: number
+}
+
 /** What a request's head says. */
 export interface ClientRequestHead {
   requestId: string
--- a/packages/gateway/src/connection/client-server.ts
+++ b/packages/gateway/src/connection/client-server.ts
@@ -5,12 +5,12 @@
 import type { EventLog, RequestError } from '@eidermast/common'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { Result } from 'ts-results-es'
-import type { PassThrough } from '../request/pass-through.js'
 import type { ConfigurationHolder } from '../version/configuration-holder.js'
 import type { ClientLimits } from '../version/configuration.js'
 import type { HeaderList } from './backend-client.js'
 import type { ClientAnswer } from './client-answer.js'
 import type { ClientCodec, ClientRequestHead } from './client-codec.js'
+import type { RequestHandler } from './client-request.js'
 import { createServer } from 'node:http'
 import { createError, ErrorKind } from '@eidermast/common'
 
@@ -30,7 +30,7 @@
   private refusing = false
 
   constructor(
-    private readonly passThrough: PassThrough,
+    private readonly handler: RequestHandler,
     private readonly codec: ClientCodec,
     configuration: ConfigurationHolder,
     private readonly log: EventLog,
@@ -125,7 +125,7 @@
       return answer.reject(createError(ErrorKind.BodyTooLarge, `send at most ${this.limits.maxBodyBytes} bytes`))
     if (body === 'broken')
       return
-    await this.passThrough.serve({ method: request.method!, path: request.url!, head: head.value, body, arrivedAt }, answer, signal)
+    await this.handler.serve({ method: request.method!, path: request.url!, head: head.value, body, arrivedAt }, answer, signal)
   }
 
   private async readBody(request: IncomingMessage): Promise<Buffer | undefined | 'too-large' | 'broken'> {
--- a/packages/gateway/src/request/backend-choice.ts
+++ b/packages/gateway/src/request/backend-choice.ts
@@ -4,14 +4,9 @@
  */
 import type { EjectionPolicy } from '@eidermast/common'
 import type { Backend } from '../connection/backend.js'
+import type { PromptPart } from '../connection/client-codec.js'
 import { rankByRendezvous } from './rendezvous.js'
 
-/** One part of a prompt; parts may be shared between requests. */
-export interface PromptPart {
-  id: string
-  tokens: number
-}
-
 /** What a choice goes by. */
 export interface ChoiceSubject {
   /** Parts of the prompt in order; the last one belongs to the request itself. */
--- a/packages/gateway/src/request/backend-run.ts
+++ b/packages/gateway/src/request/backend-run.ts
@@ -6,10 +6,9 @@
 import type { BackendAnswer, BackendCall, BackendClient, CallFailure } from '../connection/backend-client.js'
 import type { Backend } from '../connection/backend.js'
 import type { ClientAnswer } from '../connection/client-answer.js'
-import type { BackendRegistry } from '../process/backend-registry.js'
 import type { WholeAnswer } from './answer-relay.js'
-import type { RoutedRequest } from './pass-through.js'
 import type { RetryBudget } from './retry-budget.js'
+import type { RoutedRequest } from './routed-request.js'
 import { createError, ErrorKind, Ran } from '@eidermast/common'
 import { CallFailureKind, provesNotRun } from '../connection/backend-client.js'
 import { passWhole, readWhole, relayStream } from './answer-relay.js'
@@ -27,9 +26,17 @@
   renew?: () => Promise<readonly string[] | undefined>
 }
 
+/** The backend servers that are known; implemented by the process's registry. */
+export interface KnownBackends {
+  /** Backend servers of a service that take new work. */
+  available: (service: string) => Backend[]
+  /** Sends nothing to a backend server from now on. */
+  remove: (id: string, reason: string) => void
+}
+
 /** What runs work with. */
 export interface BackendRunParts {
-  registry: BackendRegistry
+  registry: KnownBackends
   client: BackendClient
   ejection: EjectionPolicy
   budget: RetryBudget
--- a/packages/gateway/src/request/backend-runner.ts
+++ b/packages/gateway/src/request/backend-runner.ts
@@ -6,7 +6,7 @@
 import type { ClientAnswer } from '../connection/client-answer.js'
 import type { BackendChoice, ChoiceSubject } from './backend-choice.js'
 import type { BackendRunParts, RunInputs } from './backend-run.js'
-import type { RoutedRequest } from './pass-through.js'
+import type { RoutedRequest } from './routed-request.js'
 import { BackendRun } from './backend-run.js'
 
 /** What the runner works with. */
--- a/packages/gateway/src/request/pass-through.ts
+++ b/packages/gateway/src/request/pass-through.ts
@@ -4,13 +4,13 @@
  */
 import type { EventLog, RequestError } from '@eidermast/common'
 import type { ClientAnswer } from '../connection/client-answer.js'
-import type { ClientRequestHead } from '../connection/client-codec.js'
+import type { ClientRequest, RequestHandler } from '../connection/client-request.js'
 import type { PreparationRequest, Preparer } from '../connection/preparation.js'
-import type { GatewayMetrics } from '../process/gateway-metrics.js'
 import type { ConfigurationHolder } from '../version/configuration-holder.js'
 import type { ClientAccount, Route } from '../version/configuration.js'
 import type { RouteTable } from '../version/route-table.js'
 import type { BackendRunner } from './backend-runner.js'
+import type { RoutedRequest } from './routed-request.js'
 import { createError, ErrorKind, Ran } from '@eidermast/common'
 import { PreparationFailureKind } from '../connection/preparation.js'
 import { pickService } from '../version/route-table.js'
@@ -28,30 +28,9 @@
 /** Time kept for the answer's way back, in milliseconds. */
 const ANSWER_MARGIN_MS = 20
 
-/** A request that was read whole. */
-export interface ClientRequest {
-  method: string
-  /** Path with its query. */
-  path: string
-  head: ClientRequestHead
-  body: Buffer | undefined
-  /** When its first byte was read, on the process clock. */
-  arrivedAt: number
-}
-
-/** A request with what the configuration says of it. */
-export interface RoutedRequest extends ClientRequest {
-  route: Route
-  account: ClientAccount | undefined
-  service: string
-  /** 0 is the most urgent. */
-  priority: number
-  /** When it must be answered, on the process clock. */
-  deadlineAt: number
-  /** When its client gives up without a first event, on the process clock. */
-  firstEventBy: number
-  /** The client was told to come back, and did. */
-  isRetry: boolean
+/** Counts requests for the metrics page; implemented by the process. */
+export interface RequestMetrics {
+  countRequest: (route: string, outcome: string, milliseconds: number) => void
 }
 
 /** What the pass-through works with. */
@@ -59,12 +38,12 @@
   configuration: ConfigurationHolder
   preparer: Preparer
   runner: BackendRunner
-  metrics: GatewayMetrics
+  metrics: RequestMetrics
   log: EventLog
 }
 
 /** Serves requests on the configured routes. */
-export class PassThrough {
+export class PassThrough implements RequestHandler {
   /** The longest time that clients gave, by route, in milliseconds. */
   private readonly longestDeadlines = new Map<string, number>()
 
