--- a/packages/gateway/src/process/stages/stage-admission.ts
+++ b/packages/gateway/src/process/stages/stage-admission.ts
@@ -3,7 +3,8 @@
  * fluid one: the items of all requests that go before, at the speed of the
  * backend servers that can be used, and the request's own way through its stages.
  */
-import type { PreparationRequest, PreparationStage } from '../../connection/preparation.js'
+import type { PreparationRequest } from '../../connection/preparation.js'
+import { ANSWER_TIME_MS, longestWayThrough } from '../../request/stages/stage-graph.js'
 
 /** Speed of one service now. */
 export interface ServicePace {
@@ -37,8 +38,6 @@
   retryAfterMs: number
 }
 
-/** Expected time from the last stage to the first event of the answer, in milliseconds. */
-export const ANSWER_TIME_MS = 250
 /** Waiting that no target forbids, in milliseconds: some targets are below the time of the stages themselves. */
 const ALWAYS_ALLOWED_WAIT_MS = 300
 const MIN_RETRY_MS = 300
@@ -70,15 +69,5 @@
     const total = items + ahead.reduce((sum, work) => sum + work.remainingItems(service), 0)
     wait = Math.max(wait, total * pace.itemMs / pace.backends - pace.callMs)
   }
-  return wait + longestWay(request.stages, service => paceOf(service)?.callMs ?? 0) + ANSWER_TIME_MS
-}
-
-/** Time of the longest way through the stages, in milliseconds. */
-function longestWay(stages: readonly PreparationStage[], callMsOf: (service: string) => number): number {
-  const ends: number[] = []
-  for (const stage of stages) {
-    const begins = Math.max(0, ...stage.dependsOn.map(dependency => ends[dependency] ?? 0))
-    ends.push(begins + (stage.items > 0 ? callMsOf(stage.service) : 0))
-  }
-  return Math.max(0, ...ends)
+  return wait + longestWayThrough(request.stages, service => paceOf(service)?.callMs ?? 0) + ANSWER_TIME_MS
 }
--- a/packages/gateway/src/process/stages/stage-backend.ts
+++ b/packages/gateway/src/process/stages/stage-backend.ts
@@ -3,6 +3,7 @@
  * One backend server that makes stage results, as the scheduler accounts for it:
  * whether it is at work, how fast it is, and what room its results take.
  */
+import type { ResultHolder } from '../../request/stages/stage-task.js'
 import type { StageLimits } from '../../version/configuration.js'
 
 /** First pause after a failed call, in milliseconds; it doubles with each further one. */
@@ -34,7 +35,7 @@
 }
 
 /** Accounts for one backend server; times are on the process clock, in milliseconds. */
-export class StageBackend {
+export class StageBackend implements ResultHolder {
   callsUnderWay = 0
   /** When the call under way should end. */
   busyUntil = 0
@@ -132,7 +133,7 @@
   }
 
   /** Gives a result up; false where that was done before. Its room is taken until it is dropped. */
-  giveUp(handle: string): boolean {
+  markFreeing(handle: string): boolean {
     const result = this.held.get(handle)
     if (!result || result.freeing)
       return false
@@ -174,7 +175,7 @@
   }
 
   /** Milliseconds until a result ends by itself. */
-  remainingLife(handle: string, now: number): number {
+  remainingLifetimeMs(handle: string, now: number): number {
     return Math.max(0, (this.held.get(handle)?.expiresAt ?? now) - now)
   }
 
--- a/packages/gateway/src/process/stages/stage-pool.ts
+++ b/packages/gateway/src/process/stages/stage-pool.ts
@@ -2,7 +2,7 @@
 import type { Backend } from '../../connection/backend.js'
 import type { StageProgress } from '../../connection/preparation.js'
 import type { ItemOutcome, StageCallResult, StageClient, StageItem } from '../../connection/stage-client.js'
-import type { StageResult, StageTask } from '../../request/stages/stage-task.js'
+import type { ResultHolder, StageResult, StageTask, StageTaskQueue, SubmittedTask } from '../../request/stages/stage-task.js'
 /**
  * The backend servers of one stage service and the tasks that wait for them. Items
  * of all requests are gathered into batches: whole tasks first, near their
@@ -53,26 +53,18 @@
   ended: boolean
 }
 
-/** A task that a pool has taken. */
-export interface SubmittedTask {
-  /** Ends it without a report; items under way are freed when they are made. */
-  cancel: () => void
-  /** Whether every item that is not made is at a backend server. */
-  isUnderWay: () => boolean
-}
-
 /** Says whether items may be sent once more, and counts them. */
 export interface RepeatAllowance {
   takeRepeats: (service: string, count: number) => boolean
 }
 
 /** Gathers and runs the items of one service. */
-export class StagePool {
+export class StagePool implements StageTaskQueue {
   private readonly backends = new Map<string, StageBackend>()
   private queue: TaskState[] = []
   private typicalResultBytes = 0
   private otherCoordinatorUntil = 0
-  private readonly toFree = new Map<StageBackend, string[]>()
+  private readonly toFree = new Map<ResultHolder, string[]>()
 
   constructor(
     readonly service: string,
@@ -151,7 +143,7 @@
     return progress.results.map(({ handle, bytes, remainingMs }, index) => {
       const backend = backends[index]!
       backend.adopt(handle, bytes, remainingMs, now)
-      return { handle, backend, bytes }
+      return { handle, holder: backend, bytes }
     })
   }
 
@@ -163,15 +155,16 @@
 
   /** Gives a result up. */
   free(result: StageResult): void {
-    if (!result.backend.giveUp(result.handle))
+    const { handle, holder } = result
+    if (!holder.markFreeing(handle))
       return
-    const handles = this.toFree.get(result.backend)
+    const handles = this.toFree.get(holder)
     if (handles) {
-      handles.push(result.handle)
+      handles.push(handle)
       return
     }
-    this.toFree.set(result.backend, [result.handle])
-    setTimeout(() => this.flushFrees(result.backend), FREE_DELAY_MS)
+    this.toFree.set(holder, [handle])
+    setTimeout(() => this.flushFrees(holder), FREE_DELAY_MS)
   }
 
   /** Lets waiting tasks end that can no longer be in time, and begins what can be begun. */
@@ -214,7 +207,7 @@
 
   /** A call for items whose inputs have ended would cost its time and bring nothing. */
   private endTasksWithoutInputs(now: number): void {
-    const lacking = this.queue.filter(state => state.waiting.length > 0 && state.task.inputs.some(input => !input.backend.isReadable(input.handle, now)))
+    const lacking = this.queue.filter(state => state.waiting.length > 0 && state.task.inputs.some(input => !input.holder.isReadable(input.handle, now)))
     for (const state of lacking)
       this.fail(state, ItemFailure.InputGone)
   }
@@ -323,7 +316,7 @@
       return
     }
     backend.hold(outcome.handle, task.resultBytes, now)
-    const stageResult = { handle: outcome.handle, backend, bytes: task.resultBytes }
+    const stageResult = { handle: outcome.handle, holder: backend, bytes: task.resultBytes }
     if (work.task.ended) {
       this.free(stageResult)
       return
@@ -405,13 +398,13 @@
     }
   }
 
-  private flushFrees(backend: StageBackend): void {
-    const handles = this.toFree.get(backend) ?? []
-    this.toFree.delete(backend)
-    void this.client.free(backend.backend, handles).then((freed) => {
+  private flushFrees(holder: ResultHolder): void {
+    const handles = this.toFree.get(holder) ?? []
+    this.toFree.delete(holder)
+    void this.client.free(holder.backend, handles).then((freed) => {
       if (!freed)
         return
-      handles.forEach(handle => backend.drop(handle))
+      handles.forEach(handle => holder.drop(handle))
       this.dispatch()
     })
   }
--- a/packages/gateway/src/request/stages/index.ts
+++ b/packages/gateway/src/request/stages/index.ts
@@ -1,2 +1,6 @@
+export * from './prepared-inputs.js'
 export * from './request-stages.js'
+export * from './stage-failure.js'
+export * from './stage-graph.js'
+export * from './stage-progress.js'
 export * from './stage-task.js'
--- a/packages/gateway/src/request/stages/stage-task.ts
+++ b/packages/gateway/src/request/stages/stage-task.ts
@@ -1,19 +1,36 @@
 /**
- * One stage of one request, waiting for or at work in its service's pool.
+ * One stage of one request as it is submitted to the queue of its service, and
+ * what the request's stages rely on: a queue that runs the items and holders
+ * that keep the results. The process floor gives both; nothing here has state.
  */
+import type { Backend } from '../../connection/backend.js'
+import type { StageProgress } from '../../connection/preparation.js'
 import type { ItemFailure } from '../../connection/stage-client.js'
-import type { StageBackend } from '../../process/stages/stage-backend.js'
+
+/** Keeps results in the memory of one backend server, as far as this process knows; times are on the process clock. */
+export interface ResultHolder {
+  readonly backend: Backend
+  readonly failureDomain: string
+  /** Whether a reader can still fetch a result. */
+  isReadable: (handle: string, now: number) => boolean
+  /** Milliseconds until the backend server drops a result by itself. */
+  remainingLifetimeMs: (handle: string, now: number) => number
+  /** Marks a result for deletion; false where it is unknown or marked already. Its bytes stay counted until it is dropped. */
+  markFreeing: (handle: string) => boolean
+  /** The backend server no longer holds the result; its bytes are free. */
+  drop: (handle: string) => void
+}
 
 /** A result and the backend server that holds it. */
 export interface StageResult {
   handle: string
-  backend: StageBackend
+  holder: ResultHolder
   bytes: number
 }
 
 /** What a task reports. */
 export interface StageTaskListener {
-  /** The backend servers have fetched all inputs of all items, as far as can be told. */
+  /** The backend servers have fetched all inputs of all items, by estimate. */
   inputsFetched: () => void
   completed: (results: StageResult[]) => void
   failed: (failure: ItemFailure) => void
@@ -29,26 +46,50 @@
   resultBytes: number
   key: string | undefined
   inputs: readonly StageResult[]
-  /** Failure domain of the backend server that reads the results, if it does so directly. */
+  /** Failure domain of the backend server that reads the results, where that is not another stage's. */
   readerDomain: string | undefined
   /** Place in the order; the least goes first. */
   rank: number
-  /** When the request's answer becomes late, on the process clock. */
+  /** When the request's answer misses its target, on the process clock in milliseconds. */
   targetAt: number
-  /** When the client gives up, on the process clock. */
+  /** When the client stops waiting, on the process clock in milliseconds. */
   deadlineAt: number
   /** Expected time of everything after this stage, in milliseconds. */
   remainingMs: number
   listener: StageTaskListener
 }
 
+/** A task that a queue has accepted. */
+export interface SubmittedTask {
+  /** Ends it without a report; results of items under way are freed when they arrive. */
+  cancel: () => void
+  /** Whether every item without a result is in a call. */
+  isUnderWay: () => boolean
+}
+
+/** Runs the tasks of one stage service. */
+export interface StageTaskQueue {
+  /** Accepts a task; may report to its listener before it returns. */
+  submit: (task: StageTask) => SubmittedTask
+  /** Takes results of an earlier coordinator over; undefined where the backend server of one of them is unknown. */
+  adopt: (progress: StageProgress) => StageResult[] | undefined
+  /** Deletes a result at its backend server. */
+  free: (result: StageResult) => void
+  /** Expected time of one call, in milliseconds. */
+  typicalCallMs: () => number
+}
+
+/** The queue of a service; undefined where the configuration has no such stage service. */
+export type StageTaskQueues = (service: string) => StageTaskQueue | undefined
+
 /** Bytes that cross failure domains if the task's items run in a failure domain. */
 export function crossingBytes(task: StageTask, failureDomain: string): number {
   let fetched = 0
   for (const input of task.inputs) {
-    if (input.backend.failureDomain !== failureDomain)
+    if (input.holder.failureDomain !== failureDomain)
       fetched += input.bytes
   }
-  const handedOn = task.readerDomain !== undefined && task.readerDomain !== failureDomain ? task.resultBytes : 0
+  const readElsewhere = task.readerDomain !== undefined && task.readerDomain !== failureDomain
+  const handedOn = readElsewhere ? task.resultBytes : 0
   return task.items * (fetched + handedOn)
 }
