--- a/packages/common/src/errors.ts
+++ b/packages/common/src/errors.ts
@@ -1,7 +1,16 @@
 /**
- * The closed list of error kinds that callers can receive, and the one table
- * from kind to HTTP status, to what may be said of work done, and to whether
- * the caller is told when to come back.
+ * Decides how a failed request is answered: its HTTP status, what may be said
+ * of work that ran, and whether the answer carries a time after which to retry.
+ *
+ * Inputs: the error's kind; what its finder knows of work that ran; the time in
+ * ms after which a retry is worthwhile, where the finder has an estimate.
+ * Rule: one table row a kind. A claim about work that the row does not permit
+ * becomes `unknown`; a kind without `retryAfter` carries no time.
+ * Why: `none` allows a caller to send an unrepeatable request again, so a kind
+ * that is raised after work may have started must not be able to say it by
+ * mistake.
+ * Log events: the kind and `ran` stand in `answer` (daemon) and in the
+ * gateway's line for each answered request.
  */
 
 /** What of a request ran. `None` is a promise. */
@@ -46,7 +55,7 @@
   status: number
   /** What may be said of work done with this kind. */
   ran: readonly Ran[]
-  /** Whether the answer carries a time to come back. */
+  /** Whether the answer carries a time after which to retry. */
   retryAfter: boolean
 }
 
@@ -90,11 +99,11 @@
   /** A sentence that says what to do. */
   message: string
   ran: Ran
-  /** Milliseconds after which to come back. */
+  /** Milliseconds after which to retry; kinds without one carry none. */
   retryAfterMs?: number
 }
 
-/** Time to come back where nothing better is known, in milliseconds. */
+/** Milliseconds, where no estimate is known. Not measured: half doubles the retries at a full entry, twice delays what would fit. */
 export const DEFAULT_RETRY_AFTER_MS = 1000
 
 /** Parts of an error that its kind does not fix. */
@@ -107,7 +116,7 @@
 export function createError(kind: ErrorKind, message: string, details: ErrorDetails = {}): RequestError {
   const answer = ERROR_ANSWERS[kind]
   const wanted = details.ran ?? answer.ran[0]
-  // A kind that cannot say what was found falls back to the word that promises nothing.
+  // A kind that cannot say what was found says what promises nothing.
   const ran = answer.ran.includes(wanted) ? wanted : Ran.Unknown
   if (!answer.retryAfter)
     return { kind, message, ran }
--- a/packages/common/src/index.ts
+++ b/packages/common/src/index.ts
@@ -1,5 +1,6 @@
 /**
- * What both programs, the adapter and the tools share. It relies on none of them.
+ * What both programs, the adapter and the tools share: errors, ejection, logs,
+ * recent times, settings faults and waits. It relies on none of them.
  */
 export * from './ejection.js'
 export * from './errors.js'
--- a/packages/common/src/logger.ts
+++ b/packages/common/src/logger.ts
@@ -16,6 +16,8 @@
 export type Logger = (event: string, fields?: LogFields) => void
 
 const ROOT_NAMESPACE = 'eidermast'
+/** Numbers are written with three decimals. */
+const DECIMAL_SCALE = 1000
 
 /** Creates the logger of one subject, such as `route` or `placement`. */
 export function createLogger(subject: string): Logger {
@@ -42,7 +44,7 @@
 }
 
 function formatValue(value: string | number | boolean): string {
-  const text = typeof value === 'number' ? String(Math.round(value * 1000) / 1000) : String(value)
+  const text = typeof value === 'number' ? String(Math.round(value * DECIMAL_SCALE) / DECIMAL_SCALE) : String(value)
   return text === '' || /[\s"=]/.test(text) ? JSON.stringify(text) : text
 }
 
--- a/packages/common/src/recent-times.ts
+++ b/packages/common/src/recent-times.ts
@@ -1,8 +1,15 @@
 /**
- * Recent durations of one kind of work, with mean and quantiles.
+ * Recent durations of one kind of work, with mean and quantiles. They live in
+ * memory as long as their owner; a restarted process knows none, and answers 0
+ * until it has added some.
  */
 
+/** Durations held. Not measured: half makes a high quantile rest on six samples, twice follows a change half as fast. */
 const DEFAULT_WINDOW = 128
+/** Keys held. Not measured: bounds memory (one window a key); fewer keys forget times that are still in use. */
+const DEFAULT_MAX_KEYS = 10_000
+/** The quantile that half of the durations lie below. */
+const MEDIAN = 0.5
 
 /** A window of the newest durations, in milliseconds. */
 export class RecentTimes {
@@ -32,6 +39,11 @@
     return this.samples.length === 0 ? 0 : this.sum / this.samples.length
   }
 
+  /** Median in milliseconds; 0 where nothing was added. */
+  median(): number {
+    return this.quantile(MEDIAN)
+  }
+
   /** A quantile between 0 and 1, in milliseconds; 0 where nothing was added. */
   quantile(share: number): number {
     if (this.samples.length === 0)
@@ -42,18 +54,18 @@
   }
 }
 
-/** Recent durations by key, such as a stage of a pipeline. */
+/** Recent durations by key, such as a stage of a pipeline; the oldest key goes when there are too many. */
 export class RecentTimesByKey {
   private readonly byKey = new Map<string, RecentTimes>()
 
-  constructor(private readonly maximumKeys = 10_000) {}
+  constructor(private readonly maxKeys = DEFAULT_MAX_KEYS) {}
 
   /** The window of a key. */
   of(key: string): RecentTimes {
     const existing = this.byKey.get(key)
     if (existing)
       return existing
-    if (this.byKey.size >= this.maximumKeys)
+    if (this.byKey.size >= this.maxKeys)
       this.byKey.delete(this.byKey.keys().next().value!)
     const created = new RecentTimes()
     this.byKey.set(key, created)
--- a/packages/common/src/wait.ts
+++ b/packages/common/src/wait.ts
@@ -1,5 +1,6 @@
 /**
- * Waits that leave no listener behind on signals that live longer.
+ * Waits that leave no listener behind on signals that live longer. All times
+ * are in milliseconds.
  */
 
 /** A signal that never aborts, for a wait that only its time ends. */
@@ -43,7 +44,10 @@
   return { signal: controller.signal, dispose }
 }
 
-/** A promise's value, or undefined where the time is over or the signal aborts first. */
+/**
+ * A promise's value, or undefined where the time is over or the signal aborts
+ * first. The promise must never reject.
+ */
 export function settleWithin<Value>(promise: Promise<Value>, milliseconds: number, signal: AbortSignal): Promise<Value | undefined> {
   return new Promise((resolve) => {
     const end = (value?: Value): void => {
--- a/packages/daemon/src/request/stage-runner.ts
+++ b/packages/daemon/src/request/stage-runner.ts
@@ -203,7 +203,7 @@
   }
 
   private expectedServiceMs(call: StageCall): number {
-    return this.times.of(timesKey(call)).quantile(0.5)
+    return this.times.of(timesKey(call)).median()
   }
 
   private recordTime(call: StageCall, serviceMs: number): void {
