--- a/packages/daemon/src/process/membership.ts
+++ b/packages/daemon/src/process/membership.ts
@@ -4,14 +4,14 @@
  * at the first sign to the contrary from any of them.
  */
 import type { Load } from '../connection/messages.js'
-import type { LinkedBackend, LinkedBackends } from '../request/linked-backends.js'
 import type { PlannedStage } from '../request/plan.js'
+import type { LinkedBackend, LinkedBackends } from '../request/stages/linked-backends.js'
 import type { Configuration } from '../version/configuration.js'
 import type { Backend } from '../version/objects.js'
 import type { VirtualMachineList } from './virtual-machine-list.js'
 import { createLogger } from '@eidermast/common'
 import { SideLink } from '../connection/side-link.js'
-import { rendezvousHash } from '../request/choice.js'
+import { rendezvousHash } from '../request/stages/choice.js'
 import { BackendOrder, BackendRole, ObjectKind } from '../version/objects.js'
 import { VirtualMachineState } from './virtual-machine-list.js'
 
--- a/packages/daemon/src/process/virtual-machine-list.ts
+++ b/packages/daemon/src/process/virtual-machine-list.ts
@@ -2,7 +2,7 @@
  * The platform's list of live and leaving VMs. It lags and may be out; the
  * newest answer is kept meanwhile.
  */
-import type { ListedEntries } from '../request/not-run-proof.js'
+import type { ListedEntries } from '../request/authority/not-run-proof.js'
 import { createLogger, wait } from '@eidermast/common'
 import { z } from 'zod'
 import { callJson } from './json-http.js'
--- a/packages/daemon/src/request/not-run-proof.ts
+++ b/packages/daemon/src/request/authority/not-run-proof.ts
@@ -3,9 +3,9 @@
  * say so: no claim was read here, and every entry that was listed since the
  * log was last read answers that it knows of none either.
  */
-import type { EntryPeers } from '../connection/entry-peers.js'
+import type { EntryPeers } from '../../connection/entry-peers.js'
 import type { ClaimRegistry } from './claims.js'
-import { OutcomeState } from '../connection/messages.js'
+import { OutcomeState } from '../../connection/messages.js'
 
 /** Milliseconds by which the VM list may lag behind. */
 const LIST_LAG_MS = 30_000
--- a/packages/daemon/src/request/incoming-request.ts
+++ b/packages/daemon/src/request/incoming-request.ts
@@ -3,8 +3,8 @@
  * as long as its handling.
  */
 import type { LinkTokenListener } from '../connection/side-link.js'
+import type { Ticket } from './authority/tickets.js'
 import type { RequestPlan } from './plan.js'
-import type { Ticket } from './tickets.js'
 
 /** A request as it came in. */
 export interface IncomingRequest {
--- a/packages/daemon/src/request/request-runner.ts
+++ b/packages/daemon/src/request/request-runner.ts
@@ -6,12 +6,12 @@
 import type { RequestAnswer, StageReport, WholeAnswer } from './answer.js'
 import type { PlannedStage, RequestPlan } from './plan.js'
 import type { RequestMetrics } from './request-metrics.js'
-import type { StageBudgetPolicy } from './stage-budget.js'
-import type { RequestProgress, StageCaller, StageTask } from './stage-caller.js'
+import type { StageBudgetPolicy } from './stages/stage-budget.js'
+import type { RequestProgress, StageCaller, StageTask } from './stages/stage-caller.js'
 import { createError, ErrorKind, RecentTimesByKey } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
-import { describeProgress } from './stage-caller.js'
-import { formatStageInput } from './stage-input.js'
+import { describeProgress } from './stages/stage-caller.js'
+import { formatStageInput } from './stages/stage-input.js'
 
 /** One admitted request. */
 export interface RunningRequest {
--- a/packages/daemon/src/request/stage-queue.ts
+++ b/packages/daemon/src/request/side/stage-queue.ts
@@ -1,9 +1,9 @@
 /**
  * The bounded queue before a backend server.
  */
-import type { StageCall } from '../connection/messages.js'
-import { RefusalReason } from '../connection/messages.js'
-import { Priority } from '../version/objects.js'
+import type { StageCall } from '../../connection/messages.js'
+import { RefusalReason } from '../../connection/messages.js'
+import { Priority } from '../../version/objects.js'
 
 /** A call that waits for a slot. */
 export interface WaitingCall {
--- a/packages/daemon/src/request/stage-runner.ts
+++ b/packages/daemon/src/request/side/stage-runner.ts
@@ -3,15 +3,15 @@
  * run, holds calls in the queue and hands them to the backend server, one call
  * of the backend server for each stage call.
  */
-import type { BackendClient, BackendResult } from '../connection/backend-client.js'
-import type { CancelReply, Load, StageCall, StageReply } from '../connection/messages.js'
-import type { DecisionRecorder } from './decision-recorder.js'
-import type { StageMetrics } from './request-metrics.js'
+import type { BackendClient, BackendResult } from '../../connection/backend-client.js'
+import type { CancelReply, Load, StageCall, StageReply } from '../../connection/messages.js'
+import type { DecisionRecorder } from '../decision-recorder.js'
+import type { StageMetrics } from '../request-metrics.js'
 import type { StageQueue, WaitingCall } from './stage-queue.js'
 import type { StageRun, StageTable, TokenListener } from './stage-table.js'
 import { RecentTimesByKey } from '@eidermast/common'
-import { BackendOutcome } from '../connection/backend-client.js'
-import { FailureReason, RefusalReason, stageKey, StageReplyKind } from '../connection/messages.js'
+import { BackendOutcome } from '../../connection/backend-client.js'
+import { FailureReason, RefusalReason, stageKey, StageReplyKind } from '../../connection/messages.js'
 
 /** What the runner needs to know of its side. */
 export interface SideState {
--- a/packages/daemon/src/request/stage-table.ts
+++ b/packages/daemon/src/request/side/stage-table.ts
@@ -6,9 +6,9 @@
  *
  * Replaying results by identity follows the idea of verifiers pull request 1565.
  */
-import type { ResultQuestion, StageCall, StageReply } from '../connection/messages.js'
-import { stageKey, StageReplyKind } from '../connection/messages.js'
-import { carriesBody } from './stage-input.js'
+import type { ResultQuestion, StageCall, StageReply } from '../../connection/messages.js'
+import { stageKey, StageReplyKind } from '../../connection/messages.js'
+import { carriesBody } from '../stages/stage-input.js'
 
 /** Receives the tokens of a running call. */
 export type TokenListener = (index: number, text: string) => void
--- a/packages/daemon/src/request/choice.ts
+++ b/packages/daemon/src/request/stages/choice.ts
@@ -1,9 +1,9 @@
 /**
  * Choice of the backend server for one stage call.
  */
-import type { Load } from '../connection/messages.js'
+import type { Load } from '../../connection/messages.js'
 import { createHash } from 'node:crypto'
-import { Priority } from '../version/objects.js'
+import { Priority } from '../../version/objects.js'
 
 /** A backend server that may take a call. */
 export interface ChoiceCandidate {
--- /dev/null
+++ b/packages/daemon/src/request/stages/index.ts
@@ -0,0 +1,6 @@
+export * from './choice.js'
+export * from './linked-backends.js'
+export * from './retry.js'
+export * from './stage-budget.js'
+export * from './stage-caller.js'
+export * from './stage-input.js'
--- a/packages/daemon/src/request/stage-caller.ts
+++ b/packages/daemon/src/request/stages/stage-caller.ts
@@ -4,20 +4,20 @@
  * Runs one stage of a request: chooses a backend server, calls it, and calls
  * again where that is safe, within the retry limits and the deadline.
  */
-import type { DoneReply, FailedReply, RefusedReply, StageCall } from '../connection/messages.js'
-import type { LinkResult, LinkTokenListener } from '../connection/side-link.js'
-import type { Priority } from '../version/objects.js'
-import type { StageReport } from './answer.js'
+import type { DoneReply, FailedReply, RefusedReply, StageCall } from '../../connection/messages.js'
+import type { LinkResult, LinkTokenListener } from '../../connection/side-link.js'
+import type { Priority } from '../../version/objects.js'
+import type { StageReport } from '../answer.js'
+import type { DecisionRecorder } from '../decision-recorder.js'
+import type { PlannedStage } from '../plan.js'
+import type { RequestMetrics } from '../request-metrics.js'
 import type { ChoicePolicy } from './choice.js'
-import type { DecisionRecorder } from './decision-recorder.js'
 import type { LinkedBackend, LinkedBackends } from './linked-backends.js'
-import type { PlannedStage } from './plan.js'
-import type { RequestMetrics } from './request-metrics.js'
 import type { RetryPolicy } from './retry.js'
 import { createError, ErrorKind, Ran, wait } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
-import { answersCall, FailureReason, RefusalReason, StageReplyKind } from '../connection/messages.js'
-import { LinkOutcome } from '../connection/side-link.js'
+import { answersCall, FailureReason, RefusalReason, StageReplyKind } from '../../connection/messages.js'
+import { LinkOutcome } from '../../connection/side-link.js'
 
 /** What of a request has run, as far as its entry knows. */
 export interface RequestProgress {
--- a/packages/daemon/src/request/stage-input.ts
+++ b/packages/daemon/src/request/stages/stage-input.ts
@@ -1,9 +1,9 @@
 /**
  * The input of a stage, which carries the caller's own input to every stage.
  */
-import type { StageCall } from '../connection/messages.js'
+import type { StageCall } from '../../connection/messages.js'
 import { z } from 'zod'
-import { parseJson } from './answer.js'
+import { parseJson } from '../answer.js'
 
 const stageInputSchema = z.object({ input: z.string() })
 
