--- a/packages/command-line/src/context.ts
+++ b/packages/command-line/src/context.ts
@@ -1,8 +1,8 @@
-import type { SettingsFault } from '@eidermast/common'
 /**
  * What every command needs: checked settings, the operator's connection and
  * the way out.
  */
+import type { SettingsFault } from '@eidermast/common'
 import type { Publication } from '@eidermast/daemon'
 import type { Command } from 'commander'
 import type { OutputOptions } from './output.js'
--- a/packages/command-line/src/eidermast.ts
+++ b/packages/command-line/src/eidermast.ts
@@ -1,7 +1,7 @@
-import { formatError } from '@eidermast/common'
 /**
  * The operators' command line.
  */
+import { formatError } from '@eidermast/common'
 import { ObjectKind } from '@eidermast/daemon'
 import { Command } from 'commander'
 import { addBackendCommands } from './backend-commands.js'
--- a/packages/command-line/src/object-commands.ts
+++ b/packages/command-line/src/object-commands.ts
@@ -1,7 +1,7 @@
-import type { ObjectKind } from '@eidermast/daemon'
 /**
  * The commands `template` and `account`: publish, show, list and delete.
  */
+import type { ObjectKind } from '@eidermast/daemon'
 import type { Command } from 'commander'
 import type { FileKind } from './object-file.js'
 import { InvalidArgumentError } from 'commander'
--- a/packages/command-line/src/object-file.ts
+++ b/packages/command-line/src/object-file.ts
@@ -1,8 +1,8 @@
-import type { SettingsFault } from '@eidermast/common'
 /**
  * Templates and client accounts as operators write them: INI files with the
  * same keys as the settings style, or JSON in the form that `show` prints.
  */
+import type { SettingsFault } from '@eidermast/common'
 import type { ObjectValues } from '@eidermast/daemon'
 import type { Result } from 'ts-results-es'
 import { readFileSync } from 'node:fs'
--- a/packages/daemon/src/connection/answer-writer.ts
+++ b/packages/daemon/src/connection/answer-writer.ts
@@ -1,8 +1,8 @@
-import type { RequestError } from '@eidermast/common'
 /**
  * Writes the one answer to a caller, as JSON or as server-sent events. A caller
  * that does not read is cut off after a time.
  */
+import type { RequestError } from '@eidermast/common'
 import type { ServerResponse } from 'node:http'
 import type { RequestAnswer, WholeAnswer } from '../request/answer.js'
 import { ERROR_ANSWERS } from '@eidermast/common'
--- a/packages/daemon/src/connection/body-reader.ts
+++ b/packages/daemon/src/connection/body-reader.ts
@@ -1,8 +1,8 @@
-import type { RequestError } from '@eidermast/common'
 /**
  * Reads a caller's body within a size and a time, so that a caller that sends
  * too much or stalls holds no memory.
  */
+import type { RequestError } from '@eidermast/common'
 import type { IncomingMessage } from 'node:http'
 import type { Result } from 'ts-results-es'
 import { createError, ErrorKind } from '@eidermast/common'
--- a/packages/daemon/src/connection/caller-headers.ts
+++ b/packages/daemon/src/connection/caller-headers.ts
@@ -1,8 +1,8 @@
-import type { RequestError } from '@eidermast/common'
 /**
  * A caller's headers, checked. Nothing of them reaches other processes
  * unchecked.
  */
+import type { RequestError } from '@eidermast/common'
 import type { IncomingHttpHeaders } from 'node:http'
 import type { Result } from 'ts-results-es'
 import { createHash } from 'node:crypto'
--- a/packages/daemon/src/connection/caller-server.ts
+++ b/packages/daemon/src/connection/caller-server.ts
@@ -1,7 +1,7 @@
-import type { RequestError } from '@eidermast/common'
 /**
  * The callers' interface over HTTP.
  */
+import type { RequestError } from '@eidermast/common'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { Result } from 'ts-results-es'
 import type { EntrySettings } from '../process/settings.js'
--- a/packages/daemon/src/process/json-http.ts
+++ b/packages/daemon/src/process/json-http.ts
@@ -1,8 +1,8 @@
-import type { Result } from 'ts-results-es'
 /**
  * Small JSON calls over HTTP to the platform, by undici. Tells whether a
  * failed call may have taken effect.
  */
+import type { Result } from 'ts-results-es'
 import type { Dispatcher } from 'undici'
 import { createBoundedSignal } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
--- a/packages/daemon/src/process/policies.ts
+++ b/packages/daemon/src/process/policies.ts
@@ -1,7 +1,7 @@
-import type { EjectionPolicy } from '@eidermast/common'
 /**
  * Creates the decision classes that the settings name.
  */
+import type { EjectionPolicy } from '@eidermast/common'
 import type { AdmissionPolicy } from '../request/admission.js'
 import type { StageQueue } from '../request/side/stage-queue.js'
 import type { ChoicePolicy } from '../request/stages/choice.js'
--- a/packages/daemon/src/request/answer.ts
+++ b/packages/daemon/src/request/answer.ts
@@ -1,7 +1,7 @@
-import type { RequestError } from '@eidermast/common'
 /**
  * The one answer of a request, and its form between entries.
  */
+import type { RequestError } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
 import { createError, ErrorKind, Ran } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
--- a/packages/daemon/src/request/request-runner.ts
+++ b/packages/daemon/src/request/request-runner.ts
@@ -1,7 +1,7 @@
-import type { RequestError } from '@eidermast/common'
 /**
  * Runs the stages of one request in order, from its plan to its one answer.
  */
+import type { RequestError } from '@eidermast/common'
 import type { LinkTokenListener } from '../connection/side-link.js'
 import type { RequestAnswer, StageReport, WholeAnswer } from './answer.js'
 import type { PlannedStage, RequestPlan } from './plan.js'
--- a/packages/daemon/src/request/request-service.ts
+++ b/packages/daemon/src/request/request-service.ts
@@ -1,8 +1,8 @@
-import type { RequestError } from '@eidermast/common'
 /**
  * Takes requests in at an entry: joins repeats, admits or sheds, makes sure
  * that an unrepeatable request is run by one process life only, and runs it.
  */
+import type { RequestError } from '@eidermast/common'
 import type { AdmissionPolicy } from './admission.js'
 import type { RequestAnswer } from './answer.js'
 import type { ClaimRegistry } from './authority/claims.js'
--- a/packages/daemon/src/request/stages/stage-caller.ts
+++ b/packages/daemon/src/request/stages/stage-caller.ts
@@ -1,9 +1,9 @@
-import type { EjectionPolicy, RequestError } from '@eidermast/common'
-import type { Result } from 'ts-results-es'
 /**
  * Runs one stage of a request: chooses a backend server, calls it, and calls
  * again where that is safe, within the retry limits and the deadline.
  */
+import type { EjectionPolicy, RequestError } from '@eidermast/common'
+import type { Result } from 'ts-results-es'
 import type { DoneReply, FailedReply, RefusedReply, StageCall } from '../../connection/messages.js'
 import type { LinkResult, LinkTokenListener } from '../../connection/side-link.js'
 import type { Priority } from '../../version/objects.js'
--- a/packages/gateway/src/process/gateway.ts
+++ b/packages/gateway/src/process/gateway.ts
@@ -1,7 +1,7 @@
-import type { EventLog } from '@eidermast/common'
 /**
  * One gateway process: its parts, its start and its orderly end.
  */
+import type { EventLog } from '@eidermast/common'
 import type { Server, ServerResponse } from 'node:http'
 import type { BackendCodec } from '../connection/backend-client.js'
 import type { ClientCodec } from '../connection/client-codec.js'
--- a/packages/gateway/src/process/stages/shared-preparer.ts
+++ b/packages/gateway/src/process/stages/shared-preparer.ts
@@ -1,9 +1,9 @@
-import type { EventLog } from '@eidermast/common'
 /**
  * Stage work at whichever gateway owns it. When the coordinator is lost, the work
  * begins anew at the next one; the lost one frees what it made when it sees
  * its caller gone.
  */
+import type { EventLog } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
 import type { Member } from '../../connection/member.js'
 import type { PeerClients } from '../../connection/peer-clients.js'
--- a/packages/gateway/src/process/stages/stage-backend.ts
+++ b/packages/gateway/src/process/stages/stage-backend.ts
@@ -1,8 +1,8 @@
-import type { Backend } from '../../connection/backend.js'
 /**
  * One backend server that makes stage results, as the scheduler accounts for it:
  * whether it is at work, how fast it is, and what room its results take.
  */
+import type { Backend } from '../../connection/backend.js'
 import type { ResultHolder } from '../../request/stages/stage-task.js'
 import type { StageLimits } from '../../version/configuration.js'
 
--- a/packages/gateway/src/process/stages/stage-coordinator.ts
+++ b/packages/gateway/src/process/stages/stage-coordinator.ts
@@ -1,9 +1,9 @@
-import type { EventLog } from '@eidermast/common'
 /**
  * The stage work of all requests that this process owns. Ownership is
  * efficiency, never safety: a item may be made again, and two schedulers at
  * once cost room and time only.
  */
+import type { EventLog } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
 import type { Backend } from '../../connection/backend.js'
 import type { PreparationFailure, PreparationRequest, PreparedInputs, Preparer } from '../../connection/preparation.js'
--- a/packages/gateway/src/process/stages/stage-pool.ts
+++ b/packages/gateway/src/process/stages/stage-pool.ts
@@ -1,13 +1,13 @@
-import type { EventLog } from '@eidermast/common'
-import type { Backend } from '../../connection/backend.js'
-import type { StageProgress } from '../../connection/preparation.js'
-import type { ItemOutcome, StageCallResult, StageClient, StageItem } from '../../connection/stage-client.js'
-import type { ResultHolder, StageResult, StageTask, StageTaskQueue, SubmittedTask } from '../../request/stages/stage-task.js'
 /**
  * The backend servers of one stage service and the tasks that wait for them. Items
  * of all requests are gathered into batches: whole tasks first, near their
  * inputs and readers where waiting for that failure domain costs no target.
  */
+import type { EventLog } from '@eidermast/common'
+import type { Backend } from '../../connection/backend.js'
+import type { StageProgress } from '../../connection/preparation.js'
+import type { ItemOutcome, StageCallResult, StageClient, StageItem } from '../../connection/stage-client.js'
+import type { ResultHolder, StageResult, StageTask, StageTaskQueue, SubmittedTask } from '../../request/stages/stage-task.js'
 import type { StageLimits } from '../../version/configuration.js'
 import type { ServicePace } from './stage-admission.js'
 import { createBoundedSignal } from '@eidermast/common'
--- a/packages/gateway/src/request/answer-relay.ts
+++ b/packages/gateway/src/request/answer-relay.ts
@@ -1,9 +1,9 @@
-import type { Result } from 'ts-results-es'
 /**
  * Passes one backend server's answer on: whole ones after they were read to
  * their end, streams by whole events as they come. What may have been cut
  * short is never framed as complete.
  */
+import type { Result } from 'ts-results-es'
 import type { BackendAnswer } from '../connection/backend-client.js'
 import type { ClientAnswer } from '../connection/client-answer.js'
 import type { Probe } from './silence-watch.js'
--- a/packages/stand-ins/src/launcher.ts
+++ b/packages/stand-ins/src/launcher.ts
@@ -1,9 +1,9 @@
-import type { ChangeRecord, ProcessStatus } from '@eidermast/daemon'
 /**
  * Starts a whole deployment on loopback, each part as a process of its own,
  * with ports from the system. For demo, tests and load runs; the system's own
  * processes start none.
  */
+import type { ChangeRecord, ProcessStatus } from '@eidermast/daemon'
 import type { ChildProcess } from 'node:child_process'
 import type { Deployment, PoolDeployment } from './deployment.js'
 import type { ListedMachine } from './platform-services.js'
