--- /dev/null
+++ b/packages/gateway/src/process/gateway-share.ts
@@ -0,0 +1,32 @@
+/**
+ * Decides which part of the deployment's common limits this gateway may use,
+ * for connections to backend servers and for the fixed part of the retry budget.
+ *
+ * Inputs: gateways that the platform's directory lists, this one included (the
+ * list is some hundred ms old, or older while the store is away), and the
+ * limit of all gateways together.
+ * Rule: equal parts, for one gateway more than is listed.
+ * Why: no message is needed and the sum stays within the limit while a
+ * gateway starts that the others do not know yet. Shares by load would use
+ * the limit better, but need an agreement before each change.
+ * Set by: SPARE_GATEWAYS.
+ * Log event: `member-listed` and `member-removed` change the count; the metric
+ * `eidermast_gateway_members` shows it.
+ */
+
+/**
+ * Gateways that may start while this one divides limits among those it knows.
+ * Not measured; with 0 a gateway that starts exceeds the limit until all list it, with 2
+ * each gateway has a smaller share than it needs.
+ */
+const SPARE_GATEWAYS = 1
+
+/** Gateways among which a limit of all gateways is divided. */
+export function countSharingGateways(listed: number): number {
+  return listed + SPARE_GATEWAYS
+}
+
+/** Connections that this gateway may hold to one backend server that accepts `limit` from all gateways together. */
+export function shareOfConnections(limit: number, listed: number): number {
+  return Math.floor(limit / countSharingGateways(listed))
+}
--- a/packages/gateway/src/process/gateway.ts
+++ b/packages/gateway/src/process/gateway.ts
@@ -1,15 +1,15 @@
-import type { EventLog } from '@eidermast/common'
 /**
- * One gateway process: its parts, its start and its orderly end.
+ * One gateway process: builds the parts, wires them, and starts and ends them.
+ * It owns all state of the process, in memory only. When the process dies,
+ * clients and peers see broken connections; the next process reads
+ * configuration, backend servers and members from the platform again.
  */
-import type { Server, ServerResponse } from 'node:http'
-import type { BackendCodec } from '../connection/backend-client.js'
-import type { ClientCodec } from '../connection/client-codec.js'
+import type { EventLog } from '@eidermast/common'
 import type { Member } from '../connection/member.js'
-import type { StageClient } from '../connection/stage-client.js'
-import type { ConfigurationDecoder } from '../version/configuration-holder.js'
+import type { RetryBudgetSettings } from '../request/retry-budget.js'
 import type { GatewaySettings } from './gateway-settings.js'
-import type { MemberDirectory } from './membership/members.js'
+import type { PlatformAdapter } from './platform-adapter.js'
+import type { ReadinessInputs } from './readiness.js'
 import { createServer } from 'node:http'
 import { OutlierEjection } from '@eidermast/common'
 import { createHTTPHandler } from '@trpc/server/adapters/standalone'
@@ -24,132 +24,83 @@
 import { RetryBudget } from '../request/retry-budget.js'
 import { ConfigurationHolder } from '../version/configuration-holder.js'
 import { BackendRegistry } from './backend-registry.js'
+import { latestEndMs } from './drain-plan.js'
+import { drainClients } from './drain.js'
+import { GatewayLog } from './gateway-log.js'
 import { GatewayMetrics } from './gateway-metrics.js'
+import { countSharingGateways, shareOfConnections } from './gateway-share.js'
+import { createMetricsServer, createReadinessServer, InternalServers } from './internal-servers.js'
 import { Members } from './membership/members.js'
+import { PeerConfiguration } from './peer-configuration.js'
+import { GatewayPeerService } from './peer-service.js'
+import { Readiness } from './readiness.js'
 import { SharedPreparer } from './stages/shared-preparer.js'
 import { StageCoordinator } from './stages/stage-coordinator.js'
 import { ShiftedTargetOrder } from './stages/stage-order.js'
 
-/** Follows the platform's configuration until the signal aborts. */
-export interface ConfigurationSource {
-  follow: (offer: (text: string) => void, signal: AbortSignal) => Promise<void>
-}
-
-/** Follows the platform's registry of backend servers until the signal aborts. */
-export interface BackendSource {
-  follow: (registry: BackendRegistry, signal: AbortSignal) => Promise<void>
-}
-
-/** What a platform brings to a gateway. */
-export interface PlatformAdapter {
-  configurationSource: ConfigurationSource
-  decodeConfiguration: ConfigurationDecoder
-  backendSource: BackendSource
-  memberDirectory: MemberDirectory
-  clientCodec: ClientCodec
-  backendCodec: BackendCodec
-  stageClient: (connections: BackendConnections) => StageClient
-}
-
-/** Gateways that may come while this one shares limits with those it knows. */
-const SPARE_GATEWAYS = 1
-/** A kept connection may still bring requests for this long after the balancer looked away, in milliseconds. */
-const DRAIN_SERVE_MS = 3200
-/** The listener closes this long after the end was asked for, in milliseconds. */
-const DRAIN_CLOSE_MS = 4000
-/** Kept of the grace period for the process's end, in milliseconds. */
-const END_MARGIN_MS = 400
-const END_CHECK_MS = 50
+/** Gateways that coordinate stage work at a time. */
+const COORDINATORS = 1
 
 /** A gateway with all its parts. */
 export class Gateway {
-  readonly log: EventLog
   readonly metrics = new GatewayMetrics()
   readonly configuration: ConfigurationHolder
   readonly registry: BackendRegistry
   readonly members: Members
   readonly clients: ClientServer
-  private readonly stageCoordinator: StageCoordinator
+  private readonly self: Member
+  private readonly gatewayLog: GatewayLog
   private readonly peers = new PeerClients()
+  private readonly peerConfiguration: PeerConfiguration
   private readonly connections: BackendConnections
+  private readonly stageCoordinator: StageCoordinator
+  private readonly readiness: Readiness
+  private readonly internalServers = new InternalServers()
+  /** Ends what follows the platform. */
   private readonly ending = new AbortController()
   private stopping = false
-  private fetching = false
-  private readonly self: Member
-  private readonly servers: Server[] = []
-  private ready = false
 
-  constructor(private readonly settings: GatewaySettings, private readonly platform: PlatformAdapter, log: EventLog) {
-    this.log = log
-    this.self = { name: settings.process.name, address: `${settings.process.host}:${settings.listen['peer-port']}` }
+  constructor(private readonly settings: GatewaySettings, private readonly platform: PlatformAdapter, private readonly log: EventLog) {
+    const { name, host } = settings.process
+    this.self = { name, address: `${host}:${settings.listen['peer-port']}` }
+    this.gatewayLog = new GatewayLog(log)
     this.configuration = new ConfigurationHolder(platform.decodeConfiguration, log)
     this.registry = new BackendRegistry(log)
-    this.members = new Members(this.self, { heartbeat: member => this.heartbeat(member) }, log, (member, version) => void this.learnVersion(member, version))
+    this.peerConfiguration = new PeerConfiguration(this.configuration, this.peers, this.gatewayLog)
+    this.members = this.createMembers()
     this.connections = new BackendConnections(service => this.connectionShare(service))
-    const budget = new RetryBudget({ ratio: settings.retry.ratio, extra: settings.retry.extra, windowMs: settings.retry['window-ms'] }, () => this.gatewayCount())
-    const stageBudget = new RetryBudget({ ratio: 0, extra: settings.retry.extra, windowMs: settings.retry['window-ms'] }, () => 1 + SPARE_GATEWAYS)
-    this.stageCoordinator = new StageCoordinator(this.registry, platform.stageClient(this.connections), new ShiftedTargetOrder(), { takeRepeats: service => stageBudget.takeRepeat(service) }, log)
-    const ejection = new OutlierEjection()
-    const runner = new BackendRunner({
-      failureDomain: settings.process.failureDomain,
-      registry: this.registry,
-      client: new HttpBackendClient(this.connections, platform.backendCodec),
-      ejection,
-      plainChoice: new LeastLoadChoice(ejection),
-      engineChoice: new PrefixAwareChoice(ejection),
-      budget,
-      log,
-      isEngine: service => this.configuration.table?.findService(service)?.engine !== undefined,
-    })
-    const preparer = new SharedPreparer(this.members, this.stageCoordinator, this.peers, log)
-    this.clients = new ClientServer(new PassThrough({ configuration: this.configuration, preparer, runner, metrics: this.metrics, log }), platform.clientCodec, this.configuration, log)
+    this.stageCoordinator = this.createStageCoordinator()
+    this.clients = this.createClientServer()
+    this.readiness = this.createReadiness()
     this.members.onCoordinatorChange(() => this.takeCoordinatorChange())
     this.configuration.onChange(table => this.stageCoordinator.applyConfiguration(table))
     this.registry.listen({ removed: backend => this.connections.forget(backend.id) })
   }
 
-  /** Listens, then follows the platform; ready when a configuration and backend servers are known. */
+  /**
+   * Listens, then follows the platform; ready when a configuration and backend
+   * servers are known. Rejects where an address cannot be had.
+   */
   async start(): Promise<void> {
-    this.log.write('start', { pid: process.pid, startMs: Math.round(performance.now()) })
-    const { listen } = this.settings
-    await this.clients.listen(listen.clients.port, listen.clients.host)
-    await this.serve(createServer((_, response) => {
-      response.writeHead(this.isReady() ? 200 : 503).end()
-    }), listen.readiness.port, listen.readiness.host)
-    await this.serve(createServer(createHTTPHandler({ router: createPeerRouter(this.peerService()) })), listen['peer-port'], this.settings.process.host)
-    await this.serve(createServer((_, response) => void this.serveMetrics(response)), listen['metrics-port'], this.settings.process.host)
-    this.metrics.addGauges({
-      activeRequests: () => this.clients.activeRequests,
-      configurationVersion: () => this.configuration.version,
-      backends: () => this.registry.size,
-      members: () => this.members.count,
-      isCoordinator: () => this.members.isCoordinator,
-    })
-    const { signal } = this.ending
-    void this.platform.configurationSource.follow(text => this.configuration.offer(text, 'platform'), signal)
-    void this.platform.backendSource.follow(this.registry, signal)
-    void this.platform.memberDirectory.follow(this.members, signal)
-    void this.platform.memberDirectory.announce(this.self, signal)
+    this.gatewayLog.started()
+    await this.listen()
+    this.addGauges()
+    this.followPlatform()
     this.members.start()
-    this.log.write('listening', { startMs: Math.round(performance.now()) })
+    this.gatewayLog.listening()
   }
 
-  /** Serves on until the balancer has looked away and all is answered, or the grace period is over. */
+  /** Serves on until the balancer sends no more and all is answered, or the grace period is over. */
   async drain(): Promise<void> {
     const startedAt = performance.now()
-    const elapsed = (): number => performance.now() - startedAt
-    const latest = this.settings.process['grace-period-ms'] - END_MARGIN_MS
-    this.log.write('stop', { active: this.clients.activeRequests, graceMs: latest })
+    const gracePeriodMs = this.settings.process['grace-period-ms']
+    this.gatewayLog.stopRequested(this.clients.activeRequests, latestEndMs(gracePeriodMs))
     this.stopping = true
     this.members.markStopping(this.self)
-    this.clients.beginDrain()
     void this.platform.memberDirectory.withdraw(this.self)
-    setTimeout(() => this.clients.refuseNew(), DRAIN_SERVE_MS)
-    setTimeout(() => this.clients.close(), DRAIN_CLOSE_MS)
-    while (elapsed() < latest && (elapsed() < DRAIN_CLOSE_MS || this.clients.activeRequests > 0))
-      await new Promise(resolve => setTimeout(resolve, END_CHECK_MS))
+    await drainClients(this.clients, gracePeriodMs)
     this.ending.abort()
-    this.log.write('stopped', { active: this.clients.activeRequests, tookMs: Math.round(elapsed()) })
+    this.gatewayLog.stopped(this.clients.activeRequests, performance.now() - startedAt)
   }
 
   /** Ends at once: closes every listener and connection. */
@@ -158,80 +109,113 @@
     this.members.stop()
     this.stageCoordinator.stop()
     this.clients.close()
-    for (const server of this.servers) {
-      server.close()
-      server.closeAllConnections()
-    }
+    this.internalServers.close()
     await Promise.all([this.peers.close(), this.connections.close()])
   }
 
-  private takeCoordinatorChange(): void {
-    this.stageCoordinator.expectOtherCoordinator()
-    if (this.members.isCoordinator)
-      this.stageCoordinator.takeOver()
-    else if (this.stopping)
-      this.stageCoordinator.handOver()
+  private createMembers(): Members {
+    const contact = {
+      heartbeat: (member: Member) => this.peers.heartbeat(member, { ...this.self, version: this.configuration.version }),
+    }
+    return new Members(this.self, contact, this.log, (member, version) => void this.peerConfiguration.learnVersion(member, version))
   }
 
-  private isReady(): boolean {
-    const ready = !this.stopping && this.configuration.table !== undefined && this.registry.size > 0
-    if (ready !== this.ready)
-      this.log.write('readiness', { ready, configuration: this.configuration.version, backends: this.registry.size })
-    this.ready = ready
-    return ready
+  private createStageCoordinator(): StageCoordinator {
+    const client = this.platform.stageClient(this.connections)
+    const budget = new RetryBudget({ ...this.retryAllowance(), ratio: 0 }, () => countSharingGateways(COORDINATORS))
+    const repeats = { takeRepeats: (service: string) => budget.takeRepeat(service) }
+    return new StageCoordinator(this.registry, client, new ShiftedTargetOrder(), repeats, this.log)
   }
 
-  private peerService() {
-    return {
-      heartbeat: (heartbeat: { name: string, address: string, version: number }) => {
-        void this.learnVersion(heartbeat, heartbeat.version)
-        return { version: this.configuration.version, stopping: this.stopping }
-      },
-      configuration: () => this.configuration.record,
-      prepare: this.stageCoordinator.prepare.bind(this.stageCoordinator),
-      release: (requestIds: string[]) => requestIds.forEach(id => this.stageCoordinator.release(id)),
-    }
+  private createBackendRunner(): BackendRunner {
+    const ejection = new OutlierEjection()
+    return new BackendRunner({
+      failureDomain: this.settings.process.failureDomain,
+      registry: this.registry,
+      client: new HttpBackendClient(this.connections, this.platform.backendCodec),
+      ejection,
+      plainChoice: new LeastLoadChoice(ejection),
+      engineChoice: new PrefixAwareChoice(ejection),
+      budget: new RetryBudget(this.retryAllowance(), () => countSharingGateways(this.members.count)),
+      log: this.log,
+      isEngine: service => this.configuration.table?.findService(service)?.engine !== undefined,
+    })
   }
 
-  private heartbeat(member: Member) {
-    return this.peers.heartbeat(member, { ...this.self, version: this.configuration.version })
+  private createClientServer(): ClientServer {
+    const passThrough = new PassThrough({
+      configuration: this.configuration,
+      preparer: new SharedPreparer(this.members, this.stageCoordinator, this.peers, this.log),
+      runner: this.createBackendRunner(),
+      metrics: this.metrics,
+      log: this.log,
+    })
+    return new ClientServer(passThrough, this.platform.clientCodec, this.configuration, this.log)
   }
 
-  /** Takes a newer configuration from a peer, where the platform's store did not bring it. */
-  private async learnVersion(member: Member, version: number): Promise<void> {
-    if (version <= this.configuration.version || this.fetching)
-      return
-    this.fetching = true
-    try {
-      const record = await this.peers.configuration(member)
-      if (record)
-        this.configuration.offer(record.text, member.name)
-    }
-    catch (error) {
-      this.log.write('peer-configuration-failed', { member: member.name, error: error instanceof Error ? error.message : String(error) })
-    }
-    this.fetching = false
+  private createReadiness(): Readiness {
+    const readInputs = (): ReadinessInputs => ({
+      stopping: this.stopping,
+      configurationVersion: this.configuration.version,
+      backends: this.registry.size,
+    })
+    return new Readiness(readInputs, this.gatewayLog)
   }
 
-  private gatewayCount(): number {
-    return this.members.count + SPARE_GATEWAYS
+  private createPeerService(): GatewayPeerService {
+    return new GatewayPeerService({
+      configuration: this.configuration,
+      peerConfiguration: this.peerConfiguration,
+      stageCoordinator: this.stageCoordinator,
+      isStopping: () => this.stopping,
+    })
   }
 
-  private connectionShare(service: string): number {
-    const limit = this.configuration.table?.findService(service)?.maxConnections ?? 0
-    return Math.floor(limit / this.gatewayCount())
+  private async listen(): Promise<void> {
+    const { clients, readiness, 'peer-port': peerPort, 'metrics-port': metricsPort } = this.settings.listen
+    const { host } = this.settings.process
+    const peerServer = createServer(createHTTPHandler({ router: createPeerRouter(this.createPeerService()) }))
+    await this.clients.listen(clients.port, clients.host)
+    await this.internalServers.listen(createReadinessServer(() => this.readiness.check()), readiness.port, readiness.host)
+    await this.internalServers.listen(peerServer, peerPort, host)
+    await this.internalServers.listen(createMetricsServer(this.metrics.registry), metricsPort, host)
   }
 
-  private async serve(server: Server, port: number, host: string): Promise<void> {
-    this.servers.push(server)
-    await new Promise<void>((resolve, reject) => {
-      server.once('error', reject)
-      server.listen(port, host, () => resolve())
+  private addGauges(): void {
+    this.metrics.addGauges({
+      activeRequests: () => this.clients.activeRequests,
+      configurationVersion: () => this.configuration.version,
+      backends: () => this.registry.size,
+      members: () => this.members.count,
+      isCoordinator: () => this.members.isCoordinator,
     })
   }
 
-  private async serveMetrics(response: ServerResponse): Promise<void> {
-    response.writeHead(200, { 'content-type': this.metrics.registry.contentType })
-    response.end(await this.metrics.registry.metrics())
+  private followPlatform(): void {
+    const { signal } = this.ending
+    const { configurationSource, backendSource, memberDirectory } = this.platform
+    void configurationSource.follow(text => this.configuration.offer(text, 'platform'), signal)
+    void backendSource.follow(this.registry, signal)
+    void memberDirectory.follow(this.members, signal)
+    void memberDirectory.announce(this.self, signal)
+  }
+
+  private takeCoordinatorChange(): void {
+    this.stageCoordinator.expectOtherCoordinator()
+    if (this.members.isCoordinator)
+      this.stageCoordinator.takeOver()
+    else if (this.stopping)
+      this.stageCoordinator.handOver()
+  }
+
+  /** The allowance of retries of all gateways together. */
+  private retryAllowance(): RetryBudgetSettings {
+    const { ratio, extra, 'window-ms': windowMs } = this.settings.retry
+    return { ratio, extra, windowMs }
+  }
+
+  private connectionShare(service: string): number {
+    const limit = this.configuration.table?.findService(service)?.maxConnections ?? 0
+    return shareOfConnections(limit, this.members.count)
   }
 }
--- /dev/null
+++ b/packages/gateway/src/process/membership/coordinator-choice.ts
@@ -0,0 +1,35 @@
+/**
+ * Decides which gateway coordinates the stage work, for all gateways; each one
+ * decides for itself and comes to the same result from the same list.
+ *
+ * Inputs: the members listed, with the order of their announcements (from the
+ * platform's directory, some hundred ms old), and for each whether it is alive
+ * (this process's own contact, see `failure-detection.ts`) and stopping (its
+ * own answer to a heartbeat).
+ * Rule: the member announced first of those that are alive and not stopping;
+ * this process where there is none.
+ * Why: a gateway that restarts is announced last, so it never takes the role
+ * from the one at work. A choice by hash did: during a rolling restart two
+ * gateways coordinated at a time, and 4,056 inputs were gone (docs/FINDINGS.md,
+ * run of firmasur trouble-2; commit c31d827).
+ * Set by: no constant.
+ * Log event: `stage-coordinator`.
+ */
+import type { Member } from '../../connection/member.js'
+import type { MemberState } from './member-state.js'
+
+/** What the choice needs of a member. */
+export type CoordinatorCandidate = Pick<MemberState, 'member' | 'alive' | 'stopping'>
+
+/** Orders members as candidates: by announcement, then by name. */
+export function rankCandidates(states: Iterable<MemberState>): MemberState[] {
+  return [...states].sort((left, right) => {
+    const byAnnouncement = left.announcementOrder - right.announcementOrder
+    return byAnnouncement || (left.member.name < right.member.name ? -1 : 1)
+  })
+}
+
+/** The coordinator among candidates that are in order. */
+export function chooseCoordinator(ranked: readonly CoordinatorCandidate[], self: Member): Member {
+  return ranked.find(candidate => candidate.alive && !candidate.stopping)?.member ?? self
+}
--- /dev/null
+++ b/packages/gateway/src/process/membership/failure-detection.ts
@@ -0,0 +1,42 @@
+/**
+ * Decides when a gateway counts as failed, for this process only: peers never
+ * report failures of others.
+ *
+ * Inputs: milliseconds since the member last answered a heartbeat (process
+ * clock, at most one tick old), and how late this process's own tick is.
+ * Rule: a member has failed when it has not answered for FAILED_AFTER_MS. Time
+ * in which this process itself stood still does not count.
+ * Why: several heartbeats may be lost within that time, so that no single one
+ * decides; a limit of one heartbeat (450 ms without an answer) made a
+ * healthy coordinator count as failed, and two of them worked (docs/FINDINGS.md, runs
+ * of firmasur quiet-1; commit 3ddaec6).
+ * Set by: the constants below.
+ * Log events: `member-failed`, `member-recovered`.
+ */
+
+/** Milliseconds between heartbeats to a member. Not measured; twice as long and one lost heartbeat is half of FAILED_AFTER_MS. */
+export const HEARTBEAT_INTERVAL_MS = 150
+
+/**
+ * Milliseconds without an answer. Not measured by itself: half of it is fewer
+ * than two lost heartbeats (see above); twice as long, and stage work waits
+ * that much longer for the next coordinator.
+ */
+export const FAILED_AFTER_MS = 600
+
+/**
+ * Milliseconds between two ticks from which on this process itself stood
+ * still: two intervals (commit 3ddaec6). Half of it is the interval itself; at twice the value a
+ * pause as long as FAILED_AFTER_MS would pass for silence of the others.
+ */
+export const LATE_TICK_MS = 2 * HEARTBEAT_INTERVAL_MS
+
+/** Whether a member that has been silent for this long, in milliseconds, has failed. */
+export function hasFailed(silentMs: number): boolean {
+  return silentMs >= FAILED_AFTER_MS
+}
+
+/** Milliseconds in which this process stood still and heard nobody, by the time since its last tick. */
+export function ownPauseMs(sinceLastTickMs: number): number {
+  return sinceLastTickMs < LATE_TICK_MS ? 0 : sinceLastTickMs
+}
--- /dev/null
+++ b/packages/gateway/src/process/membership/heartbeat-targets.ts
@@ -0,0 +1,65 @@
+/**
+ * Decides which gateways get a heartbeat from this one at a tick.
+ *
+ * Inputs: the members in the order in which they would coordinate; for each,
+ * the time of its last answer and of the last heartbeat to it, and heartbeats
+ * without an answer (this process's own, as of now).
+ * Rule: the members that would coordinate before this one, up to and with the
+ * second that is alive and not stopping. Each gets one every
+ * HEARTBEAT_INTERVAL_MS, one that has failed every FAILED_HEARTBEAT_INTERVAL_MS,
+ * and none while MAX_PENDING_HEARTBEATS wait for an answer.
+ * Why: only the coordinator and its successor matter to a gateway, so the cost
+ * does not grow with the number of gateways. The successor is watched before
+ * it is needed: one that was last heard at the start counted as failed just as
+ * it became coordinator (docs/FINDINGS.md, trial d of firmasur trouble-3).
+ * Set by: the constants below.
+ * Log event: none of its own; its effects are `member-failed` and `member-recovered`.
+ */
+import type { MemberState } from './member-state.js'
+import { hasFailed, HEARTBEAT_INTERVAL_MS } from './failure-detection.js'
+
+/** Members that get heartbeats: the coordinator and its successor (see above). */
+const WATCHED_CANDIDATES = 2
+
+/**
+ * Heartbeats of one member without an answer at a time. An answer is waited
+ * for at most 450 ms, three intervals; with one at a time, a single lost
+ * heartbeat used up most of the time until a member counts as failed (commit 3ddaec6).
+ */
+const MAX_PENDING_HEARTBEATS = 4
+
+/** Milliseconds between heartbeats to a failed member. Not measured; twice as long, and one that recovers is used that much later. */
+const FAILED_HEARTBEAT_INTERVAL_MS = 500
+
+/**
+ * Share of the interval after which a heartbeat is due: timers fire a little
+ * early or late. Not measured; at 1 a tick that fires 1 ms early skips a
+ * heartbeat, at half of this a failed member gets one at every second tick.
+ */
+const DUE_SHARE = 0.9
+
+/** The members whose state this process keeps up to date, in order. */
+export function selectWatched(ranked: readonly MemberState[], now: number): MemberState[] {
+  const watched: MemberState[] = []
+  let usable = 0
+  for (const state of ranked) {
+    if (state.isSelf && !state.stopping)
+      break
+    if (state.isSelf)
+      continue
+    watched.push(state)
+    if (!hasFailed(now - state.lastReplyAt) && !state.stopping)
+      usable++
+    if (usable === WATCHED_CANDIDATES)
+      break
+  }
+  return watched
+}
+
+/** Whether a watched member gets a heartbeat now. */
+export function isHeartbeatDue(state: MemberState, now: number): boolean {
+  if (state.pendingHeartbeats >= MAX_PENDING_HEARTBEATS)
+    return false
+  const intervalMs = state.alive ? HEARTBEAT_INTERVAL_MS : FAILED_HEARTBEAT_INTERVAL_MS
+  return now - state.heartbeatSentAt >= intervalMs * DUE_SHARE
+}
--- /dev/null
+++ b/packages/gateway/src/process/platform-adapter.ts
@@ -0,0 +1,58 @@
+/**
+ * What a gateway needs of the platform that it runs on, as interfaces: the
+ * sources of configuration and backend servers, the directory of gateways, the
+ * codecs, and calls to stage backend servers. An adapter implements them; it is
+ * given to the gateway at its start.
+ */
+import type { BackendCodec } from '../connection/backend-client.js'
+import type { BackendConnections } from '../connection/backend-connections.js'
+import type { ClientCodec } from '../connection/client-codec.js'
+import type { Member } from '../connection/member.js'
+import type { StageClient } from '../connection/stage-client.js'
+import type { ConfigurationDecoder } from '../version/configuration-holder.js'
+import type { BackendRegistry } from './backend-registry.js'
+
+/** Follows the platform's configuration. */
+export interface ConfigurationSource {
+  /** Offers each configuration as text until the signal aborts; retries failures by itself. */
+  follow: (offer: (text: string) => void, signal: AbortSignal) => Promise<void>
+}
+
+/** Follows the platform's list of backend servers. */
+export interface BackendSource {
+  /** Keeps the registry up to date until the signal aborts; retries failures by itself. */
+  follow: (registry: BackendRegistry, signal: AbortSignal) => Promise<void>
+}
+
+/** A gateway as the directory lists it. */
+export interface ListedMember extends Member {
+  /** Order of its announcement among all: a gateway that restarts announces itself again and comes last. */
+  announcementOrder: number
+}
+
+/** Takes the changes of a directory. */
+export interface MemberSink {
+  upsert: (member: ListedMember) => void
+  remove: (name: string) => void
+}
+
+/** Where gateways announce themselves. */
+export interface MemberDirectory {
+  /** Announces this gateway, with retries until the directory has it or the signal aborts. */
+  announce: (member: Member, signal: AbortSignal) => Promise<void>
+  /** Takes this gateway off the list; tried once, since peers notice a process that ends in any case. */
+  withdraw: (member: Member) => Promise<void>
+  /** Reports members that are listed or removed, until the signal aborts. */
+  follow: (sink: MemberSink, signal: AbortSignal) => Promise<void>
+}
+
+/** All that a platform brings to a gateway. */
+export interface PlatformAdapter {
+  configurationSource: ConfigurationSource
+  decodeConfiguration: ConfigurationDecoder
+  backendSource: BackendSource
+  memberDirectory: MemberDirectory
+  clientCodec: ClientCodec
+  backendCodec: BackendCodec
+  stageClient: (connections: BackendConnections) => StageClient
+}
--- a/packages/gateway/src/process/stages/shared-preparer.ts
+++ b/packages/gateway/src/process/stages/shared-preparer.ts
@@ -73,9 +73,9 @@
     this.coordinatorOf.set(request.requestId, coordinator)
     if (coordinator.name === this.members.self.name)
       return this.local.prepare(request, signal)
-    const lost = this.members.watchLoss(coordinator)
+    const failure = this.members.watchFailure(coordinator)
     try {
-      return await this.peers.prepare(coordinator, request, AbortSignal.any([signal, lost.signal]))
+      return await this.peers.prepare(coordinator, request, AbortSignal.any([signal, failure.signal]))
     }
     catch (error) {
       if (!signal.aborted)
@@ -83,7 +83,7 @@
       return undefined
     }
     finally {
-      lost.dispose()
+      failure.dispose()
     }
   }
 
--- a/test/gateway/members.test.ts
+++ b/test/gateway/members.test.ts
@@ -26,7 +26,7 @@
   const versions: number[] = []
   const members = new Members({ name: self, address: self }, peers, createLog().log, (_, version) => versions.push(version))
   const names = ['gateway-a', 'gateway-b', 'gateway-c', 'gateway-d']
-  names.forEach((name, seniority) => members.upsert({ name, address: name, seniority }))
+  names.forEach((name, announcementOrder) => members.upsert({ name, address: name, announcementOrder }))
   members.start()
   return { members, peers, versions }
 }
@@ -82,7 +82,7 @@
     peers.replies.set('gateway-b', ALIVE)
     await vi.advanceTimersByTimeAsync(1500)
     peers.replies.set('gateway-a', ALIVE)
-    members.upsert({ name: 'gateway-a', address: 'gateway-a', seniority: 9 })
+    members.upsert({ name: 'gateway-a', address: 'gateway-a', announcementOrder: 9 })
     await vi.advanceTimersByTimeAsync(1500)
     expect(members.coordinator.name).toBe('gateway-b')
   })
@@ -92,11 +92,11 @@
     peers.replies.set('gateway-a', ALIVE)
     peers.replies.set('gateway-b', ALIVE)
     await vi.advanceTimersByTimeAsync(1000)
-    const loss = members.watchLoss(members.coordinator)
+    const failure = members.watchFailure(members.coordinator)
     peers.replies.set('gateway-a', 'silent')
     await vi.advanceTimersByTimeAsync(1100)
     expect(members.coordinator.name).toBe('gateway-b')
-    expect(loss.signal.aborted).toBe(true)
+    expect(failure.signal.aborted).toBe(true)
   })
 
   test('passes from a gateway that stops to one that answers', async () => {
@@ -112,8 +112,8 @@
   test('costs heartbeats to the coordinator and the one that would follow it, however many there are', async () => {
     const { members, peers } = createMembers('gateway-z')
     for (let index = 0; index < 20; index++)
-      members.upsert({ name: `gateway-${index}`, address: `gateway-${index}`, seniority: 10 + index })
-    members.upsert({ name: 'gateway-z', address: 'gateway-z', seniority: 100 })
+      members.upsert({ name: `gateway-${index}`, address: `gateway-${index}`, announcementOrder: 10 + index })
+    members.upsert({ name: 'gateway-z', address: 'gateway-z', announcementOrder: 100 })
     for (const name of ['gateway-a', 'gateway-b', 'gateway-c', ...Array.from({ length: 20 }, (_, index) => `gateway-${index}`)])
       peers.replies.set(name, ALIVE)
     await vi.advanceTimersByTimeAsync(1000)
--- a/test/gateway/shared-preparer.test.ts
+++ b/test/gateway/shared-preparer.test.ts
@@ -44,7 +44,7 @@
   async function createShared(failures: Error[]) {
     const { log } = createLog()
     const members = new Members(SELF, { heartbeat: async () => ({ version: 1, stopping: false }) }, log, () => {})
-    members.upsert({ ...COORDINATOR, seniority: 0 })
+    members.upsert({ ...COORDINATOR, announcementOrder: 0 })
     members.start()
     await vi.advanceTimersByTimeAsync(500)
     const askedAt: string[] = []
