--- a/packages/gateway/src/process/gateway.ts
+++ b/packages/gateway/src/process/gateway.ts
@@ -6,7 +6,7 @@
  */
 import type { EventLog } from '@eidermast/common'
 import type { Member } from '../connection/member.js'
-import type { RetryBudgetSettings } from '../request/retry-budget.js'
+import type { RetryBudgetSettings } from '../request/attempts/retry-budget.js'
 import type { GatewaySettings } from './gateway-settings.js'
 import type { PlatformAdapter } from './platform-adapter.js'
 import type { ReadinessInputs } from './readiness.js'
@@ -18,10 +18,10 @@
 import { HttpBackendClient } from '../connection/http-backend-client.js'
 import { PeerClients } from '../connection/peer-clients.js'
 import { createPeerRouter } from '../connection/peer-router.js'
-import { LeastLoadChoice, PrefixAwareChoice } from '../request/backend-choice.js'
-import { BackendRunner } from '../request/backend-runner.js'
+import { LeastLoadChoice, PrefixAwareChoice } from '../request/attempts/backend-choice.js'
+import { BackendRunner } from '../request/attempts/backend-runner.js'
+import { RetryBudget } from '../request/attempts/retry-budget.js'
 import { PassThrough } from '../request/pass-through.js'
-import { RetryBudget } from '../request/retry-budget.js'
 import { ConfigurationHolder } from '../version/configuration-holder.js'
 import { BackendRegistry } from './backend-registry.js'
 import { latestEndMs } from './drain-plan.js'
@@ -123,7 +123,7 @@
   private createStageCoordinator(): StageCoordinator {
     const client = this.platform.stageClient(this.connections)
     const budget = new RetryBudget({ ...this.retryAllowance(), ratio: 0 }, () => countSharingGateways(COORDINATORS))
-    const repeats = { takeRepeats: (service: string) => budget.takeRepeat(service) }
+    const repeats = { takeRepeats: (service: string) => budget.takeRetry(service) }
     return new StageCoordinator(this.registry, client, new ShiftedTargetOrder(), repeats, this.log)
   }
 
