--- a/packages/gateway/src/process/gateway.ts
+++ b/packages/gateway/src/process/gateway.ts
@@ -28,7 +28,6 @@
 import { Members } from './membership/members.js'
 import { SharedPreparer } from './stages/shared-preparer.js'
 import { StageCoordinator } from './stages/stage-coordinator.js'
-import { ShiftedTargetOrder } from './stages/stage-order.js'
 
 /** Follows the platform's configuration until the signal aborts. */
 export interface ConfigurationSource {
@@ -88,7 +87,7 @@
     this.connections = new BackendConnections(service => this.connectionShare(service))
     const budget = new RetryBudget({ ratio: settings.retry.ratio, extra: settings.retry.extra, windowMs: settings.retry['window-ms'] }, () => this.gatewayCount())
     const stageBudget = new RetryBudget({ ratio: 0, extra: settings.retry.extra, windowMs: settings.retry['window-ms'] }, () => 1 + SPARE_GATEWAYS)
-    this.stageCoordinator = new StageCoordinator(this.registry, platform.stageClient(this.connections), new ShiftedTargetOrder(), { takeRepeats: service => stageBudget.takeRepeat(service) }, log)
+    this.stageCoordinator = new StageCoordinator(this.registry, platform.stageClient(this.connections), { takeRepeats: service => stageBudget.takeRepeat(service) }, log)
     const ejection = new OutlierEjection()
     const runner = new BackendRunner({
       failureDomain: settings.process.failureDomain,
