--- /dev/null
+++ b/test/pages/decisions-page.test.ts
@@ -0,0 +1,40 @@
+import { expect, test } from 'vitest'
+import { readFromRoot } from './support/pages.js'
+import { existsInRepository, sourceModules } from './support/sources.js'
+
+const PAGE = 'docs/DECISIONS.md'
+
+/** The doc comment with which a module begins, after its imports; empty where there is none. */
+function headComment(module: string): string {
+  return /\/\*\*[\s\S]*?\*\//.exec(readFromRoot(module))?.[0] ?? ''
+}
+
+/** Whether a module says in its head that it decides. */
+function decides(module: string): boolean {
+  return /^ \* Decides\b/m.test(headComment(module))
+}
+
+/** The second column of the page's tables. */
+function moduleColumn(): string[] {
+  const rows = readFromRoot(PAGE).split('\n').filter(line => line.startsWith('|') && !/^\|[-| ]+\|$/.test(line))
+  return rows.map(row => row.split('|')[2].trim()).filter(cell => cell !== 'module')
+}
+
+test('every module that decides has a row in the page of decisions', () => {
+  const named = new Set(moduleColumn().flatMap(findModules))
+  expect(sourceModules().filter(decides).filter(module => !named.has(module))).toEqual([])
+})
+
+test('the page of decisions names no file that is gone', () => {
+  const paths = [...readFromRoot(PAGE).matchAll(/\b(?:packages|platform|test|docs)\/[\w./-]+\w/g)].map(match => match[0])
+  expect(paths.filter(file => !existsInRepository(file))).toEqual([])
+})
+
+test('each row of the page of decisions names a module by its path from the root', () => {
+  expect(moduleColumn().filter(cell => findModules(cell).length === 0)).toEqual([])
+})
+
+/** Modules that a cell names by their path from the root. */
+function findModules(cell: string): string[] {
+  return cell.match(/(?:packages\/[\w-]+|platform)\/src\/[\w/.-]+\.ts/g) ?? []
+}
