--- a/packages/daemon/src/connection/answer-writer.ts
+++ b/packages/daemon/src/connection/answer-writer.ts
@@ -4,7 +4,7 @@
  */
 import type { RequestError } from '@eidermast/common'
 import type { ServerResponse } from 'node:http'
-import type { RequestAnswer, WholeAnswer } from '../request/answer.js'
+import type { RequestAnswer, WholeAnswer } from './answer.js'
 import { ERROR_ANSWERS } from '@eidermast/common'
 
 const MILLISECONDS_PER_SECOND = 1000
--- a/packages/daemon/src/connection/backend-client.ts
+++ b/packages/daemon/src/connection/backend-client.ts
@@ -7,7 +7,7 @@
 import { createInterface } from 'node:readline'
 import { Agent, request } from 'undici'
 import { z } from 'zod'
-import { callJson, isNotConnected } from '../process/json-http.js'
+import { callJson, isNotConnected } from './json-http.js'
 
 /** How a call to a backend server ended. */
 export enum BackendOutcome {
--- a/packages/daemon/src/connection/caller-headers.ts
+++ b/packages/daemon/src/connection/caller-headers.ts
@@ -8,8 +8,8 @@
 import { createHash } from 'node:crypto'
 import { createError, ErrorKind } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
-import { isRequestId } from '../request/identity.js'
 import { MAX_DEADLINE_MS } from '../version/objects.js'
+import { isRequestId } from './identity.js'
 
 /** Headers of a caller's request. */
 export interface CallerHeaders {
--- a/packages/daemon/src/process/log-client.ts
+++ b/packages/daemon/src/connection/log-client.ts
@@ -1,61 +1,44 @@
 /**
- * The platform's append-only log, as the system sees it.
+ * The platform's log over HTTP. Owns its connections until `close`. Makes each
+ * call once: whether an append that is in doubt is made again is decided by
+ * whoever knows what the record does.
  */
 import type { Result } from 'ts-results-es'
-import type { CallError } from './json-http.js'
+import type { CallError } from '../version/call-error.js'
+import type { LogClient, LogPage, LogReadOptions } from '../version/log.js'
 import { Err, Ok } from 'ts-results-es'
 import { Agent } from 'undici'
 import { z } from 'zod'
-import { CallFailure, callJson } from './json-http.js'
+import { CallFailure } from '../version/call-error.js'
+import { logPageSchema } from '../version/log.js'
+import { callJson } from './json-http.js'
 
-export { CallFailure as AppendFailure } from './json-http.js'
-
-const recordSchema = z.object({ offset: z.int().min(0), time: z.number(), value: z.unknown() })
-const pageSchema = z.object({ records: z.array(recordSchema), firstOffset: z.int().min(0), nextOffset: z.int().min(0) })
 const appendSchema = z.object({ offset: z.int().min(0) })
 
-/** One record of a stream. */
-export type LogRecord = z.infer<typeof recordSchema>
-
-/** Records of a stream in offset order, and the stream's bounds. */
-export type LogPage = z.infer<typeof pageSchema>
-
-/** Which records to read. */
-export interface LogReadOptions {
-  stream: string
-  from: number
-  limit: number
-  /** Milliseconds for which the log may hold the read open while nothing is new. */
-  waitMs: number
-}
-
-/** A client of the platform's log. */
-export interface LogClient {
-  /** Appends records in one append; returns the first one's offset. */
-  append: (stream: string, values: unknown[], signal?: AbortSignal) => Promise<Result<number, CallError>>
-  /** Reads records from an offset on. */
-  read: (options: LogReadOptions, signal?: AbortSignal) => Promise<Result<LogPage, CallError>>
-  /** Closes the client's connections. */
-  close: () => Promise<void>
-}
-
 /** Options of the HTTP log client. */
 export interface HttpLogClientOptions {
   url: string
   /**
-   * Milliseconds until a call is given up.
+   * Milliseconds until a call times out; a read that the log holds open gets that time on top.
    * @default 1000
    */
   timeoutMs?: number
 }
 
+/**
+ * Milliseconds, for opening a connection and for a call where the options name
+ * no time. Not measured: half would fail calls at a loaded log, twice would
+ * delay the move to a peer's configuration by a second.
+ */
+const DEFAULT_TIMEOUT_MS = 1000
+
 /** The log over HTTP. */
 export class HttpLogClient implements LogClient {
-  private readonly agent = new Agent({ connect: { timeout: 1000 } })
+  private readonly agent = new Agent({ connect: { timeout: DEFAULT_TIMEOUT_MS } })
   private readonly timeoutMs: number
 
   constructor(private readonly options: HttpLogClientOptions) {
-    this.timeoutMs = options.timeoutMs ?? 1000
+    this.timeoutMs = options.timeoutMs ?? DEFAULT_TIMEOUT_MS
   }
 
   async append(stream: string, values: unknown[], signal?: AbortSignal): Promise<Result<number, CallError>> {
@@ -86,7 +69,7 @@
     })
     if (answer.isErr())
       return answer
-    const parsed = pageSchema.safeParse(answer.value)
+    const parsed = logPageSchema.safeParse(answer.value)
     if (!parsed.success)
       return Err({ failure: CallFailure.InDoubt, message: 'the log answered a read in an unknown form' })
     return Ok(parsed.data)
--- a/packages/daemon/src/connection/peer-router.ts
+++ b/packages/daemon/src/connection/peer-router.ts
@@ -1,7 +1,7 @@
 /**
  * Procedures between the system's processes, by tRPC.
  */
-import type { Decision } from '../process/decision-log.js'
+import type { LogFields } from '@eidermast/common'
 import type { ConfigurationDifference } from '../version/configuration.js'
 import type { CancelReply, DifferenceRequest, ForwardedRequest, Heartbeat, HeartbeatReply, OutcomeQuestion, OutcomeReply, ResultQuestion, StageCall, StageReply, StreamMessage } from './messages.js'
 import { initTRPC } from '@trpc/server'
@@ -28,6 +28,17 @@
   text: string
 }
 
+/** One decision about a request, as a process remembers it for `eidermast explain`. */
+export interface Decision {
+  /** Epoch milliseconds. */
+  at: number
+  /** Name of the process that decided. */
+  by: string
+  event: string
+  requestId: string
+  fields: LogFields
+}
+
 /** What every process answers to its peers. */
 export interface PeerService {
   heartbeat: (heartbeat: Heartbeat) => HeartbeatReply
--- a/packages/daemon/src/process/decision-log.ts
+++ b/packages/daemon/src/process/decision-log.ts
@@ -3,20 +3,10 @@
  * ones kept in memory so that operators can ask why a request went where.
  */
 import type { LogFields, Logger } from '@eidermast/common'
+import type { Decision } from '../connection/peer-router.js'
 import type { DecisionRecorder } from '../request/decision-recorder.js'
 import { createLogger } from '@eidermast/common'
 
-/** One decision about a request. */
-export interface Decision {
-  /** Epoch milliseconds. */
-  at: number
-  /** Name of the process that decided. */
-  by: string
-  event: string
-  requestId: string
-  fields: LogFields
-}
-
 const DEFAULT_CAPACITY = 20_000
 
 /** Logs and remembers decisions. */
--- a/packages/daemon/src/process/virtual-machine-list.ts
+++ b/packages/daemon/src/process/virtual-machine-list.ts
@@ -5,7 +5,7 @@
 import type { ListedEntries } from '../request/authority/not-run-proof.js'
 import { createLogger, wait } from '@eidermast/common'
 import { z } from 'zod'
-import { callJson } from './json-http.js'
+import { callJson } from '../connection/json-http.js'
 
 const log = createLogger('membership')
 
--- a/packages/daemon/src/process/weight-store.ts
+++ b/packages/daemon/src/process/weight-store.ts
@@ -2,7 +2,7 @@
  * The platform's rate-limited weight store. A side asks it whether weights
  * exist before it orders an engine to load them.
  */
-import { callJson } from './json-http.js'
+import { callJson } from '../connection/json-http.js'
 
 /** What the weight store says of weights. */
 export enum WeightState {
--- a/packages/daemon/src/request/authority/claims.ts
+++ b/packages/daemon/src/request/authority/claims.ts
@@ -4,12 +4,12 @@
  * life that made it runs the request. A claim has no lease that could lapse;
  * its holder may release it only if it dispatched nothing and never will.
  */
-import type { LogClient, LogPage } from '../../process/log-client.js'
+import type { LogClient, LogPage } from '../../version/log.js'
 import { createLogger, formatError, wait } from '@eidermast/common'
 import { v7 as uuidv7 } from 'uuid'
 import { z } from 'zod'
-import { CallFailure } from '../../process/json-http.js'
-import { createRequestKey, requestIdTime } from '../identity.js'
+import { createRequestKey, requestIdTime } from '../../connection/identity.js'
+import { CallFailure } from '../../version/call-error.js'
 
 const log = createLogger('claim')
 
--- a/packages/daemon/src/request/authority/outcome-finder.ts
+++ b/packages/daemon/src/request/authority/outcome-finder.ts
@@ -1,9 +1,9 @@
+import type { RequestAnswer } from '../../connection/answer.js'
 /**
  * Finds the outcome of a request that another process life has the authority
  * to run. Never runs anything.
  */
 import type { EntryPeers } from '../../connection/entry-peers.js'
-import type { RequestAnswer } from '../answer.js'
 import type { DecisionRecorder } from '../decision-recorder.js'
 import type { IncomingRequest } from '../incoming-request.js'
 import type { OutcomeTable } from '../outcomes.js'
@@ -12,10 +12,10 @@
 import type { Ticket } from './tickets.js'
 import { createError, ErrorKind, settleWithin, UNABORTED } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
+import { parseAnswer } from '../../connection/answer.js'
 import { ForwardState } from '../../connection/entry-peers.js'
+import { createRequestKey, digestRequest } from '../../connection/identity.js'
 import { StageReplyKind } from '../../connection/messages.js'
-import { parseAnswer } from '../answer.js'
-import { createRequestKey, digestRequest } from '../identity.js'
 import { remainingMs } from '../incoming-request.js'
 
 /** Parts of an outcome finder. */
--- a/packages/daemon/src/request/authority/tickets.ts
+++ b/packages/daemon/src/request/authority/tickets.ts
@@ -6,9 +6,9 @@
 import { createHmac } from 'node:crypto'
 import { Err, Ok } from 'ts-results-es'
 import { z } from 'zod'
+import { parseJson } from '../../connection/answer.js'
+import { createRequestId } from '../../connection/identity.js'
 import { equalSecrets } from '../../connection/peer-key.js'
-import { parseJson } from '../answer.js'
-import { createRequestId } from '../identity.js'
 
 const ticketSchema = z.object({
   requestId: z.uuid(),
--- a/packages/daemon/src/request/outcomes.ts
+++ b/packages/daemon/src/request/outcomes.ts
@@ -4,9 +4,9 @@
  * unrepeatable request stays for its whole time, so that it never runs again
  * in this process life.
  */
-import type { RequestAnswer } from './answer.js'
+import type { RequestAnswer } from '../connection/answer.js'
+import { formatAnswer } from '../connection/answer.js'
 import { OutcomeState } from '../connection/messages.js'
-import { formatAnswer } from './answer.js'
 
 /** What is remembered of a request. */
 export interface Outcome {
--- a/packages/daemon/src/request/request-runner.ts
+++ b/packages/daemon/src/request/request-runner.ts
@@ -2,8 +2,8 @@
  * Runs the stages of one request in order, from its plan to its one answer.
  */
 import type { RequestError } from '@eidermast/common'
+import type { RequestAnswer, StageReport, WholeAnswer } from '../connection/answer.js'
 import type { LinkTokenListener } from '../connection/side-link.js'
-import type { RequestAnswer, StageReport, WholeAnswer } from './answer.js'
 import type { PlannedStage, RequestPlan } from './plan.js'
 import type { RequestMetrics } from './request-metrics.js'
 import type { StageBudgetPolicy } from './stages/stage-budget.js'
--- a/packages/daemon/src/request/stages/stage-caller.ts
+++ b/packages/daemon/src/request/stages/stage-caller.ts
@@ -4,10 +4,10 @@
  */
 import type { EjectionPolicy, RequestError } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
+import type { StageReport } from '../../connection/answer.js'
 import type { DoneReply, FailedReply, RefusedReply, StageCall } from '../../connection/messages.js'
 import type { LinkResult, LinkTokenListener } from '../../connection/side-link.js'
 import type { Priority } from '../../version/objects.js'
-import type { StageReport } from '../answer.js'
 import type { DecisionRecorder } from '../decision-recorder.js'
 import type { PlannedStage } from '../plan.js'
 import type { RequestMetrics } from '../request-metrics.js'
--- a/packages/daemon/src/request/stages/stage-input.ts
+++ b/packages/daemon/src/request/stages/stage-input.ts
@@ -3,7 +3,7 @@
  */
 import type { StageCall } from '../../connection/messages.js'
 import { z } from 'zod'
-import { parseJson } from '../answer.js'
+import { parseJson } from '../../connection/answer.js'
 
 const stageInputSchema = z.object({ input: z.string() })
 
--- a/packages/daemon/src/version/checkpointer.ts
+++ b/packages/daemon/src/version/checkpointer.ts
@@ -1,10 +1,10 @@
+import type { Configuration } from './configuration.js'
 /**
  * Appends a checkpoint of the configuration before the log's retention drops
  * the records it was folded from. Any entry may do so; two checkpoints of the
  * same offset do no harm, and a random wait makes them rare.
  */
-import type { LogClient } from '../process/log-client.js'
-import type { Configuration } from './configuration.js'
+import type { LogClient } from './log.js'
 import { createLogger, formatError, wait } from '@eidermast/common'
 import { parseRecord } from './configuration.js'
 import { CONFIGURATION_STREAM, NO_OFFSET, RecordKind } from './record.js'
--- a/packages/daemon/src/version/follower.ts
+++ b/packages/daemon/src/version/follower.ts
@@ -1,8 +1,8 @@
+import type { Configuration } from './configuration.js'
 /**
  * Keeps a configuration at the head of the log's configuration stream.
  */
-import type { LogClient, LogPage } from '../process/log-client.js'
-import type { Configuration } from './configuration.js'
+import type { LogClient, LogPage } from './log.js'
 import { createLogger, formatError, wait } from '@eidermast/common'
 import { parseRecord } from './configuration.js'
 import { CONFIGURATION_STREAM, RecordKind } from './record.js'
--- a/packages/daemon/src/version/publisher.ts
+++ b/packages/daemon/src/version/publisher.ts
@@ -2,12 +2,12 @@
  * Publishes one change and finds out what became of it by reading its own
  * record back: the first of two racing operators wins, the second is told.
  */
-import type { LogClient } from '../process/log-client.js'
+import type { LogClient } from './log.js'
 import type { ObjectKind } from './objects.js'
 import type { ChangeRecord } from './record.js'
 import { wait } from '@eidermast/common'
 import { v7 as uuidv7 } from 'uuid'
-import { AppendFailure } from '../process/log-client.js'
+import { CallFailure } from './call-error.js'
 import { Configuration, FoldOutcome, parseRecord } from './configuration.js'
 import { foldPage, hasGap } from './follower.js'
 import { CONFIGURATION_STREAM, RecordKind } from './record.js'
@@ -83,7 +83,7 @@
   let inDoubt = false
   while (Date.now() < giveUpAt) {
     const appended = await client.append(CONFIGURATION_STREAM, [change])
-    if (appended.isOk() || appended.error.failure === AppendFailure.InDoubt) {
+    if (appended.isOk() || appended.error.failure === CallFailure.InDoubt) {
       inDoubt = true
       break
     }
--- a/test/version/publisher.test.ts
+++ b/test/version/publisher.test.ts
@@ -1,7 +1,7 @@
 import type { LogClient } from '@eidermast/daemon'
 import type { StandInService } from '@eidermast/stand-ins'
 import { PUBLISH_EXIT_CODES } from '@eidermast/command-line'
-import { AppendFailure, Checkpointer, Configuration, CONFIGURATION_STREAM, foldPage, HttpLogClient, NO_OFFSET, ObjectKind, publishChange, PublishOutcome, readConfiguration, resolvePlacement } from '@eidermast/daemon'
+import { CallFailure, Checkpointer, Configuration, CONFIGURATION_STREAM, foldPage, HttpLogClient, NO_OFFSET, ObjectKind, publishChange, PublishOutcome, readConfiguration, resolvePlacement } from '@eidermast/daemon'
 import { LogOutage, LogService } from '@eidermast/stand-ins'
 import { Err, Ok } from 'ts-results-es'
 import { afterEach, beforeEach, describe, expect, test } from 'vitest'
@@ -76,11 +76,11 @@
     const lostAfterAppend: LogClient = {
       append: async (_stream, values) => {
         appended.push(...values)
-        return Err({ failure: AppendFailure.InDoubt, message: 'lost' })
+        return Err({ failure: CallFailure.InDoubt, message: 'lost' })
       },
       read: async () => appended.length === 0
         ? Ok({ records: [], firstOffset: 0, nextOffset: 0 })
-        : Err({ failure: AppendFailure.InDoubt, message: 'out' }),
+        : Err({ failure: CallFailure.InDoubt, message: 'out' }),
       close: async () => {},
     }
     const publication = await publishChange(lostAfterAppend, { kind: ObjectKind.Template, name: 'a', value: createTemplate(), timeoutMs: 300 })
