--- /dev/null
+++ b/packages/daemon/src/connection/caller-path.ts
@@ -0,0 +1,60 @@
+/**
+ * What a caller asks for, read from the target of its HTTP request. Pure: it
+ * knows neither the configuration nor the request's headers.
+ */
+
+/** What a path of the callers' interface is for. */
+export enum CallerPathKind {
+  /** `POST /v1/pipelines/NAME/requests`. */
+  Pipeline = 'pipeline',
+  /** `/v1/services/NAME/...`, with any method. */
+  Service = 'service',
+  /** `GET /v1/requests/ID`. */
+  Outcome = 'outcome',
+  /** `POST /v1/tickets`. */
+  Ticket = 'ticket',
+}
+
+/** A path of the callers' interface. */
+export type CallerPath
+  = { kind: CallerPathKind.Pipeline, pipeline: string }
+    /** `path` is what the service receives, with the query. */
+    | { kind: CallerPathKind.Service, service: string, path: string }
+    | { kind: CallerPathKind.Outcome, requestId: string }
+    | { kind: CallerPathKind.Ticket }
+
+const PIPELINE_PATH = /^\/v1\/pipelines\/([^/]+)\/requests$/
+const SERVICE_PATH = /^\/v1\/services\/([^/]+)(\/.*)$/
+const REQUEST_PATH = /^\/v1\/requests\/([^/]+)$/
+const TICKET_PATH = '/v1/tickets'
+/** Path segments that could lead a service path to another service. */
+const DOT_SEGMENT = /(?:^|\/)(?:\.|%2e){1,2}(?:\/|$)/i
+
+/** Reads a request target; undefined where nothing is at its path. Dot segments are not resolved. */
+export function parseCallerPath(target: string): CallerPath | undefined {
+  const queryAt = target.indexOf('?')
+  const path = queryAt < 0 ? target : target.slice(0, queryAt)
+  const query = queryAt < 0 ? '' : target.slice(queryAt)
+  const pipeline = PIPELINE_PATH.exec(path)
+  if (pipeline)
+    return { kind: CallerPathKind.Pipeline, pipeline: pipeline[1] }
+  const service = SERVICE_PATH.exec(path)
+  if (service)
+    return { kind: CallerPathKind.Service, service: service[1], path: service[2] + query }
+  const outcome = REQUEST_PATH.exec(path)
+  if (outcome)
+    return { kind: CallerPathKind.Outcome, requestId: outcome[1] }
+  return path === TICKET_PATH ? { kind: CallerPathKind.Ticket } : undefined
+}
+
+/** The method that a path wants; undefined where any may come. */
+export function wantedMethod(path: CallerPath): 'GET' | 'POST' | undefined {
+  if (path.kind === CallerPathKind.Service)
+    return undefined
+  return path.kind === CallerPathKind.Outcome ? 'GET' : 'POST'
+}
+
+/** Whether a service path holds segments that an HTTP library might resolve to another service. */
+export function hasDotSegment(path: string): boolean {
+  return DOT_SEGMENT.test(path)
+}
--- a/packages/daemon/src/connection/entry-peers.ts
+++ b/packages/daemon/src/connection/entry-peers.ts
@@ -1,7 +1,7 @@
 /**
  * An entry's connections to other entries, opened when first needed.
  */
-import type { ConfigurationDifference } from '../version/configuration.js'
+import type { Configuration, ConfigurationDifference } from '../version/configuration.js'
 import type { ForwardedRequest, HeartbeatReply, OutcomeQuestion, OutcomeReply } from './messages.js'
 import type { CallResult, EntryClient, PeerConnection } from './peer-connection.js'
 import { ObjectKind } from '../version/objects.js'
@@ -13,7 +13,7 @@
   key: string
   entryName: string
   entryIncarnation: string
-  offset: () => number
+  configuration: Configuration
 }
 
 /** An open connection and the process life at its far end. */
@@ -105,8 +105,8 @@
     if (opened.isErr())
       return undefined
     const connection = opened.value
-    const { entryIncarnation, entryName, offset } = this.options
-    const heartbeat = { incarnation: entryIncarnation, name: entryName, offset: offset(), fresh: false, acknowledged: [] }
+    const { entryIncarnation, entryName, configuration } = this.options
+    const heartbeat = { incarnation: entryIncarnation, name: entryName, offset: configuration.offset, fresh: false, acknowledged: [] }
     const result = await callPeer(connection, client => client.greet.mutate(heartbeat), HEARTBEAT_TIMEOUT_MS)
     const reply = result.state === CallState.Answered ? heartbeatReplySchema.safeParse(result.value).data : undefined
     if (!reply) {
--- a/packages/daemon/src/connection/peer-server.ts
+++ b/packages/daemon/src/connection/peer-server.ts
@@ -1,9 +1,11 @@
 /**
  * The port between the system's processes: one tRPC WebSocket for each peer,
- * and metrics and health over plain HTTP.
+ * and metrics and health over plain HTTP. Owns the listening socket and the
+ * peers' connections; peers see them close when the process dies, and connect
+ * again to its successor.
  */
 import type { AnyTRPCRouter } from '@trpc/server'
-import type { IncomingMessage, Server, ServerResponse } from 'node:http'
+import type { IncomingMessage, RequestListener, Server } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import type { Duplex } from 'node:stream'
 import { createServer } from 'node:http'
@@ -11,43 +13,81 @@
 import { WebSocketServer } from 'ws'
 import { isAuthorized } from './peer-key.js'
 
-/** Largest message between processes, in bytes. */
+/**
+ * Largest message between processes, in bytes. Not measured: it holds the
+ * longest stage input (4 million characters, at most 4 bytes each) four times
+ * over; half still does, twice lets a faulty peer take more memory.
+ */
 export const MAX_PEER_MESSAGE_BYTES = 64_000_000
 
-/** Options of a peer server. */
-export interface PeerServerOptions {
-  router: AnyTRPCRouter
+/** Answer to a connection that does not show the key. */
+const UNAUTHORIZED = 'HTTP/1.1 401 Unauthorized\r\nConnection: close\r\nContent-Length: 0\r\n\r\n'
+
+/** Where and for whom a peer server listens. */
+export interface PeerServerAddress {
+  /** The key that peers must show. */
   key: string
   host: string
+  /** Port; 0 takes a free one. */
   port: number
+}
+
+/** Options of a peer server. */
+export interface PeerServerOptions extends PeerServerAddress {
+  router: AnyTRPCRouter
   /** Answers plain HTTP, such as metrics. */
-  onRequest: (request: IncomingMessage, response: ServerResponse) => void
+  onRequest: RequestListener
 }
 
 /** A listening peer server. */
-export interface PeerServer {
-  /** Where it listens, as `host:port`. */
-  address: string
-  close: () => Promise<void>
+export class PeerServer {
+  private readonly sockets = new WebSocketServer({ noServer: true, maxPayload: MAX_PEER_MESSAGE_BYTES, perMessageDeflate: false })
+
+  private constructor(
+    private readonly server: Server,
+    private readonly key: string,
+    /** Where it listens, as `host:port`. */
+    readonly address: string,
+  ) {}
+
+  /** Starts listening, for a process whose parts need to know the address; `serve` has to follow at once. */
+  static async listen({ key, host, port }: PeerServerAddress): Promise<PeerServer> {
+    const server = createServer()
+    return new PeerServer(server, key, await listen(server, host, port))
+  }
+
+  /** Answers peers from now on. */
+  serve(router: AnyTRPCRouter, onRequest: RequestListener): void {
+    applyWSSHandler({ wss: this.sockets, router })
+    this.server.on('request', onRequest)
+    this.server.on('upgrade', (request, socket, head) => this.upgrade(request, socket, head))
+  }
+
+  /** Closes every connection and stops listening. */
+  async close(): Promise<void> {
+    for (const client of this.sockets.clients)
+      client.close()
+    this.sockets.close()
+    this.server.closeAllConnections()
+    await new Promise<void>(resolve => this.server.close(() => resolve()))
+  }
+
+  private upgrade(request: IncomingMessage, socket: Duplex, head: Buffer): void {
+    if (isAuthorized(request, this.key))
+      this.sockets.handleUpgrade(request, socket, head, client => this.sockets.emit('connection', client, request))
+    else
+      socket.end(UNAUTHORIZED)
+  }
 }
 
-/** Starts listening for peers. */
+/** Listens and answers peers. Rejects where the port cannot be listened on. */
 export async function startPeerServer(options: PeerServerOptions): Promise<PeerServer> {
-  const server = createServer(options.onRequest)
-  const sockets = new WebSocketServer({ noServer: true, maxPayload: MAX_PEER_MESSAGE_BYTES, perMessageDeflate: false })
-  applyWSSHandler({ wss: sockets, router: options.router })
-  server.on('upgrade', (request: IncomingMessage, socket: Duplex, head: Buffer) => {
-    if (!isAuthorized(request, options.key)) {
-      socket.end('HTTP/1.1 401 Unauthorized\r\nConnection: close\r\nContent-Length: 0\r\n\r\n')
-      return
-    }
-    sockets.handleUpgrade(request, socket, head, client => sockets.emit('connection', client, request))
-  })
-  const address = await listen(server, options.host, options.port)
-  return { address, close: () => closeServer(server, sockets) }
+  const server = await PeerServer.listen(options)
+  server.serve(options.router, options.onRequest)
+  return server
 }
 
-/** Listens and returns the address as `host:port`. */
+/** Listens and returns the address as `host:port`. Rejects where the port cannot be listened on. */
 export async function listen(server: Server, host: string, port: number): Promise<string> {
   await new Promise<void>((resolve, reject) => {
     server.once('error', reject)
@@ -55,11 +95,3 @@
   })
   return `${host}:${(server.address() as AddressInfo).port}`
 }
-
-async function closeServer(server: Server, sockets: WebSocketServer): Promise<void> {
-  for (const client of sockets.clients)
-    client.close()
-  sockets.close()
-  server.closeAllConnections()
-  await new Promise<void>(resolve => server.close(() => resolve()))
-}
--- /dev/null
+++ b/packages/daemon/src/process/entry/entry.ts
@@ -0,0 +1,177 @@
+/**
+ * The entry role: owns callers' requests from first byte to last. Builds the
+ * parts of an entry, wires them and starts and stops them. It keeps nothing
+ * that must last: after a crash, claims on the log tell other entries that a
+ * request may have run here, and the configuration is read again.
+ */
+import type { Server } from 'node:http'
+import type { Daemon, DaemonAddresses } from '../daemon.js'
+import type { OperationsSource } from '../operations.js'
+import type { Settings } from '../settings.js'
+import type { RequestParts } from './request-services.js'
+import process from 'node:process'
+import { createLogger } from '@eidermast/common'
+import { createCallerServer } from '../../connection/caller-server.js'
+import { EntryPeers } from '../../connection/entry-peers.js'
+import { HttpLogClient } from '../../connection/log-client.js'
+import { createEntryRouter } from '../../connection/peer-router.js'
+import { listen, PeerServer } from '../../connection/peer-server.js'
+import { Checkpointer } from '../../version/checkpointer.js'
+import { Configuration } from '../../version/configuration.js'
+import { ConfigurationFollower } from '../../version/follower.js'
+import { DecisionLog } from '../decision-log.js'
+import { createIncarnation } from '../incarnation.js'
+import { Membership } from '../membership/membership.js'
+import { HttpVirtualMachineSource, VirtualMachineList } from '../membership/virtual-machine-list.js'
+import { EntryMetrics } from '../metrics.js'
+import { answerOperations, createOperationsListener } from '../operations.js'
+import { EntryCallerService } from './caller-service.js'
+import { ConfigurationWatch } from './configuration-watch.js'
+import { EntryPeerService } from './entry-service.js'
+import { leave } from './leaving.js'
+import { OutcomeSearch } from './outcome-search.js'
+import { RequestIntake } from './request-intake.js'
+import { createRequestParts } from './request-services.js'
+
+const log = createLogger('process')
+
+/** A running entry. */
+export class Entry implements Daemon {
+  private readonly incarnation = createIncarnation()
+  private readonly configuration = new Configuration()
+  private readonly metrics = new EntryMetrics()
+  private readonly stopping = new AbortController()
+  private readonly logClient: HttpLogClient
+  private readonly follower: ConfigurationFollower
+  private readonly machines: VirtualMachineList
+  private readonly peers: EntryPeers
+  private readonly watch: ConfigurationWatch
+  private readonly membership: Membership
+  private readonly requests: RequestParts
+  private readonly callerService: EntryCallerService
+  private readonly operations = this.createOperations()
+  private readonly callerServer: Server
+  private callerAddress = ''
+
+  private constructor(private readonly settings: Settings, private readonly peerServer: PeerServer) {
+    const { process: identity, platform } = settings
+    const { incarnation, configuration, metrics } = this
+    const { address } = peerServer
+    const decisions = new DecisionLog(identity.name)
+    this.logClient = new HttpLogClient({ url: platform.log, timeoutMs: platform['log-timeout-ms'] })
+    this.follower = new ConfigurationFollower(this.logClient, configuration)
+    this.machines = new VirtualMachineList(new HttpVirtualMachineSource(platform['virtual-machines']), platform['list-interval-ms'])
+    this.peers = new EntryPeers({ key: identity.key, entryName: identity.name, entryIncarnation: incarnation, configuration })
+    this.watch = this.createWatch()
+    this.membership = this.createMembership()
+    const { logClient, machines, membership, peers, watch } = this
+    this.requests = createRequestParts({ settings, incarnation, address, configuration, logClient, membership, machines, peers, decisions, metrics })
+    const { claims, outcomes, tickets, finder, pipelines, services } = this.requests
+    const intake = new RequestIntake({ configuration, pipelines, services, tickets })
+    const search = new OutcomeSearch({ outcomes, claims, peers, machines, address })
+    this.callerService = new EntryCallerService({ intake, tickets, search, watch, membership })
+    this.callerServer = this.createCallerServer()
+    const { callerService } = this
+    const peerService = new EntryPeerService({
+      identity,
+      incarnation,
+      configuration,
+      watch,
+      membership,
+      claims,
+      finder,
+      intake,
+      search,
+      callerService,
+      decisions,
+    })
+    peerServer.serve(createEntryRouter(peerService), createOperationsListener(this.operations))
+  }
+
+  /** Starts an entry; it listens when this returns. Rejects where a port cannot be listened on. */
+  static async start(settings: Settings): Promise<Entry> {
+    const { host, key, 'peer-port': port, 'caller-port': callerPort } = settings.process
+    const entry = new Entry(settings, await PeerServer.listen({ host, key, port }))
+    entry.callerAddress = await listen(entry.callerServer, host, callerPort)
+    entry.runTasks()
+    return entry
+  }
+
+  get addresses(): DaemonAddresses {
+    const { name, role } = this.settings.process
+    return { role, name, incarnation: this.incarnation, pid: process.pid, peer: this.peerServer.address, caller: this.callerAddress }
+  }
+
+  async stop(): Promise<void> {
+    const { process: identity, entry } = this.settings
+    log('stopping', { name: identity.name, inFlight: this.callerService.inFlight })
+    const limits = { stopTimeoutMs: identity['stop-timeout-ms'], writeTimeoutMs: entry['write-timeout-ms'] }
+    await leave(this.callerService, this.callerServer, limits)
+    this.stopping.abort()
+    this.membership.close()
+    this.peers.close()
+    await this.peerServer.close()
+    await this.logClient.close()
+    log('stopped', { name: identity.name })
+  }
+
+  private createWatch(): ConfigurationWatch {
+    const { configuration, follower, peers, machines, settings } = this
+    const { addresses } = settings.peers
+    return new ConfigurationWatch({ configuration, follower, peers, machines, addresses, ownAddress: this.peerServer.address })
+  }
+
+  private createMembership(): Membership {
+    const { process: identity, peers } = this.settings
+    return new Membership(this.configuration, this.machines, {
+      entryName: identity.name,
+      entryIncarnation: this.incarnation,
+      key: identity.key,
+      heartbeatIntervalMs: peers['greet-interval-ms'],
+      watchLimit: peers['watch-limit'],
+      isFresh: () => this.watch.isFresh,
+    })
+  }
+
+  private createCallerServer(): Server {
+    const { entry } = this.settings
+    return createCallerServer({
+      limits: {
+        maxConnections: entry['max-connections'],
+        maxBodyBytes: entry['max-body-bytes'],
+        bodyTimeoutMs: entry['body-timeout-ms'],
+        writeTimeoutMs: entry['write-timeout-ms'],
+      },
+      configuration: this.configuration,
+      service: this.callerService,
+      answerOperations: (request, response) => answerOperations(this.operations, request, response),
+    })
+  }
+
+  private runTasks(): void {
+    const { signal } = this.stopping
+    const retentionMs = this.settings.platform['log-retention-ms']
+    void this.follower.run(signal)
+    void this.requests.claims.run(signal)
+    void this.machines.run(signal)
+    void new Checkpointer(this.logClient, this.configuration, { retentionMs }).run(signal)
+    void this.watch.run(signal)
+    void this.membership.run(signal)
+  }
+
+  private createOperations(): OperationsSource {
+    return {
+      registry: this.metrics.registry,
+      isReady: () => this.callerService.isReady(),
+      refresh: async () => {
+        this.metrics.setConfiguration(this.configuration.offset, this.follower.ageMs)
+        this.metrics.setCallerConnections(await countConnections(this.callerServer))
+      },
+    }
+  }
+}
+
+/** Open connections; 0 where the server is already closed, which is what the count is then. */
+function countConnections(server: Server): Promise<number> {
+  return new Promise(resolve => server.getConnections((_error, count) => resolve(count ?? 0)))
+}
--- /dev/null
+++ b/packages/daemon/src/process/entry/index.ts
@@ -0,0 +1,7 @@
+export * from './caller-service.js'
+export * from './configuration-watch.js'
+export * from './entry-service.js'
+export * from './entry.js'
+export * from './leaving.js'
+export * from './outcome-search.js'
+export * from './request-intake.js'
--- /dev/null
+++ b/packages/daemon/src/process/membership/index.ts
@@ -0,0 +1,5 @@
+export * from './member-state.js'
+export * from './member.js'
+export * from './membership.js'
+export * from './virtual-machine-list.js'
+export * from './watched-backends.js'
--- a/packages/daemon/src/process/run-daemon.ts
+++ b/packages/daemon/src/process/run-daemon.ts
@@ -4,9 +4,9 @@
 import type { Daemon } from './daemon.js'
 import type { Settings } from './settings.js'
 import { createLogger, enableLogs, formatError } from '@eidermast/common'
-import { Entry } from './entry.js'
+import { Entry } from './entry/entry.js'
 import { ProcessRole } from './settings.js'
-import { Side } from './side.js'
+import { Side } from './side/side.js'
 
 const log = createLogger('process')
 
--- /dev/null
+++ b/packages/daemon/src/process/side/reply-stream.ts
@@ -0,0 +1,31 @@
+/**
+ * Turns a stage call that reports tokens by a listener into the messages of a
+ * streamed call. Holds tokens that the peer has not read yet; they are lost
+ * with the stream, while the call itself goes on and its reply stays in the
+ * stage table, where the entry may ask again.
+ */
+import type { StageReply, StreamMessage } from '../../connection/messages.js'
+import type { TokenListener } from '../../request/side/stage-table.js'
+
+/** Streams the tokens of a call, then its one reply. */
+export async function* streamReply(run: (onToken: TokenListener) => Promise<StageReply>): AsyncIterable<StreamMessage> {
+  const messages: StreamMessage[] = []
+  let wake = (): void => {}
+  const push = (message: StreamMessage): void => {
+    messages.push(message)
+    wake()
+  }
+  void run((index, text) => push({ token: { index, text } })).then(reply => push({ reply }))
+  for (;;) {
+    const message = messages.shift()
+    if (!message) {
+      await new Promise<void>((resolve) => {
+        wake = resolve
+      })
+      continue
+    }
+    yield message
+    if ('reply' in message)
+      return
+  }
+}
--- /dev/null
+++ b/packages/daemon/src/process/side/side-service.ts
@@ -0,0 +1,96 @@
+/**
+ * What a side answers to other processes: stage calls, questions for their
+ * results, heartbeats and configuration from entries, and operators'
+ * questions. Keeps no state of its own.
+ */
+import type { CancelReply, Heartbeat, HeartbeatReply, ResultQuestion, StageCall, StageReply, StreamMessage } from '../../connection/messages.js'
+import type { Decision, ProcessStatus, SideService } from '../../connection/peer-router.js'
+import type { StageRunner } from '../../request/side/stage-runner.js'
+import type { StageTable } from '../../request/side/stage-table.js'
+import type { Configuration, ConfigurationDifference } from '../../version/configuration.js'
+import type { ObjectKind } from '../../version/objects.js'
+import type { Placement } from '../../version/placement.js'
+import type { DecisionLog } from '../decision-log.js'
+import type { Settings } from '../settings.js'
+import type { BackendWatch } from './backend-watch.js'
+import type { OrderKeeper } from './order-keeper.js'
+import type { SideConfiguration } from './side-configuration.js'
+import process from 'node:process'
+import { streamReply } from './reply-stream.js'
+
+/** Parts of the service. */
+export interface SidePeerServiceOptions {
+  identity: Settings['process']
+  incarnation: string
+  configuration: Configuration
+  newest: SideConfiguration
+  orders: OrderKeeper
+  watch: BackendWatch
+  runner: StageRunner
+  table: StageTable
+  decisions: DecisionLog
+}
+
+/** The service of one side. */
+export class SidePeerService implements SideService {
+  constructor(private readonly options: SidePeerServiceOptions) {}
+
+  heartbeat(heartbeat: Heartbeat): HeartbeatReply {
+    const { incarnation, identity, configuration, newest, runner, table } = this.options
+    for (const key of heartbeat.acknowledged)
+      table.acknowledge(key)
+    newest.noteHeartbeat(heartbeat)
+    return { incarnation, name: identity.name, offset: configuration.offset, load: runner.load() }
+  }
+
+  difference(request: { since: number, kinds: ObjectKind[] }): ConfigurationDifference {
+    return this.options.configuration.differenceSince(request.since, request.kinds)
+  }
+
+  offer(difference: ConfigurationDifference): number {
+    const offset = this.options.newest.apply(difference)
+    void this.options.orders.applyNewest()
+    return offset
+  }
+
+  status(): ProcessStatus {
+    const { identity, incarnation, configuration, orders, runner, watch } = this.options
+    const { name, role, 'failure-domain': failureDomain } = identity
+    const { running, queued, draining } = runner.load()
+    const detail = [
+      { subject: 'running', text: String(running) },
+      { subject: 'queued', text: String(queued.high + queued.normal + queued.low) },
+      { subject: 'draining', text: String(draining) },
+      { subject: 'backend-instance', text: watch.instance ?? 'unknown' },
+      { subject: 'placement', text: formatPlacement(orders.placement) },
+    ]
+    return { name, role, incarnation, pid: process.pid, failureDomain, offset: configuration.offset, ready: !draining, detail }
+  }
+
+  explain(requestId: string): Decision[] {
+    return this.options.decisions.explain(requestId)
+  }
+
+  run(call: StageCall): Promise<StageReply> {
+    return this.options.runner.run(call)
+  }
+
+  /** The run goes on when the stream is cut: the entry may ask again. */
+  stream(call: StageCall): AsyncIterable<StreamMessage> {
+    return streamReply(onToken => this.options.runner.run(call, onToken))
+  }
+
+  cancel(key: string): CancelReply {
+    return this.options.runner.cancel(key)
+  }
+
+  findResult(question: ResultQuestion): StageReply | undefined {
+    return this.options.table.findFinished(question)
+  }
+}
+
+function formatPlacement(placement: Placement | undefined): string {
+  if (!placement)
+    return 'none'
+  return `${placement.model ?? '-'}@${placement.version ?? '-'} fence ${placement.fence}`
+}
--- a/packages/daemon/src/request/authority/tickets.ts
+++ b/packages/daemon/src/request/authority/tickets.ts
@@ -3,6 +3,7 @@
  * process life runs a request under its ticket, so at most once needs no log.
  */
 import type { Result } from 'ts-results-es'
+import type { IssuedTicket } from '../../connection/caller-service.js'
 import { createHmac } from 'node:crypto'
 import { Err, Ok } from 'ts-results-es'
 import { z } from 'zod'
@@ -24,13 +25,6 @@
 /** The content of a ticket. */
 export type Ticket = z.infer<typeof ticketSchema>
 
-/** A ticket as it is given to a caller. */
-export interface IssuedTicket {
-  requestId: string
-  ticket: string
-  expiresAt: number
-}
-
 /** Options of a ticket office. */
 export interface TicketOfficeOptions {
   key: string
--- a/test/promises/orders.test.ts
+++ b/test/promises/orders.test.ts
@@ -108,10 +108,12 @@
       backend: new FakeBackend(),
       weights: present,
       metrics: new SideMetrics(),
-      isConfigurationKnown: () => known,
-      confirmNewest: async () => {
-        clock += pauseMs
-        return confirms
+      newest: {
+        isKnown: known,
+        confirmNewest: async () => {
+          clock += pauseMs
+          return confirms
+        },
       },
       now: () => clock,
     })
