--- a/packages/daemon/src/connection/answer-writer.ts
+++ b/packages/daemon/src/connection/answer-writer.ts
@@ -1,14 +1,20 @@
 /**
- * Writes the one answer to a caller, as JSON or as server-sent events. A caller
- * that does not read is cut off after a time.
+ * Writes the one answer to a caller, as JSON or as server-sent events. Owns
+ * what is written but not read yet, until the caller has read it or is cut
+ * off, so that callers who do not read hold little memory and no request.
  */
 import type { RequestError } from '@eidermast/common'
 import type { ServerResponse } from 'node:http'
 import type { RequestAnswer, WholeAnswer } from './answer.js'
 import { ERROR_ANSWERS } from '@eidermast/common'
 
+/** The unit of the header `retry-after` is the second. */
 const MILLISECONDS_PER_SECOND = 1000
-/** Streamed text that may wait for a slow caller, in bytes. */
+/**
+ * Streamed text that may wait for a slow caller, in bytes. Not measured: half
+ * cuts off callers on slow links sooner, twice lets each slow caller hold
+ * twice the memory.
+ */
 const MAX_WAITING_BYTES = 1_000_000
 
 /** Options of an answer writer. */
--- a/packages/daemon/src/connection/answer.ts
+++ b/packages/daemon/src/connection/answer.ts
@@ -1,5 +1,7 @@
 /**
- * The one answer of a request, and its form between entries.
+ * The one answer of a request, and its form between entries. Both directions
+ * stand here, since two releases of entries talk to each other during a
+ * rolling restart.
  */
 import type { RequestError } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
@@ -7,6 +9,8 @@
 import { Err, Ok } from 'ts-results-es'
 import { z } from 'zod'
 
+const UNKNOWN_FORM = 'Another entry answered in an unknown form; ask for the outcome with GET /v1/requests/{id}.'
+
 const stageReportSchema = z.object({
   stage: z.string(),
   backend: z.string(),
@@ -51,16 +55,17 @@
 export function parseAnswer(text: string): RequestAnswer {
   const parsed = envelopeSchema.safeParse(parseJson(text))
   if (!parsed.success)
-    return Err(createError(ErrorKind.OutcomeUnknown, 'Another entry answered in an unknown form; ask for the outcome with GET /v1/requests/{id}.'))
+    return Err(createError(ErrorKind.OutcomeUnknown, UNKNOWN_FORM))
   return 'whole' in parsed.data ? Ok(parsed.data.whole) : Err(parsed.data.error)
 }
 
-/** Parses JSON; undefined where the text is none. */
+/** Parses JSON that came from outside; undefined where the text is none, which no schema accepts. */
 export function parseJson(text: string): unknown {
   try {
     return JSON.parse(text)
   }
   catch {
+    // The reason is not logged: each caller answers with an error that says what form is wanted.
     return undefined
   }
 }
--- a/packages/daemon/src/connection/body-reader.ts
+++ b/packages/daemon/src/connection/body-reader.ts
@@ -1,6 +1,6 @@
 /**
  * Reads a caller's body within a size and a time, so that a caller that sends
- * too much or stalls holds no memory.
+ * too much or stalls holds no memory. Owns the bytes until the body is whole.
  */
 import type { RequestError } from '@eidermast/common'
 import type { IncomingMessage } from 'node:http'
@@ -10,7 +10,7 @@
 
 /** Limits of a body. */
 export interface BodyLimits {
-  maximumBytes: number
+  maxBytes: number
   /** Milliseconds within which the whole body must come. */
   timeoutMs: number
 }
@@ -21,7 +21,7 @@
     const chunks: Buffer[] = []
     let size = 0
     const timer = setTimeout(() => {
-      end(Err(createError(ErrorKind.BodyStalled, `The body did not come within ${limits.timeoutMs} ms; send the request again.`)))
+      end(refuse(ErrorKind.BodyStalled, `The body did not come within ${limits.timeoutMs} ms; send the request again.`))
     }, limits.timeoutMs)
     const end = (result: Result<string, RequestError>): void => {
       clearTimeout(timer)
@@ -30,22 +30,29 @@
     }
     const onData = (chunk: Buffer): void => {
       size += chunk.length
-      if (size > limits.maximumBytes)
-        end(Err(createError(ErrorKind.BodyTooLarge, `The body is larger than ${limits.maximumBytes} bytes; send a smaller one.`)))
+      if (size > limits.maxBytes)
+        end(refuse(ErrorKind.BodyTooLarge, `The body is larger than ${limits.maxBytes} bytes; send a smaller one.`))
       else
         chunks.push(chunk)
     }
     request.on('data', onData)
     request.once('end', () => end(decode(Buffer.concat(chunks))))
-    request.once('error', () => end(Err(createError(ErrorKind.BodyStalled, 'The connection closed before the whole body came; send the request again.'))))
+    request.once('error', () => {
+      end(refuse(ErrorKind.BodyStalled, 'The connection closed before the whole body came; send the request again.'))
+    })
   })
 }
 
+function refuse(kind: ErrorKind, message: string): Err<RequestError> {
+  return Err(createError(kind, message))
+}
+
 function decode(bytes: Buffer): Result<string, RequestError> {
   try {
     return Ok(new TextDecoder('utf-8', { fatal: true }).decode(bytes))
   }
   catch {
-    return Err(createError(ErrorKind.InvalidRequest, 'The body is not UTF-8; encode it as UTF-8.'))
+    // The decoder's error names no place in the text; the caller learns what is wrong from the answer.
+    return refuse(ErrorKind.InvalidRequest, 'The body is not UTF-8; encode it as UTF-8.')
   }
 }
--- a/packages/daemon/src/connection/caller-headers.ts
+++ b/packages/daemon/src/connection/caller-headers.ts
@@ -1,6 +1,6 @@
 /**
  * A caller's headers, checked. Nothing of them reaches other processes
- * unchecked.
+ * unchecked. Pure: it does not know which accounts exist.
  */
 import type { RequestError } from '@eidermast/common'
 import type { IncomingHttpHeaders } from 'node:http'
@@ -24,10 +24,12 @@
   stream: boolean
 }
 
+/** The names that the configuration allows for objects. */
 const ACCOUNT_PATTERN = /^[a-z0-9][\w.-]{0,99}$/i
+/** Characters. Not measured: several times what a ticket for the longest account name has. */
 const MAX_TICKET_LENGTH = 2000
 
-function single(headers: IncomingHttpHeaders, name: string): string | undefined {
+function readHeader(headers: IncomingHttpHeaders, name: string): string | undefined {
   const value = headers[name]
   return Array.isArray(value) ? value.join(',') : value
 }
@@ -38,20 +40,20 @@
 
 /** Checks the headers of a request. */
 export function parseCallerHeaders(headers: IncomingHttpHeaders): Result<CallerHeaders, RequestError> {
-  const account = single(headers, 'eidermast-account')
+  const account = readHeader(headers, 'eidermast-account')
   if (account === undefined || !ACCOUNT_PATTERN.test(account))
     return invalid('Send the header Eidermast-Account with the name of your client account.')
-  const requestId = single(headers, 'eidermast-request-id')
+  const requestId = readHeader(headers, 'eidermast-request-id')
   if (requestId !== undefined && !isRequestId(requestId))
     return invalid('Eidermast-Request-Id must be a lower-case UUIDv7; leave it out to have one made.')
-  const deadlineText = single(headers, 'eidermast-deadline-ms')
+  const deadlineText = readHeader(headers, 'eidermast-deadline-ms')
   const deadlineMs = deadlineText === undefined ? undefined : parseDeadline(deadlineText)
   if (Number.isNaN(deadlineMs))
     return invalid(`Eidermast-Deadline-Ms must be a whole number of milliseconds from 1 to ${MAX_DEADLINE_MS}.`)
-  const unrepeatable = single(headers, 'eidermast-unrepeatable') ?? 'false'
+  const unrepeatable = readHeader(headers, 'eidermast-unrepeatable') ?? 'false'
   if (unrepeatable !== 'true' && unrepeatable !== 'false')
     return invalid('Eidermast-Unrepeatable must be true or false.')
-  const ticket = single(headers, 'eidermast-ticket')
+  const ticket = readHeader(headers, 'eidermast-ticket')
   if (ticket !== undefined && ticket.length > MAX_TICKET_LENGTH)
     return invalid('Eidermast-Ticket is too long; send it as POST /v1/tickets gave it.')
   if (ticket !== undefined && requestId !== undefined)
@@ -62,8 +64,8 @@
     deadlineMs,
     unrepeatable: unrepeatable === 'true',
     ticket,
-    tokenHash: hashBearerToken(single(headers, 'authorization')),
-    stream: (single(headers, 'accept') ?? '').includes('text/event-stream'),
+    tokenHash: hashBearerToken(readHeader(headers, 'authorization')),
+    stream: (readHeader(headers, 'accept') ?? '').includes('text/event-stream'),
   })
 }
 
--- a/packages/daemon/src/connection/caller-server.ts
+++ b/packages/daemon/src/connection/caller-server.ts
@@ -59,6 +59,8 @@
 /** Answer to bytes that are no HTTP request. */
 const BAD_REQUEST = 'HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n'
 
+const NOTHING_THERE = 'There is nothing at this path; see the callers\' interface in the README.'
+
 const pipelineBodySchema = z.strictObject({ input: z.string().min(1) })
 
 /** Creates the HTTP server for callers. */
@@ -110,7 +112,7 @@
     const { request, writer } = exchange
     const path = parseCallerPath(request.url ?? '/')
     if (!path)
-      return reject(exchange, createError(ErrorKind.UnknownPath, 'There is nothing at this path; see the callers\' interface in the README.'))
+      return reject(exchange, createError(ErrorKind.UnknownPath, NOTHING_THERE))
     const method = wantedMethod(path)
     if (method && request.method !== method)
       return reject(exchange, createError(ErrorKind.MethodNotAllowed, `Use ${method} at this path.`))
@@ -130,7 +132,7 @@
 
   private readBody(request: IncomingMessage): Promise<Result<string, RequestError>> {
     const { maxBodyBytes, bodyTimeoutMs } = this.options.limits
-    return readBody(request, { maximumBytes: maxBodyBytes, timeoutMs: bodyTimeoutMs })
+    return readBody(request, { maxBytes: maxBodyBytes, timeoutMs: bodyTimeoutMs })
   }
 
   private async run(path: CallerPath, { request, writer }: Exchange, call: CallerCall): Promise<void> {
--- a/packages/daemon/src/connection/caller-service.ts
+++ b/packages/daemon/src/connection/caller-service.ts
@@ -7,8 +7,8 @@
 import type { Account, Template } from '../version/objects.js'
 import type { RequestAnswer } from './answer.js'
 import type { CallerHeaders } from './caller-headers.js'
+import type { LinkTokenListener } from './link-call.js'
 import type { OutcomeState, ServiceRequest } from './messages.js'
-import type { LinkTokenListener } from './side-link.js'
 
 /** A caller whose account is configured and whose token is accepted. */
 export interface Caller {
--- /dev/null
+++ b/packages/daemon/src/connection/http-backend-client.ts
@@ -0,0 +1,114 @@
+/**
+ * A backend server by its published HTTP protocol. Owns the connections to it
+ * until `close`. Makes each call once.
+ */
+import type { Result } from 'ts-results-es'
+import type { Dispatcher } from 'undici'
+import type { CallError } from '../version/call-error.js'
+import type { BackendClient, BackendLoad, BackendOrderMessage, BackendResult } from './backend-client.js'
+import type { ServiceRequest, StageCall } from './messages.js'
+import { Err, Ok } from 'ts-results-es'
+import { Agent, request } from 'undici'
+import { CallFailure } from '../version/call-error.js'
+import { describeStatus, describeThrown, readRunAnswer, readServiceAnswer, readTokenStream } from './backend-answers.js'
+import { backendLoadSchema } from './backend-client.js'
+import { callJson } from './json-http.js'
+
+/** Milliseconds. Not measured: the backend server is on the same VM; half still does, twice finds a frozen VM later. */
+const CONNECT_TIMEOUT_MS = 1000
+/** Milliseconds. Not measured: half may miss answers of a busy engine, twice finds a frozen one later. */
+const LOAD_TIMEOUT_MS = 1000
+/** Milliseconds to acknowledge an order. Not measured: half may repeat orders to a slow engine, twice delays the next try. */
+const ORDER_TIMEOUT_MS = 10_000
+/** Connections beside one for each slot: for the load request and for an order. */
+const EXTRA_CONNECTIONS = 2
+
+/** A backend server over HTTP. */
+export class HttpBackendClient implements BackendClient {
+  private readonly agent: Agent
+
+  /**
+   * @param url Base address of the backend server.
+   * @param slots Calls that run at once.
+   */
+  constructor(private readonly url: string, slots: number) {
+    this.agent = new Agent({
+      connections: slots + EXTRA_CONNECTIONS,
+      pipelining: 1,
+      connect: { timeout: CONNECT_TIMEOUT_MS },
+      // The signal of each call bounds it.
+      headersTimeout: 0,
+      bodyTimeout: 0,
+    })
+  }
+
+  async run(call: StageCall, signal: AbortSignal, onToken?: (text: string) => void): Promise<BackendResult> {
+    try {
+      if (call.serviceRequest)
+        return await this.runService(call, call.serviceRequest, signal)
+      return await this.runStage(call, signal, onToken)
+    }
+    catch (error) {
+      return describeThrown(error, signal)
+    }
+  }
+
+  async readLoad(): Promise<Result<BackendLoad, CallError>> {
+    const url = `${this.url}/v1/load`
+    const answer = await callJson({ method: 'GET', url, timeoutMs: LOAD_TIMEOUT_MS, dispatcher: this.agent })
+    if (answer.isErr())
+      return answer
+    const load = backendLoadSchema.safeParse(answer.value)
+    return load.success ? Ok(load.data) : Err({ failure: CallFailure.InDoubt, message: `unknown form of a load from ${url}` })
+  }
+
+  async order(order: BackendOrderMessage): Promise<Result<void, CallError>> {
+    const url = `${this.url}/v1/orders`
+    const answer = await callJson({ method: 'POST', url, body: order, timeoutMs: ORDER_TIMEOUT_MS, dispatcher: this.agent })
+    return answer.map(() => undefined)
+  }
+
+  async close(): Promise<void> {
+    await this.agent.destroy()
+  }
+
+  private async runStage(call: StageCall, signal: AbortSignal, onToken?: (text: string) => void): Promise<BackendResult> {
+    const response = await request(`${this.url}/v1/run`, {
+      method: 'POST',
+      headers: { 'content-type': 'application/json' },
+      body: formatRun(call, onToken !== undefined),
+      signal,
+      dispatcher: this.agent,
+    })
+    if (response.statusCode !== 200)
+      return await describeStatus(response)
+    return onToken ? await readTokenStream(response, onToken) : await readRunAnswer(response)
+  }
+
+  private async runService(call: StageCall, { method, path }: ServiceRequest, signal: AbortSignal): Promise<BackendResult> {
+    const response = await request(`${this.url}${path}`, {
+      method: method as Dispatcher.HttpMethod,
+      headers: { 'content-type': 'application/json', 'eidermast-request-id': call.identity.requestId },
+      body: call.input === '' ? null : call.input,
+      signal,
+      dispatcher: this.agent,
+    })
+    return await readServiceAnswer(response)
+  }
+}
+
+function formatRun(call: StageCall, stream: boolean): string {
+  const { identity, input, model, version, adapter, priority, maxTokens } = call
+  return JSON.stringify({
+    requestId: identity.requestId,
+    account: identity.account,
+    stage: identity.stage,
+    input,
+    model,
+    version,
+    adapter,
+    priority,
+    maxTokens,
+    stream,
+  })
+}
--- /dev/null
+++ b/packages/daemon/src/connection/link-call.ts
@@ -0,0 +1,58 @@
+/**
+ * One stage call over an open connection to a side, with or without a stream
+ * of tokens. Keeps no state. Never makes a call twice: whether a lost one may
+ * be made again is decided by the request that made it.
+ */
+import type { StageCall, StageReply } from './messages.js'
+import type { PeerConnection, SideClient } from './peer-connection.js'
+import { stageReplySchema, streamMessageSchema } from './messages.js'
+import { callPeer, CallState } from './peer-connection.js'
+
+/** How a stage call over a link ended. */
+export enum LinkOutcome {
+  Replied = 'replied',
+  /** The link was not open: nothing was sent. */
+  NotSent = 'not-sent',
+  /** Sent, perhaps received, and no reply. */
+  Lost = 'lost',
+}
+
+/** The end of a stage call over a link. */
+export type LinkResult
+  = { outcome: LinkOutcome.Replied, reply: StageReply }
+    | { outcome: LinkOutcome.NotSent | LinkOutcome.Lost, message: string }
+
+/** Receives streamed tokens. */
+export type LinkTokenListener = (index: number, text: string) => void
+
+/** Sends a stage call and waits for its reply or for the end of the connection. */
+export async function callStage(
+  connection: PeerConnection<SideClient>,
+  call: StageCall,
+  onToken?: LinkTokenListener,
+): Promise<LinkResult> {
+  const result = await callPeer(connection, client => onToken ? readStream(client, call, onToken) : client.run.mutate(call))
+  if (result.state === CallState.Lost)
+    return { outcome: LinkOutcome.Lost, message: result.message }
+  const reply = stageReplySchema.safeParse(result.value)
+  if (!reply.success)
+    return { outcome: LinkOutcome.Lost, message: 'the side replied in an unknown form' }
+  return { outcome: LinkOutcome.Replied, reply: reply.data }
+}
+
+/** Reads a streamed call to its reply. */
+function readStream(client: SideClient, call: StageCall, onToken: LinkTokenListener): Promise<unknown> {
+  return new Promise((resolve, reject) => {
+    const subscription = client.stream.subscribe(call, {
+      onData: (data) => {
+        const message = streamMessageSchema.parse(data)
+        if ('token' in message)
+          return onToken(message.token.index, message.token.text)
+        resolve(message.reply)
+        subscription.unsubscribe()
+      },
+      onError: reject,
+      onComplete: () => reject(new Error('the stream ended without a reply')),
+    })
+  })
+}
--- a/packages/daemon/src/connection/messages.ts
+++ b/packages/daemon/src/connection/messages.ts
@@ -6,9 +6,15 @@
 import { ObjectKind, Priority } from '../version/objects.js'
 import { NO_OFFSET, versionedObjectSchema } from '../version/record.js'
 
-/** Largest stage input between processes, in characters. */
+/** Largest stage input between processes, in characters. Not measured: 15 times the largest body that entries accept by default. */
 export const MAX_STAGE_INPUT_LENGTH = 4_000_000
 
+/**
+ * Stage results that one heartbeat can acknowledge. Not measured: 20 times what
+ * makes a heartbeat due; those beyond it leave the side's memory by their age.
+ */
+export const MAX_ACKNOWLEDGEMENTS = 10_000
+
 /** Load of a backend server, as its side reports it. */
 export const loadSchema = z.object({
   running: z.int().min(0),
@@ -33,7 +39,7 @@
   /** Whether the log confirmed the sender's configuration a short while ago. */
   fresh: z.boolean().default(false),
   /** Keys of stage calls whose results the sender has taken. */
-  acknowledged: z.array(z.string()).max(10_000).default([]),
+  acknowledged: z.array(z.string()).max(MAX_ACKNOWLEDGEMENTS).default([]),
 })
 
 /** Answer to a heartbeat. */
@@ -188,7 +194,7 @@
   Unknown = 'unknown',
   Running = 'running',
   Finished = 'finished',
-  /** Given up before anything was dispatched. */
+  /** Ended before anything was dispatched. */
   NotRun = 'not-run',
 }
 
--- a/packages/daemon/src/connection/peer-connection.ts
+++ b/packages/daemon/src/connection/peer-connection.ts
@@ -1,7 +1,8 @@
 /**
  * One life of a connection to a peer: a tRPC client over one WebSocket. A lost
  * connection is never resumed here, since a call that was under way may have
- * been received; whoever made it decides whether to ask again.
+ * been received; whoever made it decides whether to ask again. For the same
+ * reason tRPC's own reconnection, which sends pending calls again, is off.
  */
 import type { TRPCClient } from '@trpc/client'
 import type { Result } from 'ts-results-es'
@@ -19,7 +20,7 @@
   address: string
   key: string
   /**
-   * Milliseconds until opening is given up.
+   * Milliseconds until opening times out.
    * @default 1000
    */
   connectTimeoutMs?: number
@@ -45,23 +46,14 @@
 export type SideClient = TRPCClient<SideRouter>
 export type EntryClient = TRPCClient<EntryRouter>
 
-/** A reconnect that never happens within a process life. */
+/**
+ * Milliseconds. Not measured: half would fail at a VM that is busy starting,
+ * twice delays by a second the moment at which a frozen peer counts as gone.
+ */
+const DEFAULT_CONNECT_TIMEOUT_MS = 1000
+/** Milliseconds: the longest that a timer takes, 24 days, longer than a connection without a peer is kept. */
 const NEVER_MS = 2 ** 31 - 1
 
-/** Creates the WebSocket class that shows the key when it connects. */
-function createSocketClass(options: PeerConnectionOptions) {
-  return class PeerSocket extends WebSocket {
-    constructor(url: string) {
-      super(url, {
-        headers: { authorization: formatAuthorization(options.key) },
-        handshakeTimeout: options.connectTimeoutMs ?? 1000,
-        maxPayload: MAX_PEER_MESSAGE_BYTES,
-        perMessageDeflate: false,
-      })
-    }
-  }
-}
-
 /** Opens a connection to a side. */
 export function connectSide(options: PeerConnectionOptions): Promise<Result<PeerConnection<SideClient>, ConnectFailure>> {
   return openConnection(options, link => createTRPCClient<SideRouter>({ links: [link] }))
@@ -74,39 +66,85 @@
 
 type PeerLink = ReturnType<typeof wsLink>
 
-async function openConnection<Client>(options: PeerConnectionOptions, createClient: (link: PeerLink) => Client): Promise<Result<PeerConnection<Client>, ConnectFailure>> {
-  let open = false
-  const closing = new AbortController()
-  let reportOpen!: (result: Result<void, ConnectFailure>) => void
-  const opened = new Promise<Result<void, ConnectFailure>>((resolve) => {
-    reportOpen = resolve
-  })
-  const end = (failure: ConnectFailure): void => {
-    open = false
-    reportOpen(Err(failure))
-    closing.abort()
-    void socketClient.close().catch(() => {})
+async function openConnection<Client>(
+  options: PeerConnectionOptions,
+  createClient: (link: PeerLink) => Client,
+): Promise<Result<PeerConnection<Client>, ConnectFailure>> {
+  const life = new ConnectionLife(options)
+  const opened = await life.opened
+  if (opened.isErr())
+    return opened
+  const client = createClient(life.createLink())
+  return Ok({ client, closed: life.closed, isOpen: () => life.isOpen, close: () => life.close() })
+}
+
+/** From the attempt to open one WebSocket to its end. */
+class ConnectionLife {
+  /** Whether the connection opened, or why not. */
+  readonly opened: Promise<Result<void, ConnectFailure>>
+  isOpen = false
+  private readonly closing = new AbortController()
+  private readonly socketClient: ReturnType<typeof createWSClient>
+  private reportOpened!: (result: Result<void, ConnectFailure>) => void
+
+  constructor(options: PeerConnectionOptions) {
+    this.opened = new Promise((resolve) => {
+      this.reportOpened = resolve
+    })
+    this.socketClient = createWSClient({
+      url: `ws://${options.address}`,
+      WebSocket: createSocketClass(options) as unknown as typeof globalThis.WebSocket,
+      retryDelayMs: () => NEVER_MS,
+      onOpen: () => this.begin(),
+      onClose: () => this.end(ConnectFailure.Failed),
+      onError: event => this.end(classifyError(event)),
+    })
   }
-  const socketClient = createWSClient({
-    url: `ws://${options.address}`,
-    WebSocket: createSocketClass(options) as unknown as typeof globalThis.WebSocket,
-    retryDelayMs: () => NEVER_MS,
-    onOpen: () => {
-      open = true
-      reportOpen(Ok(undefined))
-    },
-    onClose: () => end(ConnectFailure.Failed),
-    onError: event => end(formatError(event).includes('ECONNREFUSED') ? ConnectFailure.Refused : ConnectFailure.Failed),
-  })
-  const result = await opened
-  if (result.isErr())
-    return result
-  const client = createClient(wsLink({ client: socketClient }) as PeerLink)
-  const close = (): void => {
-    end(ConnectFailure.Failed)
-    socketClient.connection?.ws.close()
+
+  /** Aborts when the connection is lost or closed. */
+  get closed(): AbortSignal {
+    return this.closing.signal
   }
-  return Ok({ client, closed: closing.signal, isOpen: () => open, close })
+
+  createLink(): PeerLink {
+    return wsLink({ client: this.socketClient }) as PeerLink
+  }
+
+  close(): void {
+    this.end(ConnectFailure.Failed)
+    this.socketClient.connection?.ws.close()
+  }
+
+  private begin(): void {
+    this.isOpen = true
+    this.reportOpened(Ok(undefined))
+  }
+
+  private end(failure: ConnectFailure): void {
+    this.isOpen = false
+    this.reportOpened(Err(failure))
+    this.closing.abort()
+    // It rejects where the socket never opened or is closed already: there is nothing left to close.
+    void this.socketClient.close().catch(() => {})
+  }
+}
+
+/** Creates the WebSocket class that shows the key when it connects. */
+function createSocketClass(options: PeerConnectionOptions) {
+  return class PeerSocket extends WebSocket {
+    constructor(url: string) {
+      super(url, {
+        headers: { authorization: formatAuthorization(options.key) },
+        handshakeTimeout: options.connectTimeoutMs ?? DEFAULT_CONNECT_TIMEOUT_MS,
+        maxPayload: MAX_PEER_MESSAGE_BYTES,
+        perMessageDeflate: false,
+      })
+    }
+  }
+}
+
+function classifyError(event: unknown): ConnectFailure {
+  return formatError(event).includes('ECONNREFUSED') ? ConnectFailure.Refused : ConnectFailure.Failed
 }
 
 /** How a call over a connection ended. */
--- a/packages/daemon/src/connection/peer-router.ts
+++ b/packages/daemon/src/connection/peer-router.ts
@@ -1,23 +1,48 @@
 /**
- * Procedures between the system's processes, by tRPC.
+ * Procedures between the system's processes, by tRPC. Their names and fields are
+ * on the wire between two releases and stay: a heartbeat is `greet` there.
+ * Inputs are checked by their schemas before a service sees them. Keeps no
+ * state.
  */
 import type { LogFields } from '@eidermast/common'
 import type { ConfigurationDifference } from '../version/configuration.js'
-import type { CancelReply, DifferenceRequest, ForwardedRequest, Heartbeat, HeartbeatReply, OutcomeQuestion, OutcomeReply, ResultQuestion, StageCall, StageReply, StreamMessage } from './messages.js'
+import type {
+  CancelReply,
+  DifferenceRequest,
+  ForwardedRequest,
+  Heartbeat,
+  HeartbeatReply,
+  OutcomeQuestion,
+  OutcomeReply,
+  ResultQuestion,
+  StageCall,
+  StageReply,
+  StreamMessage,
+} from './messages.js'
 import { initTRPC } from '@trpc/server'
 import { z } from 'zod'
-import { differenceRequestSchema, differenceSchema, forwardedRequestSchema, heartbeatSchema, outcomeQuestionSchema, resultQuestionSchema, stageCallSchema } from './messages.js'
+import {
+  differenceRequestSchema,
+  differenceSchema,
+  forwardedRequestSchema,
+  heartbeatSchema,
+  outcomeQuestionSchema,
+  resultQuestionSchema,
+  stageCallSchema,
+} from './messages.js'
 
 const trpc = initTRPC.create()
 
-/** What operators are told of a process. */
+/** A process's answer to an operator who asks for its status. */
 export interface ProcessStatus {
   name: string
   role: string
   incarnation: string
   pid: number
   failureDomain: string
+  /** Offset of the configuration that it holds. */
   offset: number
+  /** Whether it should get work. */
   ready: boolean
   detail: StatusDetail[]
 }
--- a/packages/daemon/src/process/decision-log.ts
+++ b/packages/daemon/src/process/decision-log.ts
@@ -1,12 +1,17 @@
 /**
  * The routing decisions of one process: a log line for each, and the newest
- * ones kept in memory so that operators can ask why a request went where.
+ * ones kept in memory so that operators can ask why a request went where. They
+ * are lost with the process; the log lines remain.
  */
 import type { LogFields, Logger } from '@eidermast/common'
 import type { Decision } from '../connection/peer-router.js'
 import type { DecisionRecorder } from '../request/decision-recorder.js'
 import { createLogger } from '@eidermast/common'
 
+/**
+ * Decisions kept. Not measured: half forgets requests sooner, twice takes twice
+ * the memory.
+ */
 const DEFAULT_CAPACITY = 20_000
 
 /** Logs and remembers decisions. */
--- a/packages/daemon/src/process/entry/entry.ts
+++ b/packages/daemon/src/process/entry/entry.ts
@@ -65,26 +65,24 @@
     this.watch = this.createWatch()
     this.membership = this.createMembership()
     const { logClient, machines, membership, peers, watch } = this
-    this.requests = createRequestParts({ settings, incarnation, address, configuration, logClient, membership, machines, peers, decisions, metrics })
-    const { claims, outcomes, tickets, finder, pipelines, services } = this.requests
-    const intake = new RequestIntake({ configuration, pipelines, services, tickets })
-    const search = new OutcomeSearch({ outcomes, claims, peers, machines, address })
-    this.callerService = new EntryCallerService({ intake, tickets, search, watch, membership })
-    this.callerServer = this.createCallerServer()
-    const { callerService } = this
-    const peerService = new EntryPeerService({
-      identity,
+    this.requests = createRequestParts({
+      settings,
       incarnation,
+      address,
       configuration,
-      watch,
+      logClient,
       membership,
-      claims,
-      finder,
-      intake,
-      search,
-      callerService,
+      machines,
+      peers,
       decisions,
+      metrics,
     })
+    const { claims, outcomes, tickets, pipelines, services } = this.requests
+    const intake = new RequestIntake({ configuration, pipelines, services, tickets })
+    const search = new OutcomeSearch({ outcomes, claims, peers, machines, address })
+    this.callerService = new EntryCallerService({ intake, tickets, search, watch, membership })
+    this.callerServer = this.createCallerServer()
+    const peerService = this.createPeerService(intake, search, decisions)
     peerServer.serve(createEntryRouter(peerService), createOperationsListener(this.operations))
   }
 
@@ -133,6 +131,24 @@
     })
   }
 
+  private createPeerService(intake: RequestIntake, search: OutcomeSearch, decisions: DecisionLog): EntryPeerService {
+    const { incarnation, configuration, watch, membership, callerService, requests, settings } = this
+    const { claims, finder } = requests
+    return new EntryPeerService({
+      identity: settings.process,
+      incarnation,
+      configuration,
+      watch,
+      membership,
+      claims,
+      finder,
+      intake,
+      search,
+      callerService,
+      decisions,
+    })
+  }
+
   private createCallerServer(): Server {
     const { entry } = this.settings
     return createCallerServer({
--- a/packages/daemon/src/process/entry/request-intake.ts
+++ b/packages/daemon/src/process/entry/request-intake.ts
@@ -22,6 +22,11 @@
 import { planPipeline, planService } from '../../request/plan.js'
 import { ObjectKind } from '../../version/objects.js'
 
+/** What a caller reads when a ticket is refused. */
+const EXPIRED = 'The ticket has expired, and whether it was used is no longer known; look at what the request did, then get a new one.'
+const FOREIGN = 'The ticket is not one that was given to this client account; get one from POST /v1/tickets.'
+const UNKNOWN = 'The entry that made the ticket does not know the account or the pipeline; check them.'
+
 /** Parts of the intake. */
 export interface RequestIntakeOptions {
   configuration: Configuration
@@ -59,7 +64,7 @@
   async runForwarded(request: ForwardedRequest, ticketText: string): Promise<RequestAnswer> {
     const incoming = this.createForwarded(request, ticketText)
     if (!incoming)
-      return Err(createError(ErrorKind.TicketInvalid, 'The entry that made the ticket does not know the account or the pipeline; check them.'))
+      return Err(createError(ErrorKind.TicketInvalid, UNKNOWN))
     const service = request.serviceRequest ? this.options.services : this.options.pipelines
     return service.handle(incoming)
   }
@@ -86,9 +91,8 @@
     const ticket = this.options.tickets.verify(text)
     if (ticket.isOk() && ticket.value.account === account)
       return ticket
-    if (ticket.isErr() && ticket.error === TicketFault.Expired)
-      return Err(createError(ErrorKind.RequestIdExpired, 'The ticket has expired, and whether it was used is no longer known; look at what the request did, then get a new one.'))
-    return Err(createError(ErrorKind.TicketInvalid, 'The ticket is not one that was given to this client account; get one from POST /v1/tickets.'))
+    const expired = ticket.isErr() && ticket.error === TicketFault.Expired
+    return Err(expired ? createError(ErrorKind.RequestIdExpired, EXPIRED) : createError(ErrorKind.TicketInvalid, FOREIGN))
   }
 
   private createForwarded(request: ForwardedRequest, ticketText: string): IncomingRequest | undefined {
--- a/packages/daemon/src/process/incarnation.ts
+++ b/packages/daemon/src/process/incarnation.ts
@@ -1,6 +1,6 @@
 /**
  * The identity of one process life. A restarted process has another one, so
- * that nobody takes it for its predecessor.
+ * that its peers never mistake it for its predecessor.
  */
 import { v7 as uuidv7 } from 'uuid'
 
--- a/packages/daemon/src/process/metrics.ts
+++ b/packages/daemon/src/process/metrics.ts
@@ -1,34 +1,56 @@
 /**
- * Metrics of entries and sides, by prom-client.
+ * Metrics of entries and sides, by prom-client. Names, labels and help texts
+ * are part of what operators' dashboards read. Counts begin at 0 with each
+ * process.
  */
 import type { StageCall, StageReply } from '../connection/messages.js'
 import type { RequestEnd, RequestMetrics, StageMetrics } from '../request/request-metrics.js'
 import { collectDefaultMetrics, Counter, Gauge, Histogram, Registry } from 'prom-client'
 import { StageReplyKind } from '../connection/messages.js'
 
+/** Upper bounds of the histograms' buckets, in seconds. Not measured: from one cached call to the longest pipelines. */
 const SECONDS_BUCKETS = [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10]
+/** Metrics are in seconds by Prometheus' convention. */
 const MILLISECONDS_PER_SECOND = 1000
 
-function createRegistry(): Registry {
-  const registry = new Registry()
-  collectDefaultMetrics({ register: registry })
-  return registry
+/** The metrics of one process, with those that prom-client collects of Node.js. */
+class ProcessMetrics {
+  readonly registry = new Registry()
+
+  constructor() {
+    collectDefaultMetrics({ register: this.registry })
+  }
+
+  protected counter<Label extends string>(name: string, help: string, labelNames: Label[]): Counter<Label> {
+    return new Counter({ name, help, labelNames, registers: [this.registry] })
+  }
+
+  protected gauge(name: string, help: string): Gauge {
+    return new Gauge({ name, help, registers: [this.registry] })
+  }
+
+  protected secondsHistogram<Label extends string>(name: string, help: string, labelNames: Label[]): Histogram<Label> {
+    return new Histogram({ name, help, labelNames, buckets: SECONDS_BUCKETS, registers: [this.registry] })
+  }
 }
 
 /** Metrics of an entry. */
-export class EntryMetrics implements RequestMetrics {
-  readonly registry = createRegistry()
-  private readonly requests = new Counter({ name: 'eidermast_requests_total', help: 'Requests by how they ended; attainment is attained / all', labelNames: ['target', 'priority', 'end'], registers: [this.registry] })
-  private readonly errors = new Counter({ name: 'eidermast_errors_total', help: 'Errors told to callers, by kind', labelNames: ['kind', 'ran'], registers: [this.registry] })
-  private readonly seconds = new Histogram({ name: 'eidermast_request_seconds', help: 'Time from arrival to answer', labelNames: ['target'], buckets: SECONDS_BUCKETS, registers: [this.registry] })
-  private readonly cost = new Counter({ name: 'eidermast_stage_cost_total', help: 'Cost by stage, wasted cost apart', labelNames: ['stage', 'use'], registers: [this.registry] })
-  private readonly retries = new Counter({ name: 'eidermast_retries_total', help: 'Stage calls made again, by cause', labelNames: ['stage', 'cause'], registers: [this.registry] })
-  private readonly inFlight = new Gauge({ name: 'eidermast_requests_in_flight', help: 'Requests that have not been answered', registers: [this.registry] })
-  private readonly offset = new Gauge({ name: 'eidermast_configuration_offset', help: 'Offset of the configuration in force', registers: [this.registry] })
-  private readonly age = new Gauge({ name: 'eidermast_configuration_age_seconds', help: 'Time since the log last confirmed the configuration', registers: [this.registry] })
-  private readonly claims = new Counter({ name: 'eidermast_claims_total', help: 'Claims of unrepeatable requests, by result', labelNames: ['result'], registers: [this.registry] })
-
-  private readonly connections = new Gauge({ name: 'eidermast_caller_connections', help: 'Open connections of callers', registers: [this.registry] })
+export class EntryMetrics extends ProcessMetrics implements RequestMetrics {
+  private readonly requests = this.counter(
+    'eidermast_requests_total',
+    'Requests by how they ended; attainment is attained / all',
+    ['target', 'priority', 'end'],
+  )
+
+  private readonly errors = this.counter('eidermast_errors_total', 'Errors told to callers, by kind', ['kind', 'ran'])
+  private readonly seconds = this.secondsHistogram('eidermast_request_seconds', 'Time from arrival to answer', ['target'])
+  private readonly cost = this.counter('eidermast_stage_cost_total', 'Cost by stage, wasted cost apart', ['stage', 'use'])
+  private readonly retries = this.counter('eidermast_retries_total', 'Stage calls made again, by cause', ['stage', 'cause'])
+  private readonly inFlight = this.gauge('eidermast_requests_in_flight', 'Requests that have not been answered')
+  private readonly offset = this.gauge('eidermast_configuration_offset', 'Offset of the configuration in force')
+  private readonly age = this.gauge('eidermast_configuration_age_seconds', 'Time since the log last confirmed the configuration')
+  private readonly claims = this.counter('eidermast_claims_total', 'Claims of unrepeatable requests, by result', ['result'])
+  private readonly connections = this.gauge('eidermast_caller_connections', 'Open connections of callers')
 
   setCallerConnections(count: number): void {
     this.connections.set(count)
@@ -43,6 +65,7 @@
     this.errors.inc({ kind, ran })
   }
 
+  /** `cost` is in the operators' own unit. */
   recordCost(stage: string, cost: number, wasted: boolean): void {
     this.cost.inc({ stage, use: wasted ? 'wasted' : 'used' }, cost)
   }
@@ -59,6 +82,7 @@
     this.inFlight.set(count)
   }
 
+  /** The age is not a number before the log has answered once. */
   setConfiguration(offset: number, ageMs: number | undefined): void {
     this.offset.set(offset)
     this.age.set(ageMs === undefined ? Number.NaN : ageMs / MILLISECONDS_PER_SECOND)
@@ -66,15 +90,14 @@
 }
 
 /** Metrics of a side. */
-export class SideMetrics implements StageMetrics {
-  readonly registry = createRegistry()
-  private readonly stages = new Counter({ name: 'eidermast_side_stages_total', help: 'Stage calls by how they ended', labelNames: ['stage', 'end'], registers: [this.registry] })
-  private readonly seconds = new Histogram({ name: 'eidermast_side_service_seconds', help: 'Service time at the backend server', labelNames: ['stage'], buckets: SECONDS_BUCKETS, registers: [this.registry] })
-  private readonly refusals = new Counter({ name: 'eidermast_side_refusals_total', help: 'Refused stage calls, by reason', labelNames: ['reason'], registers: [this.registry] })
-  private readonly queue = new Gauge({ name: 'eidermast_side_queue', help: 'Calls that wait', registers: [this.registry] })
-  private readonly running = new Gauge({ name: 'eidermast_side_running', help: 'Calls that run', registers: [this.registry] })
-  private readonly offset = new Gauge({ name: 'eidermast_configuration_offset', help: 'Offset of the configuration in force', registers: [this.registry] })
-  private readonly orders = new Counter({ name: 'eidermast_side_orders_total', help: 'Orders to the backend server, by result', labelNames: ['result'], registers: [this.registry] })
+export class SideMetrics extends ProcessMetrics implements StageMetrics {
+  private readonly stages = this.counter('eidermast_side_stages_total', 'Stage calls by how they ended', ['stage', 'end'])
+  private readonly seconds = this.secondsHistogram('eidermast_side_service_seconds', 'Service time at the backend server', ['stage'])
+  private readonly refusals = this.counter('eidermast_side_refusals_total', 'Refused stage calls, by reason', ['reason'])
+  private readonly queue = this.gauge('eidermast_side_queue', 'Calls that wait')
+  private readonly running = this.gauge('eidermast_side_running', 'Calls that run')
+  private readonly offset = this.gauge('eidermast_configuration_offset', 'Offset of the configuration in force')
+  private readonly orders = this.counter('eidermast_side_orders_total', 'Orders to the backend server, by result', ['result'])
 
   recordStage(call: StageCall, reply: StageReply, serviceMs: number): void {
     this.stages.inc({ stage: call.identity.stage, end: reply.kind })
--- a/packages/daemon/src/process/run-daemon.ts
+++ b/packages/daemon/src/process/run-daemon.ts
@@ -1,5 +1,5 @@
 /**
- * Runs a daemon from its settings until it is told to stop.
+ * Runs a daemon from its settings until its process gets a signal to stop.
  */
 import type { Daemon } from './daemon.js'
 import type { Settings } from './settings.js'
--- a/packages/daemon/src/process/settings.ts
+++ b/packages/daemon/src/process/settings.ts
@@ -1,6 +1,9 @@
 /**
  * Settings of a daemon: an INI file checked by a schema. Every fault of the
- * file is named at once, and nothing is started with a faulty file.
+ * file is named at once, and nothing is started with a faulty file. Names of
+ * keys and values are operators' and keep their forms; `greet-interval-ms` is
+ * the interval of heartbeats. Defaults of limits and times were not measured
+ * one by one; docs/CAPACITY.md has what was measured with them.
  */
 import type { SettingsFault } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
@@ -54,7 +57,7 @@
   Budget = 'budget',
 }
 
-/** Ways to leave out failing or slow backend servers. */
+/** Ways to eject failing or slow backend servers. */
 export enum EjectionName {
   None = 'none',
   Outlier = 'outlier',
@@ -71,7 +74,10 @@
   .transform(value => value.split(',').map(part => part.trim()).filter(part => part !== ''))
   .refine(values => values.every(value => /^[^\s:]+:\d+$/.test(value)), 'host:port, separated by commas')
 
-const MINIMUM_KEY_LENGTH = 16
+/** Characters. Not measured: enough that the key cannot be found by trying. */
+const MIN_KEY_LENGTH = 16
+const KEY_FORM = `a secret of ${MIN_KEY_LENGTH} characters or more`
+/** Milliseconds of an hour. */
 const HOUR_MS = 3_600_000
 
 const processSchema = z.strictObject({
@@ -82,7 +88,7 @@
   'host': host,
   'caller-port': integerSetting(0, MAX_PORT).default(0),
   'peer-port': integerSetting(0, MAX_PORT).default(0),
-  'key': z.string({ error: `a secret of ${MINIMUM_KEY_LENGTH} characters or more` }).min(MINIMUM_KEY_LENGTH, `a secret of ${MINIMUM_KEY_LENGTH} characters or more`),
+  'key': z.string({ error: KEY_FORM }).min(MIN_KEY_LENGTH, KEY_FORM),
   'stop-timeout-ms': integerSetting(0, HOUR_MS).default(30_000),
 })
 
@@ -163,10 +169,16 @@
 
 /** Checks what keys of several sections must hold together. */
 function checkTogether(settings: Settings): Result<Settings, SettingsFault[]> {
-  const claimMemoryMs = settings.entry['claim-memory-ms']
-  if (settings.process.role === ProcessRole.Entry && claimMemoryMs > settings.platform['log-retention-ms'] / 2)
-    return Err([{ section: 'entry', key: 'claim-memory-ms', value: String(claimMemoryMs), allowed: 'at most half of [platform] log-retention-ms' }])
-  if (settings.process.role === ProcessRole.Side && !settings.side)
-    return Err([{ section: 'side', key: 'backend', value: '(absent)', allowed: 'the section [side] with a backend, since the role is side' }])
+  const { process: { role }, platform, entry, side } = settings
+  const claimMemoryMs = entry['claim-memory-ms']
+  // A claim that is remembered must still be on the log, or an entry that starts meanwhile does not know of it.
+  if (role === ProcessRole.Entry && claimMemoryMs > platform['log-retention-ms'] / 2) {
+    const allowed = 'at most half of [platform] log-retention-ms'
+    return Err([{ section: 'entry', key: 'claim-memory-ms', value: String(claimMemoryMs), allowed }])
+  }
+  if (role === ProcessRole.Side && !side) {
+    const allowed = 'the section [side] with a backend, since the role is side'
+    return Err([{ section: 'side', key: 'backend', value: '(absent)', allowed }])
+  }
   return Ok(settings)
 }
--- a/packages/daemon/src/process/side/backend-watch.ts
+++ b/packages/daemon/src/process/side/backend-watch.ts
@@ -8,9 +8,11 @@
  * restarted when it reports another process life than before. While it does
  * not answer, its last word on draining stays in force. Why not one miss: one
  * late answer on a loaded VM is no sign that it is gone.
- * Log events: `backend-down`, `backend-up`, `backend-restarted` (instance).
+ * Log events: `backend-down` (error), `backend-up`, `backend-restarted` (instance).
  */
+import type { Result } from 'ts-results-es'
 import type { BackendClient, BackendLoad } from '../../connection/backend-client.js'
+import type { CallError } from '../../version/call-error.js'
 import { createLogger, wait } from '@eidermast/common'
 
 const log = createLogger('process')
@@ -58,15 +60,16 @@
     }
   }
 
-  private note(load: BackendLoad | undefined): void {
+  private note(load: Result<BackendLoad, CallError>): void {
     const wasDown = this.down
-    this.missedReadings = load ? 0 : this.missedReadings + 1
+    this.missedReadings = load.isOk() ? 0 : this.missedReadings + 1
+    const error = load.isErr() ? load.error.message : undefined
     if (this.down !== wasDown)
-      log(this.down ? 'backend-down' : 'backend-up', { name: this.options.backendName })
-    if (!load)
+      log(this.down ? 'backend-down' : 'backend-up', { name: this.options.backendName, error })
+    if (load.isErr())
       return
-    this.draining = load.draining
-    this.noteInstance(load.instance)
+    this.draining = load.value.draining
+    this.noteInstance(load.value.instance)
   }
 
   private noteInstance(instance: string): void {
--- a/packages/daemon/src/process/side/order-keeper.ts
+++ b/packages/daemon/src/process/side/order-keeper.ts
@@ -98,8 +98,11 @@
       const hindrance = findWeightsHindrance(await weights.find(model, version)) ?? await this.checkFence(placement)
       if (hindrance)
         return hindrance
-      if (!await backend.order({ fence, model, version, adapters }))
+      const ordered = await backend.order({ fence, model, version, adapters })
+      if (ordered.isErr()) {
+        log('order-failed', { backend: this.options.backendName, fence, error: ordered.error.message })
         return OrderResult.Failed
+      }
     }
     this.appliedFence = fence
     this.held = placement
--- a/packages/daemon/src/process/side/side-configuration.ts
+++ b/packages/daemon/src/process/side/side-configuration.ts
@@ -19,8 +19,9 @@
 import type { LogClient } from '../../version/log.js'
 import type { NewestConfiguration } from './order-keeper.js'
 import { createLogger, formatError, wait } from '@eidermast/common'
-import { ConfigurationFollower, foldPage } from '../../version/follower.js'
-import { CONFIGURATION_STREAM } from '../../version/record.js'
+import { foldPage } from '../../version/fold-page.js'
+import { ConfigurationFollower } from '../../version/follower.js'
+import { readConfigurationStream } from '../../version/read-stream.js'
 
 const log = createLogger('process')
 
@@ -86,7 +87,7 @@
   /** Reads the log once; false where it does not answer or held newer records, which are taken over. */
   async confirmNewest(): Promise<boolean> {
     const from = this.configuration.offset + 1
-    const page = await this.logClient.read({ stream: CONFIGURATION_STREAM, from, limit: Number.MAX_SAFE_INTEGER, waitMs: 0 })
+    const page = await readConfigurationStream(this.logClient, from)
     if (page.isErr()) {
       log('order-not-confirmed', { name: this.sideName, error: formatError(page.error) })
       return false
--- a/packages/daemon/src/process/side/side-service.ts
+++ b/packages/daemon/src/process/side/side-service.ts
@@ -3,7 +3,15 @@
  * results, heartbeats and configuration from entries, and operators'
  * questions. Keeps no state of its own.
  */
-import type { CancelReply, Heartbeat, HeartbeatReply, ResultQuestion, StageCall, StageReply, StreamMessage } from '../../connection/messages.js'
+import type {
+  CancelReply,
+  Heartbeat,
+  HeartbeatReply,
+  ResultQuestion,
+  StageCall,
+  StageReply,
+  StreamMessage,
+} from '../../connection/messages.js'
 import type { Decision, ProcessStatus, SideService } from '../../connection/peer-router.js'
 import type { StageRunner } from '../../request/side/stage-runner.js'
 import type { StageTable } from '../../request/side/stage-table.js'
--- a/packages/daemon/src/process/side/weight-store.ts
+++ b/packages/daemon/src/process/side/weight-store.ts
@@ -21,6 +21,7 @@
   find: (model: string, version: string) => Promise<WeightState>
 }
 
+/** Status by which the store says that it has no such weights. */
 const NOT_FOUND = 404
 
 /**
--- a/packages/daemon/src/request/incoming-request.ts
+++ b/packages/daemon/src/request/incoming-request.ts
@@ -2,7 +2,7 @@
  * A request as the callers' server, or another entry, hands it over. It lives
  * as long as its handling.
  */
-import type { LinkTokenListener } from '../connection/side-link.js'
+import type { LinkTokenListener } from '../connection/link-call.js'
 import type { Ticket } from './authority/tickets.js'
 import type { RequestPlan } from './plan.js'
 
--- a/packages/daemon/src/request/request-runner.ts
+++ b/packages/daemon/src/request/request-runner.ts
@@ -3,7 +3,7 @@
  */
 import type { RequestError } from '@eidermast/common'
 import type { RequestAnswer, StageReport, WholeAnswer } from '../connection/answer.js'
-import type { LinkTokenListener } from '../connection/side-link.js'
+import type { LinkTokenListener } from '../connection/link-call.js'
 import type { PlannedStage, RequestPlan } from './plan.js'
 import type { RequestMetrics } from './request-metrics.js'
 import type { StageBudgetPolicy } from './stages/stage-budget.js'
--- a/packages/daemon/src/request/stages/stage-caller.ts
+++ b/packages/daemon/src/request/stages/stage-caller.ts
@@ -5,8 +5,8 @@
 import type { EjectionPolicy, RequestError } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
 import type { StageReport } from '../../connection/answer.js'
+import type { LinkResult, LinkTokenListener } from '../../connection/link-call.js'
 import type { DoneReply, FailedReply, RefusedReply, StageCall } from '../../connection/messages.js'
-import type { LinkResult, LinkTokenListener } from '../../connection/side-link.js'
 import type { Priority } from '../../version/objects.js'
 import type { DecisionRecorder } from '../decision-recorder.js'
 import type { PlannedStage } from '../plan.js'
@@ -16,8 +16,8 @@
 import type { RetryPolicy } from './retry.js'
 import { createError, ErrorKind, Ran, wait } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
+import { LinkOutcome } from '../../connection/link-call.js'
 import { answersCall, FailureReason, RefusalReason, StageReplyKind } from '../../connection/messages.js'
-import { LinkOutcome } from '../../connection/side-link.js'
 
 /** What of a request has run, as far as its entry knows. */
 export interface RequestProgress {
--- a/packages/daemon/src/version/checkpointer.ts
+++ b/packages/daemon/src/version/checkpointer.ts
@@ -1,12 +1,14 @@
-import type { Configuration } from './configuration.js'
 /**
- * Appends a checkpoint of the configuration before the log's retention drops
- * the records it was folded from. Any entry may do so; two checkpoints of the
- * same offset do no harm, and a random wait makes them rare.
+ * One entry's task that appends checkpoints of the configuration to the log,
+ * when `checkpoint-timing` says so. Owns no state: what is due is read from
+ * the log at each check, so that a restart loses nothing.
  */
-import type { LogClient } from './log.js'
+import type { Configuration } from './configuration.js'
+import type { LogClient, LogPage } from './log.js'
 import { createLogger, formatError, wait } from '@eidermast/common'
+import { isCheckpointDue, nextCheckMs } from './checkpoint-timing.js'
 import { parseRecord } from './configuration.js'
+import { readConfigurationStream } from './read-stream.js'
 import { CONFIGURATION_STREAM, NO_OFFSET, RecordKind } from './record.js'
 
 const log = createLogger('configuration')
@@ -27,32 +29,23 @@
   now?: () => number
 }
 
-/** Share of the retention after which a new checkpoint is due. */
-const DUE_SHARE = 0.5
-/** How many checks happen within one due interval. */
-const CHECKS_PER_INTERVAL = 5
-
-/** One entry's task that appends checkpoints. */
+/** Appends checkpoints for one entry. */
 export class Checkpointer {
-  private readonly dueMs: number
-  private readonly random: () => number
-  private readonly now: () => number
+  private readonly options: Required<CheckpointerOptions>
 
   constructor(
     private readonly client: LogClient,
     private readonly configuration: Configuration,
     options: CheckpointerOptions,
   ) {
-    this.dueMs = options.retentionMs * DUE_SHARE
-    this.random = options.random ?? Math.random
-    this.now = options.now ?? Date.now
+    this.options = { random: Math.random, now: Date.now, ...options }
   }
 
   /** Checks and appends until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
+    const { random, retentionMs } = this.options
     while (!signal.aborted) {
-      const waitMs = (this.dueMs / CHECKS_PER_INTERVAL) * (0.5 + this.random())
-      await wait(waitMs, signal)
+      await wait(nextCheckMs(retentionMs, random()), signal)
       if (!signal.aborted)
         await this.appendIfDue(signal)
     }
@@ -62,16 +55,28 @@
   async appendIfDue(signal?: AbortSignal): Promise<boolean> {
     if (this.configuration.offset === NO_OFFSET)
       return false
-    const page = await this.client.read({ stream: CONFIGURATION_STREAM, from: 0, limit: Number.MAX_SAFE_INTEGER, waitMs: 0 }, signal)
-    if (page.isErr() || page.value.nextOffset > this.configuration.offset + 1)
-      return false
-    const newest = page.value.records.findLast(record => parseRecord(record.value)?.record === RecordKind.Checkpoint)
-    if (newest && this.now() - newest.time < this.dueMs)
-      return false
-    // A young log without a checkpoint needs none before its oldest record ages.
-    const oldest = page.value.records[0]
-    if (!newest && oldest && page.value.firstOffset === 0 && this.now() - oldest.time < this.dueMs)
+    const page = await readConfigurationStream(this.client, 0, signal)
+    if (page.isErr()) {
+      log('checkpoint', { upTo: this.configuration.offset, result: formatError(page.error) })
       return false
+    }
+    return this.isDue(page.value) && await this.append(signal)
+  }
+
+  private isDue(page: LogPage): boolean {
+    const { retentionMs, now } = this.options
+    const newest = page.records.findLast(record => parseRecord(record.value)?.record === RecordKind.Checkpoint)
+    return isCheckpointDue({
+      upToDate: page.nextOffset <= this.configuration.offset + 1,
+      newestCheckpointAt: newest?.time,
+      oldestRecordAt: page.records[0]?.time,
+      keepsFirstRecord: page.firstOffset === 0,
+      retentionMs,
+      now: now(),
+    })
+  }
+
+  private async append(signal?: AbortSignal): Promise<boolean> {
     const appended = await this.client.append(CONFIGURATION_STREAM, [this.configuration.checkpoint()], signal)
     log('checkpoint', { upTo: this.configuration.offset, result: appended.isOk() ? 'appended' : formatError(appended.error) })
     return appended.isOk()
--- a/packages/daemon/src/version/configuration.ts
+++ b/packages/daemon/src/version/configuration.ts
@@ -1,9 +1,19 @@
 /**
- * The configuration as folded from the log.
+ * Decides which objects are in force: folds the records of the log into the
+ * configuration of one process. Owns every object of its kinds and the offset
+ * up to which the log is folded, for the life of the process; after a restart
+ * it is read from the log, or from a peer, again.
  *
- * Every process folds the same records by offset with the same rule, so all
- * hold the same objects at the same offset. Values only ever move to higher
- * offsets: applying an older record, difference or checkpoint changes nothing.
+ * Inputs: records in the order of their offsets, or what a peer or a
+ * checkpoint folded from them.
+ * Rule: a change takes effect only if it names the offset of the object's
+ * version that is in force; otherwise another change came first. Values only
+ * ever move to higher offsets: applying an older record, difference or
+ * checkpoint changes nothing.
+ * Why: every process folds the same records by the same rule, so all hold the
+ * same objects at the same offset, without a coordinator; a record that was
+ * appended twice takes effect once.
+ * Log event: `record` (offset, outcome), by `fold-page`.
  */
 import type { ObjectValues } from './objects.js'
 import type { ChangeRecord, CheckpointRecord, ConfigurationRecord, VersionedObject } from './record.js'
--- /dev/null
+++ b/packages/daemon/src/version/fold-page.ts
@@ -0,0 +1,47 @@
+/**
+ * Folds a page of the log into a configuration, also where the log has dropped
+ * the records that the configuration lacks: then from the newest checkpoint
+ * that closes the gap. Keeps no state.
+ */
+import type { Configuration } from './configuration.js'
+import type { LogPage } from './log.js'
+import { createLogger } from '@eidermast/common'
+import { parseRecord } from './configuration.js'
+import { RecordKind } from './record.js'
+
+const log = createLogger('configuration')
+
+/** Folds one page into a configuration and returns the offset to read next. */
+export function foldPage(configuration: Configuration, page: LogPage): number {
+  if (hasGap(configuration, page))
+    adoptNewestCheckpoint(configuration, page)
+  // Folding past missing records would give another configuration than elsewhere: wait for a peer's.
+  if (hasGap(configuration, page))
+    return configuration.offset + 1
+  for (const record of page.records) {
+    const outcome = configuration.fold(record.offset, record.value)
+    log('record', { offset: record.offset, outcome })
+  }
+  return configuration.offset + 1
+}
+
+/** Whether the log has dropped records that the configuration has not folded. */
+export function hasGap(configuration: Configuration, page: LogPage): boolean {
+  return configuration.offset + 1 < page.firstOffset
+}
+
+/**
+ * Adopts the newest checkpoint after which the page misses no record.
+ * The page must reach from the first retained record to the stream's end.
+ */
+function adoptNewestCheckpoint(configuration: Configuration, page: LogPage): void {
+  for (const { offset, value } of page.records.toReversed()) {
+    const record = parseRecord(value)
+    if (record?.record !== RecordKind.Checkpoint || record.upTo + 1 < page.firstOffset)
+      continue
+    configuration.adopt(record)
+    log('checkpoint-adopted', { offset, upTo: record.upTo })
+    return
+  }
+  log('checkpoint-missing', { first: page.firstOffset, held: configuration.offset })
+}
--- a/packages/daemon/src/version/follower.ts
+++ b/packages/daemon/src/version/follower.ts
@@ -1,11 +1,13 @@
-import type { Configuration } from './configuration.js'
 /**
- * Keeps a configuration at the head of the log's configuration stream.
+ * Keeps a configuration at the head of the log's configuration stream. Owns
+ * when the log last answered, for the life of the process; a restarted process
+ * reads the stream again from its first retained record.
  */
+import type { Configuration } from './configuration.js'
 import type { LogClient, LogPage } from './log.js'
 import { createLogger, formatError, wait } from '@eidermast/common'
-import { parseRecord } from './configuration.js'
-import { CONFIGURATION_STREAM, RecordKind } from './record.js'
+import { foldPage, hasGap } from './fold-page.js'
+import { CONFIGURATION_STREAM } from './record.js'
 
 const log = createLogger('configuration')
 
@@ -28,44 +30,17 @@
   pageSize?: number
 }
 
-/** Reads one page into a configuration and returns the offset to read next. */
-export function foldPage(configuration: Configuration, page: LogPage): number {
-  if (hasGap(configuration, page))
-    adoptNewestCheckpoint(configuration, page)
-  // Folding past missing records would give another configuration than elsewhere: wait for a peer's.
-  if (hasGap(configuration, page))
-    return configuration.offset + 1
-  for (const record of page.records) {
-    const outcome = configuration.fold(record.offset, record.value)
-    log('record', { offset: record.offset, outcome })
-  }
-  return configuration.offset + 1
-}
-
-/** Whether the log has dropped records that the configuration has not folded. */
-export function hasGap(configuration: Configuration, page: LogPage): boolean {
-  return configuration.offset + 1 < page.firstOffset
-}
-
-/**
- * Adopts the newest checkpoint after which the page misses no record.
- * The page must reach from the first retained record to the stream's end.
- */
-function adoptNewestCheckpoint(configuration: Configuration, page: LogPage): void {
-  for (let index = page.records.length - 1; index >= 0; index--) {
-    const record = parseRecord(page.records[index].value)
-    if (record?.record !== RecordKind.Checkpoint || record.upTo + 1 < page.firstOffset)
-      continue
-    configuration.adopt(record)
-    log('checkpoint-adopted', { offset: page.records[index].offset, upTo: record.upTo })
-    return
-  }
-  log('checkpoint-missing', { first: page.firstOffset, held: configuration.offset })
-}
+/** Milliseconds. Not measured: half reads a quiet log twice as often, twice comes near the age at which a configuration counts as old. */
+const READ_WAIT_MS = 2000
+/** Milliseconds. Not measured: half asks a log that is out twice as often, twice delays changes after it returns. */
+const RETRY_MS = 250
+/** Records. Not measured: half needs more reads to start, twice larger answers. */
+const PAGE_SIZE = 1000
 
 /** One process's task that tails the configuration stream. */
 export class ConfigurationFollower {
   private readonly options: Required<FollowerOptions>
+  /** When the log last answered without a gap, in epoch milliseconds. */
   private lastReadAt: number | undefined
 
   constructor(
@@ -73,7 +48,7 @@
     private readonly configuration: Configuration,
     options: FollowerOptions = {},
   ) {
-    this.options = { waitMs: 2000, retryMs: 250, pageSize: 1000, ...options }
+    this.options = { waitMs: READ_WAIT_MS, retryMs: RETRY_MS, pageSize: PAGE_SIZE, ...options }
   }
 
   /** Milliseconds since the log last answered, or undefined if it never did. */
@@ -103,24 +78,33 @@
     }
   }
 
-  /** Reads everything from the next offset on, page by page. */
+  /** Reads everything from the next offset on, page by page; undefined where the log does not answer. */
   private async readAll(waitMs: number, signal: AbortSignal): Promise<LogPage | undefined> {
-    const from = this.configuration.offset + 1
-    const first = await this.client.read({ stream: CONFIGURATION_STREAM, from, limit: this.options.pageSize, waitMs }, signal)
-    if (first.isErr()) {
-      if (!signal.aborted)
-        log('log-unreadable', { error: formatError(first.error) })
-      return undefined
-    }
-    const all = first.value
-    while (all.records.length > 0 && all.records.at(-1)!.offset + 1 < all.nextOffset) {
-      const next = await this.client.read({ stream: CONFIGURATION_STREAM, from: all.records.at(-1)!.offset + 1, limit: this.options.pageSize, waitMs: 0 }, signal)
-      if (next.isErr())
+    const all = await this.readPage(this.configuration.offset + 1, waitMs, signal)
+    if (!all || all.records.length === 0)
+      return all
+    for (let next = offsetAfter(all); next < all.nextOffset; next = offsetAfter(all)) {
+      const page = await this.readPage(next, 0, signal)
+      if (!page)
         return undefined
-      if (next.value.records.length === 0)
+      if (page.records.length === 0)
         break
-      all.records.push(...next.value.records)
+      all.records.push(...page.records)
     }
     return all
   }
+
+  private async readPage(from: number, waitMs: number, signal: AbortSignal): Promise<LogPage | undefined> {
+    const page = await this.client.read({ stream: CONFIGURATION_STREAM, from, limit: this.options.pageSize, waitMs }, signal)
+    if (page.isOk())
+      return page.value
+    if (!signal.aborted)
+      log('log-unreadable', { error: formatError(page.error) })
+    return undefined
+  }
+}
+
+/** The offset after a page's last record. */
+function offsetAfter(page: LogPage): number {
+  return page.records.at(-1)!.offset + 1
 }
--- a/packages/daemon/src/version/objects.ts
+++ b/packages/daemon/src/version/objects.ts
@@ -4,10 +4,10 @@
  */
 import { z } from 'zod'
 
-/** Longest accepted object name, in characters. */
+/** Longest accepted object name, in characters. Not measured: a bound that real names do not reach. */
 export const MAX_NAME_LENGTH = 100
 
-/** Longest accepted deadline, in milliseconds. */
+/** Longest accepted deadline, in milliseconds. Not measured: claims and tickets are remembered for as long by default. */
 export const MAX_DEADLINE_MS = 600_000
 
 const nameSchema = z.string().regex(/^[a-z0-9][\w.-]*$/i, 'letters, digits, dots, underscores and hyphens').max(MAX_NAME_LENGTH)
@@ -20,6 +20,9 @@
   Backend = 'backend',
 }
 
+/** The kinds of objects that sides hold; entries hold all. */
+export const SIDE_OBJECT_KINDS = [ObjectKind.Template, ObjectKind.Backend] as const
+
 /** The order in which waiting work is served; high goes first. */
 export enum Priority {
   High = 'high',
@@ -64,7 +67,11 @@
   priority: z.enum(Priority).default(Priority.Normal),
   /** A pipeline whose requests run at most once. */
   unrepeatable: z.boolean().default(false),
-}).refine(template => new Set(template.stages.map(stage => stage.name)).size === template.stages.length, { path: ['stages'], message: 'stage names must be unique' })
+}).refine(hasUniqueStages, { path: ['stages'], message: 'stage names must be unique' })
+
+function hasUniqueStages(template: { stages: StageTemplate[] }): boolean {
+  return new Set(template.stages.map(stage => stage.name)).size === template.stages.length
+}
 
 /** A client account and its parameters. */
 export const accountSchema = z.strictObject({
--- a/packages/daemon/src/version/placement.ts
+++ b/packages/daemon/src/version/placement.ts
@@ -1,6 +1,16 @@
 /**
- * Placement: which model, version and adapters a backend server holds. A pure
- * function of the configuration, so that every process computes the same.
+ * Decides what a backend server should hold, and with which fence an order for
+ * it is sent.
+ *
+ * Inputs: the backend server's record in the configuration, as old as this
+ * process's configuration.
+ * Rule: it holds the model, version and adapters of its own record, and the
+ * record's offset is the fence. Operators place models by publishing records;
+ * nothing here moves them.
+ * Why a pure function of the configuration: every process computes the same at
+ * the same offset, so a side needs no coordinator, and an order from an older
+ * configuration has a lower fence.
+ * Log event: `order`, by the side that carries it out.
  */
 import type { Configuration } from './configuration.js'
 import { BackendOrder, ObjectKind } from './objects.js'
@@ -13,6 +23,7 @@
   model?: string
   version?: string
   adapters: string[]
+  /** Whether the backend server itself refuses orders with an old fence. */
   checksOrders: boolean
 }
 
--- a/packages/daemon/src/version/publisher.ts
+++ b/packages/daemon/src/version/publisher.ts
@@ -1,17 +1,23 @@
 /**
- * Publishes one change and finds out what became of it by reading its own
- * record back: the first of two racing operators wins, the second is told.
+ * Publishes one change of the configuration and finds out what became of it by
+ * reading its own record back. Of two operators who change the same version of
+ * an object, the first in the log's order succeeds and the second gets a
+ * conflict. Keeps no state: an operator who loses the answer asks by the
+ * record's id.
  */
 import type { LogClient } from './log.js'
 import type { ObjectKind } from './objects.js'
 import type { ChangeRecord } from './record.js'
-import { wait } from '@eidermast/common'
+import { createLogger, formatError, wait } from '@eidermast/common'
 import { v7 as uuidv7 } from 'uuid'
 import { CallFailure } from './call-error.js'
 import { Configuration, FoldOutcome, parseRecord } from './configuration.js'
-import { foldPage, hasGap } from './follower.js'
+import { foldPage, hasGap } from './fold-page.js'
+import { readConfigurationStream } from './read-stream.js'
 import { CONFIGURATION_STREAM, RecordKind } from './record.js'
 
+const log = createLogger('configuration')
+
 /** What became of a published change. */
 export enum PublishOutcome {
   /** In force at the given offset. */
@@ -42,20 +48,25 @@
   base?: number
   author?: string
   /**
-   * Milliseconds until the outcome is given up as unknown.
+   * Milliseconds after which the outcome is reported as unknown.
    * @default 5000
    */
   timeoutMs?: number
 }
 
+/** Milliseconds. Not measured: half may report an append as unknown at a loaded log, twice keeps an operator waiting. */
+const PUBLISH_TIMEOUT_MS = 5000
+/** Milliseconds between tries. Not measured: half doubles the load on a log that is out, twice delays the answer. */
 const RETRY_MS = 100
 
 /** Reads the whole configuration from the log; undefined where the log does not answer. */
 export async function readConfiguration(client: LogClient): Promise<Configuration | undefined> {
-  const configuration = new Configuration()
-  const page = await client.read({ stream: CONFIGURATION_STREAM, from: 0, limit: Number.MAX_SAFE_INTEGER, waitMs: 0 })
-  if (page.isErr())
+  const page = await readConfigurationStream(client, 0)
+  if (page.isErr()) {
+    log('log-unreadable', { error: formatError(page.error) })
     return undefined
+  }
+  const configuration = new Configuration()
   foldPage(configuration, page.value)
   return configuration
 }
@@ -66,56 +77,65 @@
   const configuration = await readConfiguration(client)
   if (!configuration)
     return { outcome: PublishOutcome.Unreachable, recordId }
+  const { kind, name, value, base, author = '', timeoutMs = PUBLISH_TIMEOUT_MS } = options
   const change: ChangeRecord = {
     record: RecordKind.Change,
     id: recordId,
-    kind: options.kind,
-    name: options.name,
-    base: options.base ?? configuration.baseOffset(options.kind, options.name),
-    value: options.value,
-    author: options.author ?? '',
+    kind,
+    name,
+    base: base ?? configuration.baseOffset(kind, name),
+    value,
+    author,
   }
-  return appendAndReadBack(client, change, Date.now() + (options.timeoutMs ?? 5000))
+  const deadline = Date.now() + timeoutMs
+  if (!await append(client, change, deadline))
+    return { outcome: PublishOutcome.Unreachable, recordId }
+  return await readBack(client, recordId, deadline)
 }
 
-/** Appends a record, again only while it is provably not on the log, and reads it back. */
-async function appendAndReadBack(client: LogClient, change: ChangeRecord, giveUpAt: number): Promise<Publication> {
-  let inDoubt = false
-  while (Date.now() < giveUpAt) {
+/** Appends a record, again only while it is provably not on the log; returns whether it may be there. */
+async function append(client: LogClient, change: ChangeRecord, deadline: number): Promise<boolean> {
+  while (Date.now() < deadline) {
     const appended = await client.append(CONFIGURATION_STREAM, [change])
-    if (appended.isOk() || appended.error.failure === CallFailure.InDoubt) {
-      inDoubt = true
-      break
-    }
+    if (appended.isOk() || appended.error.failure === CallFailure.InDoubt)
+      return true
+    log('append-refused', { record: change.id, error: formatError(appended.error) })
     await wait(RETRY_MS)
   }
-  if (!inDoubt)
-    return { outcome: PublishOutcome.Unreachable, recordId: change.id }
-  while (Date.now() < giveUpAt) {
-    const found = await findOutcome(client, change.id)
+  return false
+}
+
+async function readBack(client: LogClient, recordId: string, deadline: number): Promise<Publication> {
+  while (Date.now() < deadline) {
+    const found = await findPublication(client, recordId)
     if (found)
       return found
     await wait(RETRY_MS)
   }
-  return { outcome: PublishOutcome.Unknown, recordId: change.id }
+  return { outcome: PublishOutcome.Unknown, recordId }
 }
 
-/** Looks for a record on the log and tells what folding made of its first copy. */
-export async function findOutcome(client: LogClient, recordId: string): Promise<Publication | undefined> {
-  const page = await client.read({ stream: CONFIGURATION_STREAM, from: 0, limit: Number.MAX_SAFE_INTEGER, waitMs: 0 })
-  if (page.isErr())
+/** Looks for a record on the log and for what folding made of it; undefined where the log cannot say so now. */
+export async function findPublication(client: LogClient, recordId: string): Promise<Publication | undefined> {
+  const page = await readConfigurationStream(client, 0)
+  if (page.isErr()) {
+    log('log-unreadable', { error: formatError(page.error) })
     return undefined
-  const index = page.value.records.findIndex((record) => {
-    const parsed = parseRecord(record.value)
-    return parsed?.record === RecordKind.Change && parsed.id === recordId
-  })
+  }
+  const { records } = page.value
+  const index = records.findIndex(({ value }) => isChange(value, recordId))
   if (index < 0)
     return undefined
-  const { offset } = page.value.records[index]
+  const { offset, value } = records[index]
   const before = new Configuration()
-  foldPage(before, { ...page.value, records: page.value.records.slice(0, index) })
+  foldPage(before, { ...page.value, records: records.slice(0, index) })
   if (hasGap(before, page.value))
     return undefined
-  const outcome = before.fold(offset, page.value.records[index].value)
-  return { outcome: outcome === FoldOutcome.Accepted ? PublishOutcome.Accepted : PublishOutcome.Conflict, recordId, offset }
+  const accepted = before.fold(offset, value) === FoldOutcome.Accepted
+  return { outcome: accepted ? PublishOutcome.Accepted : PublishOutcome.Conflict, recordId, offset }
+}
+
+function isChange(value: unknown, recordId: string): boolean {
+  const parsed = parseRecord(value)
+  return parsed?.record === RecordKind.Change && parsed.id === recordId
 }
--- a/test/support/fixtures.ts
+++ b/test/support/fixtures.ts
@@ -3,6 +3,7 @@
  */
 import type { Backend, BackendClient, BackendResult, ChangeRecord, Load, ObjectKind, StageCall, Template } from '@eidermast/daemon'
 import { BackendOutcome, backendSchema, Priority, RecordKind, templateSchema } from '@eidermast/daemon'
+import { Ok } from 'ts-results-es'
 import { v7 as uuidv7 } from 'uuid'
 
 /** A template with one stage. */
@@ -65,11 +66,11 @@
   }
 
   async readLoad() {
-    return { running: this.held.length, draining: false, instance: 'fake' }
+    return Ok({ running: this.held.length, draining: false, instance: 'fake' })
   }
 
   async order() {
-    return true
+    return Ok.EMPTY
   }
 
   async close() {}
