--- a/packages/daemon/src/request/stages/call-end.ts
+++ b/packages/daemon/src/request/stages/call-end.ts
@@ -2,9 +2,9 @@
  * What the end of one stage call over a link proves. The rules on retries and
  * answers rest on these facts.
  */
-import type { LinkResult } from '../../connection/side-link.js'
+import type { LinkResult } from '../../connection/link-call.js'
+import { LinkOutcome } from '../../connection/link-call.js'
 import { FailureReason, RefusalReason, StageReplyKind } from '../../connection/messages.js'
-import { LinkOutcome } from '../../connection/side-link.js'
 
 /** Whether a call has provably not started: it was never sent, or its side refused it. */
 export function isProvablyNotRun(result: LinkResult): boolean {
--- a/packages/daemon/src/request/stages/stage-attempt.ts
+++ b/packages/daemon/src/request/stages/stage-attempt.ts
@@ -10,13 +10,13 @@
  * State: none beyond the call. When this process dies, the side finishes the
  * call and keeps its result for whoever asks by the request's id.
  */
+import type { LinkResult } from '../../connection/link-call.js'
 import type { StageCall } from '../../connection/messages.js'
-import type { LinkResult } from '../../connection/side-link.js'
 import type { LinkedBackend } from './linked-backends.js'
 import type { StageTask } from './stage-task.js'
 import { wait } from '@eidermast/common'
+import { LinkOutcome } from '../../connection/link-call.js'
 import { answersCall } from '../../connection/messages.js'
-import { LinkOutcome } from '../../connection/side-link.js'
 import { isOtherIncarnation } from './call-end.js'
 import { isOver } from './stage-task.js'
 
--- a/packages/daemon/src/request/stages/stage-failure.ts
+++ b/packages/daemon/src/request/stages/stage-failure.ts
@@ -16,12 +16,12 @@
  * `answer` (the error).
  */
 import type { RequestError } from '@eidermast/common'
+import type { LinkResult } from '../../connection/link-call.js'
 import type { RefusedReply } from '../../connection/messages.js'
-import type { LinkResult } from '../../connection/side-link.js'
 import type { RetryPolicy } from './retry.js'
 import { createError, ErrorKind, Ran } from '@eidermast/common'
+import { LinkOutcome } from '../../connection/link-call.js'
 import { RefusalReason, StageReplyKind } from '../../connection/messages.js'
-import { LinkOutcome } from '../../connection/side-link.js'
 import { describeCause, isProvablyNotRun } from './call-end.js'
 
 /** A stage call that gave no result. */
--- a/packages/daemon/src/request/stages/stage-log.ts
+++ b/packages/daemon/src/request/stages/stage-log.ts
@@ -2,8 +2,8 @@
  * The decisions on one stage of a request, one function an event. The lines go
  * to the process's memory of decisions, where `eidermast explain` reads them.
  */
+import type { LinkResult } from '../../connection/link-call.js'
 import type { DoneReply } from '../../connection/messages.js'
-import type { LinkResult } from '../../connection/side-link.js'
 import type { DecisionRecorder } from '../decision-recorder.js'
 import type { LinkedBackend } from './linked-backends.js'
 import type { StageAttempt } from './stage-attempt.js'
--- a/packages/daemon/src/request/stages/stage-task.ts
+++ b/packages/daemon/src/request/stages/stage-task.ts
@@ -2,10 +2,10 @@
  * One stage of one request, as the entry that runs the request sees it, and
  * what that entry knows of work that has run. Both live as long as the request.
  */
+import type { StageReport } from '../../connection/answer.js'
+import type { LinkTokenListener } from '../../connection/link-call.js'
 import type { DoneReply } from '../../connection/messages.js'
-import type { LinkTokenListener } from '../../connection/side-link.js'
 import type { Priority } from '../../version/objects.js'
-import type { StageReport } from '../answer.js'
 import type { PlannedStage } from '../plan.js'
 import { Ran } from '@eidermast/common'
 
--- a/packages/daemon/src/request/stages/tried-backends.ts
+++ b/packages/daemon/src/request/stages/tried-backends.ts
@@ -11,7 +11,7 @@
  *
  * State: two sets for the life of one stage.
  */
-import type { LinkResult } from '../../connection/side-link.js'
+import type { LinkResult } from '../../connection/link-call.js'
 import type { LinkedBackend } from './linked-backends.js'
 import { isProvablyNotRun } from './call-end.js'
 
