--- a/packages/gateway/src/connection/backend-client.ts
+++ b/packages/gateway/src/connection/backend-client.ts
@@ -1,5 +1,6 @@
 /**
- * Calls to backend servers, as the rest of the gateway sees them.
+ * Calls to backend servers, as the rest of the gateway sees them: the call, its
+ * answer or failure, and the codec that a platform brings.
  */
 import type { Result } from 'ts-results-es'
 import type { Backend, BackendLoad } from './backend.js'
@@ -52,7 +53,7 @@
   InputGone = 'input-gone',
   /** Sent, and no sound answer came: it may have run. */
   Broken = 'broken',
-  /** Given up by this process: it may have run. */
+  /** Abandoned by this process: it may have run. */
   Aborted = 'aborted',
 }
 
@@ -64,6 +65,7 @@
 
 /** Runs requests at backend servers. */
 export interface BackendClient {
+  /** Calls a backend server; returns with the head of its answer. Never rejects. */
   run: (backend: Backend, call: BackendCall, signal: AbortSignal) => Promise<Result<BackendAnswer, CallFailure>>
   /** Whether the backend server answers at all within a time in milliseconds. */
   probe: (backend: Backend, timeoutMs: number) => Promise<boolean>
@@ -73,15 +75,20 @@
 export interface AnswerFacts {
   /** The request id that the answer echoes. */
   requestId: string | undefined
+  /** Absent where the answer is the request's own. */
   failure: CallFailureKind | undefined
+  /** Absent where the backend server did not report it. */
   load: BackendLoad | undefined
+  /** Headers for the client. */
   headers: HeaderList
 }
 
 /** Spells calls and reads the heads of answers. */
 export interface BackendCodec {
-  /** Path that tells a backend server's state without taking a slot. */
+  /** Path that shows that a backend server is alive without taking a slot. */
   readonly probePath: string
+  /** Headers of a call. */
   encode: (backend: Backend, call: BackendCall) => HeaderList
+  /** What an answer's head says of the call. */
   decode: (status: number, headers: Record<string, string | string[] | undefined>) => AnswerFacts
 }
--- a/packages/gateway/src/connection/backend-connections.ts
+++ b/packages/gateway/src/connection/backend-connections.ts
@@ -1,34 +1,51 @@
 /**
- * Connections to backend servers, a pool for each, within what a backend server takes.
+ * Connections to backend servers, a pool for each, within what a backend server
+ * takes. A pool lives from the first call to the removal of its backend server
+ * from the registry; all pools end with the process, and calls under way break.
  */
 import type { Backend } from './backend.js'
 import { buildConnector, Pool } from 'undici'
+import { isConnectionReset } from './error-codes.js'
 
-/** How long a connection may take to come up, in milliseconds. */
+/**
+ * Milliseconds until a connection is up. Not measured: half fails while a
+ * backend server's VM is busy, twice takes time from the next attempt.
+ */
 const CONNECT_TIMEOUT_MS = 400
-/** How long an idle connection is kept where the backend server says nothing, in milliseconds. */
+/**
+ * Milliseconds that an idle connection is kept where the backend server names
+ * no limit. Not measured: twice meets servers that have closed it already.
+ */
 const IDLE_TIMEOUT_MS = 4000
-/** Closed this long before the backend server would, in milliseconds. */
+/**
+ * Milliseconds before the backend server's own limit at which an idle connection
+ * is closed. Not measured: too little sends requests into connections that are
+ * being closed.
+ */
 const IDLE_MARGIN_MS = 700
+/**
+ * Connections to one backend server where this process's share is smaller or
+ * isn't known yet. Not measured: with one, a probe waits behind a silent call.
+ */
 const MIN_CONNECTIONS = 2
+/** Replaces `ECONNRESET`, which undici takes for the end of an answer that has no length (commit 5ec8c88). */
+const RESET_CODE = 'ERR_BACKEND_RESET'
 
 const connectPlainly = buildConnector({ timeout: CONNECT_TIMEOUT_MS, autoSelectFamily: false })
-/** Replaces `ECONNRESET`, which undici takes for the end of an answer that has no length. */
-const RESET_CODE = 'ERR_REPLICA_RESET'
 
 /** Connects; a reset later fails the answer under way whatever its framing. */
-const connectWatchingResets: buildConnector.connector = (options, callback) => {
+function connectWatchingResets(options: buildConnector.Options, callback: buildConnector.Callback): void {
   connectPlainly(options, (...args) => {
     const [, socket] = args
     socket?.prependListener('error', (error: NodeJS.ErrnoException) => {
-      if (error.code === 'ECONNRESET')
+      if (isConnectionReset(error))
         error.code = RESET_CODE
     })
     callback(...args)
   })
 }
 
-/** Says how many connections to one backend server of a service this process may hold. */
+/** How many connections to one backend server of a service this process may hold. */
 export type ConnectionShare = (service: string) => number
 
 /** Pools by backend server id; a pool ends with its backend server. */
@@ -42,15 +59,7 @@
     const existing = this.pools.get(backend.id)
     if (existing)
       return existing
-    const pool = new Pool(`http://${backend.address}`, {
-      connections: Math.max(MIN_CONNECTIONS, this.share(backend.service)),
-      pipelining: 1,
-      connect: connectWatchingResets,
-      keepAliveTimeout: IDLE_TIMEOUT_MS,
-      keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
-      headersTimeout: 0,
-      bodyTimeout: 0,
-    })
+    const pool = createPool(backend.address, Math.max(MIN_CONNECTIONS, this.share(backend.service)))
     this.pools.set(backend.id, pool)
     return pool
   }
@@ -59,18 +68,26 @@
   forget(backendId: string): void {
     const pool = this.pools.get(backendId)
     this.pools.delete(backendId)
+    // A pool that cannot close in order was destroyed already; nothing refers to it any more.
     void pool?.close().catch(() => {})
   }
 
+  /** Breaks calls under way and closes at once. */
   async close(): Promise<void> {
+    // As above: only a pool that is closed already fails to be destroyed.
     await Promise.all([...this.pools.values()].map(pool => pool.destroy().catch(() => {})))
   }
 }
 
-const NOT_SENT_CODES = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL', 'UND_ERR_CONNECT_TIMEOUT', 'UND_ERR_DESTROYED', 'UND_ERR_CLOSED', 'EMFILE'])
-
-/** Whether an error shows that no byte of the request reached the backend server. */
-export function isNotSent(error: unknown): boolean {
-  const code = error instanceof Error && 'code' in error ? error.code : undefined
-  return typeof code === 'string' && NOT_SENT_CODES.has(code)
+/** A pool without time limits of its own: each call brings its signal. */
+function createPool(address: string, connections: number): Pool {
+  return new Pool(`http://${address}`, {
+    connections,
+    pipelining: 1,
+    connect: connectWatchingResets,
+    keepAliveTimeout: IDLE_TIMEOUT_MS,
+    keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
+    headersTimeout: 0,
+    bodyTimeout: 0,
+  })
 }
--- a/packages/gateway/src/connection/backend.ts
+++ b/packages/gateway/src/connection/backend.ts
@@ -1,8 +1,10 @@
 /**
- * Backend servers of services as this process knows them.
+ * Backend servers of services as this process knows them. A `Backend` lives
+ * from its entry in the registry to its removal; what was learned of it is lost
+ * with the process and learned again from answers.
  */
 
-/** What the registry tells of a backend server. */
+/** What the registry holds of a backend server. */
 export interface BackendRecord {
   /** New at each start of the backend server. */
   id: string
@@ -16,10 +18,13 @@
   draining: boolean
 }
 
-/** Load as a backend server told it in an answer. */
+/** Load as a backend server reported it in an answer. */
 export interface BackendLoad {
+  /** Requests at work there, of all gateways. */
   running: number
+  /** Requests that wait there. */
   waiting: number
+  /** Requests that it works on at once. */
   capacity: number
 }
 
@@ -27,8 +32,9 @@
 export class Backend {
   /** Calls of this process under way there. */
   outstanding = 0
-  /** Known load, and when it was told on the process clock, in milliseconds. */
+  /** The load that it reported last. */
   load: BackendLoad | undefined
+  /** When it reported that: milliseconds of the process clock. */
   loadAt = 0
 
   constructor(public record: BackendRecord) {}
@@ -49,7 +55,7 @@
     return this.record.address
   }
 
-  /** The name under which ejection keeps it. */
+  /** The name under which ejection counts its calls. */
   get backendName(): string {
     return this.record.id
   }
--- a/packages/gateway/src/connection/client-codec.ts
+++ b/packages/gateway/src/connection/client-codec.ts
@@ -1,6 +1,6 @@
 /**
- * How clients spell requests and read answers; the platform's adapter and the
- * product's own stand-ins each bring one.
+ * How clients write requests and read errors; the platform's adapter brings the
+ * implementation.
  */
 import type { RequestError } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
@@ -16,20 +16,23 @@
 export interface ClientRequestHead {
   requestId: string
   host: string
+  /** The key of its client account, if it sent one. */
   key: string | undefined
-  /** Milliseconds that the client will wait. */
+  /** Milliseconds that the client will wait from the start of its request. */
   deadlineMs: number | undefined
+  /** In order; empty for requests without a prompt. */
   promptParts: PromptPart[]
   /** Items of each stage. */
   stageItems: number[]
   /** What stages without inputs work on. */
   stageKey: string
+  /** The stream goes on after this event. */
   lastEventId: string | undefined
   /** Headers that are passed on. */
   headers: HeaderList
 }
 
-/** Reads heads and spells errors. */
+/** Decodes heads and encodes errors. */
 export interface ClientCodec {
   /** A head, or what is wrong with it. */
   readHead: (rawHeaders: readonly string[]) => Result<ClientRequestHead, string>
--- a/packages/gateway/src/connection/http-backend-client.ts
+++ b/packages/gateway/src/connection/http-backend-client.ts
@@ -1,6 +1,7 @@
 /**
- * Calls to backend servers over HTTP/1.1. An answer is taken only if it echoes the
- * request's id; any other one closes its connection.
+ * Calls to backend servers over HTTP/1.1. An answer is taken only if it echoes
+ * the request's id; any other one closes its connection. It owns no state but
+ * the load that answers report, which it notes at the backend server.
  */
 import type { Result } from 'ts-results-es'
 import type { Dispatcher } from 'undici'
@@ -10,9 +11,10 @@
 import { formatError } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
 import { CallFailureKind } from './backend-client.js'
-import { isNotSent } from './backend-connections.js'
+import { isNotSent } from './error-codes.js'
 
-type Method = Dispatcher.HttpMethod
+/** Statuses whose answers end with their head (RFC 9112, section 6.3). */
+const BODYLESS_STATUSES = new Set([204, 304])
 
 /** Runs requests over pooled connections. */
 export class HttpBackendClient implements BackendClient {
@@ -21,7 +23,7 @@
   async run(backend: Backend, call: BackendCall, signal: AbortSignal): Promise<Result<BackendAnswer, CallFailure>> {
     try {
       const response = await this.connections.of(backend).request({
-        method: call.method as Method,
+        method: call.method as Dispatcher.HttpMethod,
         path: call.path,
         headers: this.codec.encode(backend, call).flat(),
         body: call.body ?? null,
@@ -36,23 +38,21 @@
 
   async probe(backend: Backend, timeoutMs: number): Promise<boolean> {
     try {
-      const response = await this.connections.of(backend).request({ method: 'GET', path: this.codec.probePath, signal: AbortSignal.timeout(timeoutMs) })
+      const signal = AbortSignal.timeout(timeoutMs)
+      const response = await this.connections.of(backend).request({ method: 'GET', path: this.codec.probePath, signal })
       await response.body.dump()
       return true
     }
     catch {
+      // The reason doesn't matter: the caller counts probes without an answer, and logs the call that it abandons.
       return false
     }
   }
 
   private readHead(backend: Backend, call: BackendCall, response: Dispatcher.ResponseData): Result<BackendAnswer, CallFailure> {
-    const destroy = (): void => {
-      response.body.on('error', () => {})
-      response.body.destroy()
-    }
     const facts = this.codec.decode(response.statusCode, response.headers)
     if (facts.requestId !== call.requestId) {
-      destroy()
+      destroyBody(response)
       return Err({ kind: CallFailureKind.Broken, message: `the answer echoes ${facts.requestId ?? 'no id'}` })
     }
     if (facts.load) {
@@ -60,19 +60,34 @@
       backend.loadAt = performance.now()
     }
     if (facts.failure) {
+      // The head says all; a body that breaks off closes its connection, which the pool replaces.
       void response.body.dump().catch(() => {})
       return Err({ kind: facts.failure, message: `status ${response.statusCode}` })
     }
-    return Ok({ status: response.statusCode, headers: facts.headers, framed: isFramed(response), body: response.body as AsyncIterable<Buffer>, destroy })
+    return Ok({
+      status: response.statusCode,
+      headers: facts.headers,
+      framed: isFramed(response),
+      body: response.body as AsyncIterable<Buffer>,
+      destroy: () => destroyBody(response),
+    })
   }
 }
 
-const NO_CONTENT = 204
-const NOT_MODIFIED = 304
+/** Closes the connection of an answer that is of no use. */
+function destroyBody({ body }: Dispatcher.ResponseData): void {
+  // Destroying fails the body's own stream; without a listener that would end the process.
+  body.on('error', () => {})
+  body.destroy()
+}
 
-/** RFC 9112, section 6.3: neither a length nor chunks, and a status that has a body. */
+/**
+ * Whether the head says where the body ends: by a length, chunks, or a status
+ * that has none (RFC 9112, section 6.3).
+ */
 function isFramed({ statusCode, headers }: Dispatcher.ResponseData): boolean {
-  return headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined || statusCode === NO_CONTENT || statusCode === NOT_MODIFIED
+  const hasFraming = headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined
+  return hasFraming || BODYLESS_STATUSES.has(statusCode)
 }
 
 function describeFailure(error: unknown, signal: AbortSignal): CallFailure {
--- a/packages/gateway/src/connection/peer-clients.ts
+++ b/packages/gateway/src/connection/peer-clients.ts
@@ -1,5 +1,7 @@
 /**
- * Calls to other gateways.
+ * Calls to other gateways. It owns one connection pool for all of them until
+ * the process ends; calls under way break with it, and the peers notice.
+ * Each call rejects where the peer does not answer in time.
  */
 import type { TRPCClient } from '@trpc/client'
 import type { Result } from 'ts-results-es'
@@ -12,24 +14,47 @@
 import { Agent, fetch as undiciFetch } from 'undici'
 import { decodePreparationReply, encodePreparationRequest } from './peer-messages.js'
 
+/** Milliseconds until a connection is up. Not measured: half suspects busy gateways, twice notices dead ones late. */
 const CONNECT_TIMEOUT_MS = 300
+/**
+ * Milliseconds that an idle connection is kept: longer than the pause between
+ * heartbeats, so that they need no new one.
+ */
+const IDLE_TIMEOUT_MS = 10_000
+/**
+ * Milliseconds for the answer to a heartbeat. Not measured: half suspects busy
+ * gateways, twice notices frozen ones late.
+ */
 const HEARTBEAT_TIMEOUT_MS = 450
+/**
+ * Milliseconds for a peer's configuration. Not measured: a configuration may be
+ * large; one that is late comes with the next heartbeat.
+ */
 const CONFIGURATION_TIMEOUT_MS = 1500
+/** Milliseconds to free results. Not measured: results that aren't freed end by themselves. */
 const RELEASE_TIMEOUT_MS = 1000
 
-/** Clients by address, made at first use. */
+/** Clients by address, made at first use and kept until the process ends. */
 export class PeerClients {
-  private readonly agent = new Agent({ connect: { timeout: CONNECT_TIMEOUT_MS, autoSelectFamily: false }, keepAliveTimeout: 10_000, headersTimeout: 0, bodyTimeout: 0 })
+  private readonly agent = new Agent({
+    connect: { timeout: CONNECT_TIMEOUT_MS, autoSelectFamily: false },
+    keepAliveTimeout: IDLE_TIMEOUT_MS,
+    headersTimeout: 0,
+    bodyTimeout: 0,
+  })
+
   private readonly clients = new Map<string, TRPCClient<PeerRouter>>()
 
   heartbeat(member: Member, heartbeat: Heartbeat): Promise<HeartbeatReply> {
     return this.of(member).greet.mutate(heartbeat, { signal: AbortSignal.timeout(HEARTBEAT_TIMEOUT_MS) })
   }
 
+  /** The peer's configuration; null while it knows none. */
   configuration(member: Member): Promise<ConfigurationRecord | null> {
     return this.of(member).configuration.query(undefined, { signal: AbortSignal.timeout(CONFIGURATION_TIMEOUT_MS) })
   }
 
+  /** Does the stage work of a request at a peer; takes as long as the signal allows. */
   async prepare(member: Member, request: PreparationRequest, signal: AbortSignal): Promise<Result<PreparedInputs, PreparationFailure>> {
     return decodePreparationReply(await this.of(member).prepare.mutate(encodePreparationRequest(request), { signal }))
   }
@@ -49,6 +74,7 @@
     const client = createTRPCClient<PeerRouter>({
       links: [httpLink({
         url: `http://${member.address}`,
+        // tRPC types its fetch by the DOM; undici's is the same but for the dispatcher.
         fetch: (url, options) => undiciFetch(url as string, { ...options as object, dispatcher: this.agent }) as never,
       })],
     })
--- a/packages/gateway/src/connection/peer-messages.ts
+++ b/packages/gateway/src/connection/peer-messages.ts
@@ -24,7 +24,7 @@
 export interface HeartbeatReply {
   /** Configuration version that the peer holds. */
   version: number
-  /** It is leaving and gives the coordinator role up. */
+  /** It is stopping: the coordinator's role passes to another gateway. */
   stopping: boolean
 }
 
@@ -76,7 +76,7 @@
 /** Checks a preparation request and decodes it. */
 export const preparationRequestSchema = requestSchema.transform(decodeRequest)
 
-/** Spells a preparation request. */
+/** Encodes a preparation request. */
 export function encodePreparationRequest(request: PreparationRequest): PreparationRequestMessage {
   const { stages, isRetry, failureDomain, progress, ...rest } = request
   return {
@@ -99,7 +99,7 @@
   }
 }
 
-/** Spells how stage work ended. */
+/** Encodes how stage work ended. */
 export function encodePreparationReply(result: Result<PreparedInputs, PreparationFailure>): PreparationReplyMessage {
   if (result.isOk()) {
     const { handles, failureDomain, bytes } = result.value
@@ -109,7 +109,7 @@
   return { failure: { ...failure, progress: progress?.map(encodeProgress) } }
 }
 
-/** Reads how stage work ended. */
+/** Decodes how stage work ended. */
 export function decodePreparationReply(message: PreparationReplyMessage): Result<PreparedInputs, PreparationFailure> {
   if ('prepared' in message) {
     const { handles, zone, bytes } = message.prepared
--- a/packages/gateway/src/connection/peer-router.ts
+++ b/packages/gateway/src/connection/peer-router.ts
@@ -1,10 +1,13 @@
 /**
- * Procedures between gateways, by tRPC.
+ * Procedures between gateways, by tRPC. It owns no state; the process that
+ * implements `PeerService` does. Procedures and fields are on the wire between
+ * releases: their names stay, and `peer-messages` decodes them.
  */
 import type { Result } from 'ts-results-es'
 import type { ConfigurationRecord } from '../version/configuration-holder.js'
 import type { Heartbeat, HeartbeatReply, PreparationReplyMessage } from './peer-messages.js'
 import type { PreparationFailure, PreparationRequest, PreparedInputs } from './preparation.js'
+import { UNABORTED } from '@eidermast/common'
 import { initTRPC } from '@trpc/server'
 import { z } from 'zod'
 import { encodePreparationReply, heartbeatSchema, preparationRequestSchema } from './peer-messages.js'
@@ -14,13 +17,14 @@
 /** What a gateway answers to its peers. */
 export interface PeerService {
   heartbeat: (heartbeat: Heartbeat) => HeartbeatReply
+  /** The configuration in force; undefined while none is known. */
   configuration: () => ConfigurationRecord | undefined
+  /** Does the stage work of a request; the signal aborts when the calling gateway leaves or abandons the call. */
   prepare: (request: PreparationRequest, signal: AbortSignal) => Promise<Result<PreparedInputs, PreparationFailure>>
+  /** Frees the results of requests; ids that aren't known are ignored. */
   release: (requestIds: string[]) => void
 }
 
-const NEVER_ABORTED = new AbortController().signal
-
 /** The procedures of one gateway. */
 export function createPeerRouter(service: PeerService) {
   return trpc.router({
@@ -28,7 +32,7 @@
     greet: trpc.procedure.input(heartbeatSchema).mutation(({ input }) => service.heartbeat(input)),
     configuration: trpc.procedure.query(() => service.configuration() ?? null),
     prepare: trpc.procedure.input(preparationRequestSchema).mutation(async ({ input, signal }): Promise<PreparationReplyMessage> => {
-      const result = await service.prepare(input, signal ?? NEVER_ABORTED)
+      const result = await service.prepare(input, signal ?? UNABORTED)
       return encodePreparationReply(result)
     }),
     release: trpc.procedure.input(z.array(z.string())).mutation(({ input }) => service.release(input)),
--- /dev/null
+++ b/packages/gateway/src/connection/response-answer.ts
@@ -0,0 +1,81 @@
+/**
+ * Writes the one answer of a request to its client's connection. It lives as
+ * long as the response, which Node owns; when the process dies, the connection
+ * breaks and an answer that isn't complete doesn't look so.
+ */
+import type { RequestError } from '@eidermast/common'
+import type { ServerResponse } from 'node:http'
+import type { HeaderList } from './backend-client.js'
+import type { ClientAnswer } from './client-answer.js'
+import type { ClientCodec } from './client-codec.js'
+
+/** Answers over HTTP/1.1. */
+export class ResponseAnswer implements ClientAnswer {
+  constructor(
+    private readonly response: ServerResponse,
+    private readonly codec: ClientCodec,
+    private readonly requestId: string | undefined,
+    /** Whether the client shall close its connection after this answer. */
+    private readonly closing: () => boolean,
+  ) {}
+
+  get started(): boolean {
+    return this.response.headersSent
+  }
+
+  sendWhole(status: number, headers: HeaderList, body: Buffer): void {
+    this.writeHead(status, [...headers, ['content-length', String(body.length)]])
+    this.response.end(body)
+  }
+
+  begin(status: number, headers: HeaderList): void {
+    this.writeHead(status, headers)
+    this.response.flushHeaders()
+  }
+
+  beginUnframed(status: number, headers: HeaderList): void {
+    this.response.removeHeader('content-length')
+    this.response.removeHeader('transfer-encoding')
+    this.response.setHeader('connection', 'close')
+    this.begin(status, headers)
+  }
+
+  async send(bytes: Buffer): Promise<void> {
+    if (this.response.destroyed)
+      throw new Error('the client left')
+    if (this.response.write(bytes))
+      return
+    await new Promise<void>((resolve) => {
+      this.response.once('drain', resolve)
+      this.response.once('close', resolve)
+    })
+  }
+
+  end(): void {
+    this.response.end()
+  }
+
+  breakOff(): void {
+    this.response.destroy()
+  }
+
+  fail(error: RequestError): void {
+    const { status, headers } = this.codec.errorHead(error, this.requestId)
+    const body = Buffer.from(JSON.stringify({ kind: error.kind, message: error.message, ran: error.ran }))
+    this.sendWhole(status, [...headers, ['content-type', 'application/json']], body)
+  }
+
+  /** Fails a request that was not read to its end; its connection cannot be used again. */
+  reject(error: RequestError): void {
+    this.response.setHeader('connection', 'close')
+    this.fail(error)
+  }
+
+  private writeHead(status: number, headers: HeaderList): void {
+    if (this.closing())
+      this.response.setHeader('connection', 'close')
+    for (const [name, value] of headers)
+      this.response.appendHeader(name, value)
+    this.response.writeHead(status)
+  }
+}
--- a/packages/gateway/src/request/request-router.ts
+++ b/packages/gateway/src/request/request-router.ts
@@ -1,12 +1,12 @@
 /**
- * Decides on which route a request is served, for which client account, by
- * which service and with which priority, or that it isn't.
+ * Decides whether a request is served, on which route, for which client account
+ * and by which service.
  *
- * Inputs: the request's head, and the configuration in force when it came.
- * Rule: the route of the host with the longest matching path prefix; the
- * account that holds the key, unless the route is public or no accounts are
- * configured; the service by the weights of the route, picked by a hash of the
- * request id; the account's priority before the route's.
+ * Inputs: the request's head, and the configuration in force when it came, whose
+ * look-ups are in version/route-table.
+ * Rule: a request needs a route, and the key of a client account unless the
+ * route is public or no accounts are configured. A hash of the request id picks
+ * the service by the weights of the route.
  * Why by a hash: a client's retry with the same id goes to the same service at
  * every gateway.
  * Set by: the configuration; there are no constants.
--- a/packages/gateway/src/version/configuration-holder.ts
+++ b/packages/gateway/src/version/configuration-holder.ts
@@ -1,12 +1,25 @@
 /**
- * The configuration in force at this process. It only rises: a version from
- * any source is taken if it is newer than the one held, and passed over else.
+ * Decides which version of the configuration is in force at this process, and
+ * holds it.
+ *
+ * Inputs: texts from the platform's store and from peers, in any order and as
+ * often as they come.
+ * Rule: a text that can be decoded and has a higher version number replaces the
+ * one held; any other is passed over.
+ * Why: sources are late by different times, so only the number tells which is
+ * newer; a faulty text must not take the last good one out of service.
+ * Set by: there are no constants.
+ * Log events: `configuration` (taken, from which source), `configuration-rejected`.
+ *
+ * State: the newest version since the process began. A new process has none and
+ * serves no requests until a source brings one.
  */
 import type { EventLog } from '@eidermast/common'
 import type { Configuration } from './configuration.js'
+import { formatError } from '@eidermast/common'
 import { RouteTable } from './route-table.js'
 
-/** A configuration as its source spelled it, so that it can be passed on unchanged. */
+/** A configuration as its source wrote it, so that it can be passed on to peers unchanged. */
 export interface ConfigurationRecord {
   version: number
   text: string
@@ -23,10 +36,12 @@
 
   constructor(private readonly decode: ConfigurationDecoder, private readonly log: EventLog) {}
 
+  /** The version in force, indexed for requests; undefined while none is known. */
   get table(): RouteTable | undefined {
     return this.currentTable
   }
 
+  /** The version in force as its source wrote it; undefined while none is known. */
   get record(): ConfigurationRecord | undefined {
     return this.currentRecord
   }
@@ -36,17 +51,26 @@
     return this.currentRecord?.version ?? 0
   }
 
-  /** Calls back for each version taken. */
+  /** Calls back for each version taken from now on, after it is in force. */
   onChange(listener: (table: RouteTable) => void): void {
     this.listeners.push(listener)
   }
 
-  /** Takes a text if it is valid and newer; a faulty one is logged and the last good one stays. */
+  /**
+   * Takes a text if it is valid and newer, and returns whether it did; a faulty
+   * one is logged and the last good one stays.
+   */
   offer(text: string, source: string): boolean {
     const configuration = this.read(text, source)
     if (!configuration || configuration.version <= this.version)
       return false
-    this.log.write('configuration', { version: configuration.version, previous: this.version, source, routes: configuration.routes.length, accounts: configuration.accounts.length })
+    this.log.write('configuration', {
+      version: configuration.version,
+      previous: this.version,
+      source,
+      routes: configuration.routes.length,
+      accounts: configuration.accounts.length,
+    })
     this.currentRecord = { version: configuration.version, text }
     this.currentTable = new RouteTable(configuration)
     for (const listener of this.listeners)
@@ -59,7 +83,7 @@
       return this.decode(text)
     }
     catch (error) {
-      this.log.write('configuration-rejected', { source, error: error instanceof Error ? error.message : String(error) })
+      this.log.write('configuration-rejected', { source, error: formatError(error) })
       return undefined
     }
   }
--- a/packages/gateway/src/version/configuration.ts
+++ b/packages/gateway/src/version/configuration.ts
@@ -1,6 +1,7 @@
 /**
- * What operators publish: routes, services, client accounts and limits, held whole
- * under one version.
+ * What operators publish: routes, services, client accounts and limits, held
+ * whole under one version. The adapter decodes the platform's text into these
+ * types; nothing changes them afterwards.
  */
 
 /** A service that a route may use, and its share of the route's requests. */
@@ -31,16 +32,16 @@
   repeatable: boolean
   /** Whether a stream may go on at another backend server after its last event. */
   resumable: boolean
-  /** The longest time that a request is held, in milliseconds. */
+  /** Maximum time that a request is held, in milliseconds. */
   timeoutMs: number
   /** The time within which an answer is worth most, in milliseconds. */
   targetLatencyMs: number
-  /** The longest pause between events of an answer in time, in milliseconds. */
+  /** Maximum pause between events of an answer that is in time, in milliseconds. */
   targetGapMs: number
   /** 0 is the most urgent. */
   priority: number
   services: WeightedService[]
-  /** The most backend servers that one request may be sent to. */
+  /** Maximum number of backend servers at which one request may run. */
   maxAttempts: number
   stages: StageDefinition[]
   /** Served without a key. */
@@ -51,13 +52,13 @@
 export interface StageLimits {
   /** Calls at work at once. */
   concurrency: number
-  /** The most items in one call. */
+  /** Maximum number of items in one call. */
   batch: number
   /** Fixed time of a call, in milliseconds. */
   callMs: number
   /** Further time of each item, in milliseconds. */
   itemMs: number
-  /** Room for results, in bytes. */
+  /** Memory for results, in bytes. */
   resultMemoryBytes: number
   /** How long a result is kept after its call, in milliseconds. */
   resultLifetimeMs: number
@@ -84,9 +85,12 @@
 
 /** Bounds on what a client may send and how long it may take. */
 export interface ClientLimits {
+  /** Request line and headers together. */
   maxHeaderBytes: number
   maxBodyBytes: number
+  /** How long a head may take to come. */
   headerTimeoutMs: number
+  /** How long an idle connection is kept. */
   idleTimeoutMs: number
 }
 
@@ -100,6 +104,7 @@
 
 /** The whole configuration under one version. */
 export interface Configuration {
+  /** Higher is newer. */
   version: number
   routes: Route[]
   services: Service[]
--- a/packages/gateway/src/version/route-table.ts
+++ b/packages/gateway/src/version/route-table.ts
@@ -1,9 +1,26 @@
 /**
- * Look-ups in one version of the configuration.
+ * Decides within one version of the configuration which route a path belongs
+ * to, which service takes a request of it, and how urgent a request is.
+ *
+ * Inputs: host and path, the route's weights, the priorities of route and
+ * client account; all of the one version.
+ * Rule: the longest matching path prefix of the host. Services by their weights.
+ * A client account's priority goes before its route's, which orders requests of
+ * accounts that are alike.
+ * Why accounts first: a route's priority alone would let one account's urgent
+ * route hold back every account that is more urgent.
+ * Set by: commit 6e45de7 (routes decide among accounts of one level).
+ * Log event: `request-ended` (`route`), `route` (`service`).
+ *
+ * It is built once for each version and isn't changed.
  */
 import type { ClientAccount, Configuration, Route, Service } from './configuration.js'
 
-/** One level of client accounts weighs as much as this many of routes; more would leave backend servers, which know ten, no room for routes. */
+/**
+ * Levels of routes that one level of client accounts weighs as much as. Not
+ * measured: twice as many would leave no level for routes, since backend servers
+ * know ten in all; half as many would let routes outweigh accounts.
+ */
 const ROUTE_LEVELS = 3
 
 /** One version of the configuration, indexed for requests. */
@@ -46,12 +63,13 @@
     return this.accountsByKey.get(key)
   }
 
-  /** Priority of a request, 0 the most urgent: its client account's goes before its route's, which decides among client accounts alike. */
+  /** Priority of a request, 0 the most urgent. */
   priorityOf(route: Route, account: ClientAccount | undefined): number {
     const accountLevel = account ? (account.priority ?? 0) - this.mostUrgentAccount : 0
     return accountLevel * ROUTE_LEVELS + route.priority
   }
 
+  /** A service by its name; undefined where the version has none of that name. */
   findService(name: string): Service | undefined {
     return this.servicesByName.get(name)
   }
@@ -66,7 +84,7 @@
   }
 }
 
-/** Picks one of a route's services by weight; `position` lies in [0, 1). */
+/** Picks one of a route's services by weight; `position` lies in [0, 1). Undefined where no service has a weight. */
 export function pickService(route: Route, position: number): string | undefined {
   const total = route.services.reduce((sum, entry) => sum + entry.weight, 0)
   let remaining = position * total
