--- a/test/gateway/backend-choice.test.ts
+++ b/test/gateway/backend-choice.test.ts
@@ -20,7 +20,7 @@
     expect(second).toBe(first)
   })
 
-  test('leaves the backend server that keeps the part where too many run there', () => {
+  test('avoids the backend server that keeps the shared part where too many requests run there', () => {
     const backends = createBackends()
     const home = choice.order(backends, SHARED)[0]
     home.outstanding = 60
@@ -43,7 +43,7 @@
     expect(choice.order(backends, SHORT)[0].id).not.toBe('b')
   })
 
-  test('goes by the load that backend servers told lately', () => {
+  test('goes by the load that backend servers reported lately', () => {
     const backends = createBackends()
     backends.slice(1).forEach((backend) => {
       backend.load = { running: 40, waiting: 3, capacity: 64 }
--- a/test/gateway/peer-messages.test.ts
+++ b/test/gateway/peer-messages.test.ts
@@ -33,7 +33,7 @@
 }
 
 describe('messages between gateways of two releases', () => {
-  test('spell a preparation request as the first release does', () => {
+  test('encode a preparation request as the first release does', () => {
     expect(overTheWire(encodePreparationRequest(REQUEST))).toStrictEqual(REQUEST_MESSAGE)
     expect(preparationRequestSchema.parse(REQUEST_MESSAGE)).toEqual(REQUEST)
   })
--- a/test/platform/backend-client.test.ts
+++ b/test/platform/backend-client.test.ts
@@ -62,7 +62,7 @@
     ['is a refusal', answer('503 Full', { 'Not-Executed': '1' }), CallFailureKind.Refused],
     ['is of another backend server', answer('421 Misdirected', {}), CallFailureKind.Misdirected],
     ['says that an input is gone', answer('409 Conflict', { 'Not-Executed': '1' }), CallFailureKind.InputGone],
-  ])('that %s is told as that', async (_name, bytes, kind) => {
+  ])('that %s is reported as that', async (_name, bytes, kind) => {
     const backend = await startBackend(socket => socket.write(bytes))
     expect((await createClient().run(backend, CALL, NEVER)).unwrapErr().kind).toBe(kind)
   })
@@ -106,7 +106,7 @@
     expect(await readAll(second.body)).toBe('body-2')
   })
 
-  test('that comes late, in the place of the next one, is not taken for it', async () => {
+  test('that comes late, in the place of the next one, does not answer it', async () => {
     const backend = await startBackend((socket, request) => {
       socket.write(answer('200 OK', { 'Attempt-Id': 'id-1' }, `body-${request}`))
     })
@@ -128,7 +128,7 @@
     expect((await createClient().run(backend, CALL, NEVER)).unwrapErr().kind).toBe(CallFailureKind.NotSent)
   })
 
-  test('may have run where this process gave it up', async () => {
+  test('may have run where this process abandoned it', async () => {
     const backend = await startBackend(() => {})
     const ending = new AbortController()
     setTimeout(() => ending.abort(), 50)
--- a/test/platform/gateway.test.ts
+++ b/test/platform/gateway.test.ts
@@ -55,7 +55,7 @@
 }
 
 describe('a gateway without a configuration', () => {
-  test('is not ready, and tells clients to come back', async () => {
+  test('is not ready, and asks clients to retry later', async () => {
     expect((await request(readiness)).statusCode).toBe(503)
     const response = await send('/plain/x')
     expect(response.statusCode).toBe(503)
@@ -92,13 +92,13 @@
     expect(backends.flatMap(backend => backend.seen)).toEqual([])
   })
 
-  test('that may run once runs once, and is promised nothing when its answer is lost', async () => {
+  test('that may run once runs once, and ends without a promise that it did not run when its answer is lost', async () => {
     backends[0].respond = (_, response) => void response.destroy()
     expect((await send('/once/x')).statusCode).toBe(502)
     expect(backends[0].seen).toHaveLength(1)
   })
 
-  test('that may be repeated gets the backend server\'s own failure where no other backend server is', async () => {
+  test('that may run again gets the backend server\'s own failure where no other backend server is', async () => {
     backends[0].respond = answerWhole(500)
     const response = await send('/plain/x')
     expect(response.statusCode).toBe(500)
