--- a/packages/gateway/src/request/attempts/retry-rule.ts
+++ b/packages/gateway/src/request/attempts/retry-rule.ts
@@ -27,7 +27,7 @@
 const MIN_USEFUL_MS = 30
 /**
  * Attempts of one request, those included that did not run. Not measured: half
- * would give up while a pool is being replaced, twice would queue for long in a
+ * would end requests while a pool is being replaced, twice would queue for long in a
  * full pool.
  */
 const MAX_ATTEMPTS = 6
--- a/packages/gateway/src/version/route-table.ts
+++ b/packages/gateway/src/version/route-table.ts
@@ -28,6 +28,7 @@
   private readonly routesByHost = new Map<string, Route[]>()
   private readonly accountsByKey = new Map<string, ClientAccount>()
   private readonly servicesByName = new Map<string, Service>()
+  /** The lowest number among the priorities of client accounts. */
   private readonly mostUrgentAccount: number
 
   constructor(readonly configuration: Configuration) {
--- a/test/gateway/attempt-ends.test.ts
+++ b/test/gateway/attempt-ends.test.ts
@@ -21,7 +21,12 @@
 })
 
 describe('a request without an answer', () => {
-  const REFUSED: UnansweredRequest = { service: 'plain', cancelled: false, runs: 0, lastFailure: { kind: CallFailureKind.Refused, message: 'full' } }
+  const REFUSED: UnansweredRequest = {
+    service: 'plain',
+    cancelled: false,
+    runs: 0,
+    lastFailure: { kind: CallFailureKind.Refused, message: 'full' },
+  }
 
   test.each<[string, Partial<UnansweredRequest>, ErrorKind, Ran]>([
     ['did not run where everybody refused', {}, ErrorKind.Overloaded, Ran.None],
--- a/test/gateway/backend-choice.test.ts
+++ b/test/gateway/backend-choice.test.ts
@@ -1,14 +1,18 @@
-import type { ChoiceSubject } from '@eidermast/gateway'
+import type { BackendRecord, ChoiceSubject } from '@eidermast/gateway'
 import { NoEjection } from '@eidermast/common'
 import { Backend, LeastLoadChoice, PrefixAwareChoice } from '@eidermast/gateway'
 import { describe, expect, test } from 'vitest'
 import { createRecord } from './support/fakes.js'
 
-const SHARED: ChoiceSubject = { promptParts: [{ id: 'shared', tokens: 5000 }, { id: 'own', tokens: 300 }], failureDomain: 'zone-a', bytes: 0 }
-const SHORT: ChoiceSubject = { promptParts: [{ id: 'short', tokens: 100 }, { id: 'own', tokens: 300 }], failureDomain: 'zone-a', bytes: 0 }
+const SHARED: ChoiceSubject = {
+  promptParts: [{ id: 'shared', tokens: 5000 }, { id: 'own', tokens: 300 }],
+  failureDomain: 'zone-a',
+  bytes: 0,
+}
+const SHORT: ChoiceSubject = { ...SHARED, promptParts: [{ id: 'short', tokens: 100 }, { id: 'own', tokens: 300 }] }
 
-function createBackends(): Backend[] {
-  return ['a', 'b', 'c', 'd'].map(id => new Backend(createRecord({ id, capacity: 64 })))
+function createBackends(overrides: (index: number) => Partial<BackendRecord> = () => ({})): Backend[] {
+  return ['a', 'b', 'c', 'd'].map((id, index) => new Backend(createRecord({ id, capacity: 64, ...overrides(index) })))
 }
 
 describe('choosing a model backend server', () => {
@@ -28,7 +32,7 @@
   })
 
   test('goes to the failure domain of many bytes where nothing else speaks against it', () => {
-    const backends = createBackends().map((backend, index) => new Backend({ ...backend.record, failureDomain: index === 2 ? 'zone-a' : 'zone-b' }))
+    const backends = createBackends(index => ({ failureDomain: index === 2 ? 'zone-a' : 'zone-b' }))
     expect(choice.order(backends, { ...SHORT, bytes: 2_000_000 })[0].failureDomain).toBe('zone-a')
   })
 })
@@ -37,7 +41,7 @@
   const choice = new LeastLoadChoice(new NoEjection())
 
   test('takes the own failure domain while its backend server is not busier', () => {
-    const backends = createBackends().map((backend, index) => new Backend({ ...backend.record, capacity: 6, failureDomain: index === 1 ? 'zone-a' : 'zone-b' }))
+    const backends = createBackends(index => ({ capacity: 6, failureDomain: index === 1 ? 'zone-a' : 'zone-b' }))
     expect(choice.order(backends, SHORT)[0].id).toBe('b')
     backends[1].outstanding = 5
     expect(choice.order(backends, SHORT)[0].id).not.toBe('b')
--- a/test/gateway/event-splitter.test.ts
+++ b/test/gateway/event-splitter.test.ts
@@ -7,7 +7,8 @@
 describe('a stream of events', () => {
   test('is split alike however its bytes are cut', () => {
     const event = fc.record({ id: fc.nat(99), data: fc.stringMatching(/^[a-z ]{0,20}$/), ending: fc.constantFrom('\n\n', '\r\n\r\n') })
-    fc.assert(fc.property(fc.array(event, { maxLength: 8 }), fc.array(fc.integer({ min: 1, max: 30 }), { minLength: 1 }), (events, sizes) => {
+    const cuts = fc.array(fc.integer({ min: 1, max: 30 }), { minLength: 1 })
+    fc.assert(fc.property(fc.array(event, { maxLength: 8 }), cuts, (events, sizes) => {
       const texts = events.map(({ id, data, ending }) => `id: ${id}${ending.slice(0, ending.length / 2)}data: ${data}${ending}`)
       const bytes = Buffer.from(texts.join(''))
       const splitter = new EventSplitter()
--- a/test/gateway/peer-messages.test.ts
+++ b/test/gateway/peer-messages.test.ts
@@ -1,11 +1,20 @@
 import type { PreparationRequest } from '@eidermast/gateway'
-import { decodePreparationReply, encodePreparationReply, encodePreparationRequest, PreparationFailureKind, preparationRequestSchema } from '@eidermast/gateway'
+import {
+  decodePreparationReply,
+  encodePreparationReply,
+  encodePreparationRequest,
+  PreparationFailureKind,
+  preparationRequestSchema,
+} from '@eidermast/gateway'
 import { Err, Ok } from 'ts-results-es'
 import { describe, expect, test } from 'vitest'
 
 const REQUEST: PreparationRequest = {
   requestId: 'id-1',
-  stages: [{ service: 'encoder', dependsOn: [], resultBytes: 10, items: 3 }, { service: 'ranker', dependsOn: [0], resultBytes: 20, items: 1 }],
+  stages: [
+    { service: 'encoder', dependsOn: [], resultBytes: 10, items: 3 },
+    { service: 'ranker', dependsOn: [0], resultBytes: 20, items: 1 },
+  ],
   key: 'input',
   priority: 2,
   targetMs: -5,
@@ -15,10 +24,13 @@
   progress: [{ stage: 0, results: [{ handle: 'h-1', backend: 'backend-1', bytes: 10, remainingMs: 90 }] }],
 }
 
-/** As the first release spells it. */
+/** As the first release sends it. */
 const REQUEST_MESSAGE = {
   requestId: 'id-1',
-  stages: [{ service: 'encoder', dependsOn: [], resultBytes: 10, pieces: 3 }, { service: 'ranker', dependsOn: [0], resultBytes: 20, pieces: 1 }],
+  stages: [
+    { service: 'encoder', dependsOn: [], resultBytes: 10, pieces: 3 },
+    { service: 'ranker', dependsOn: [0], resultBytes: 20, pieces: 1 },
+  ],
   key: 'input',
   priority: 2,
   targetMs: -5,
@@ -45,10 +57,22 @@
   })
 
   test.each([
-    ['prepared inputs', Ok({ handles: ['h-1'], failureDomain: 'domain-a', bytes: 10 }), { prepared: { handles: ['h-1'], zone: 'domain-a', bytes: 10 } }],
-    ['a handover with its progress', Err({ kind: PreparationFailureKind.HandedOver, message: 'stopping', retryAfterMs: 0, progress: REQUEST.progress }), { failure: { kind: 'handed-over', message: 'stopping', retryAfterMs: 0, progress: REQUEST_MESSAGE.progress } }],
-    ['a failure without a backend server', Err({ kind: PreparationFailureKind.NoBackend, message: 'none', retryAfterMs: 800 }), { failure: { kind: 'no-replica', message: 'none', retryAfterMs: 800 } }],
-  ])('spell %s as the first release does', (_name, result, message) => {
+    [
+      'prepared inputs',
+      Ok({ handles: ['h-1'], failureDomain: 'domain-a', bytes: 10 }),
+      { prepared: { handles: ['h-1'], zone: 'domain-a', bytes: 10 } },
+    ],
+    [
+      'a handover with its progress',
+      Err({ kind: PreparationFailureKind.HandedOver, message: 'stopping', retryAfterMs: 0, progress: REQUEST.progress }),
+      { failure: { kind: 'handed-over', message: 'stopping', retryAfterMs: 0, progress: REQUEST_MESSAGE.progress } },
+    ],
+    [
+      'a failure without a backend server',
+      Err({ kind: PreparationFailureKind.NoBackend, message: 'none', retryAfterMs: 800 }),
+      { failure: { kind: 'no-replica', message: 'none', retryAfterMs: 800 } },
+    ],
+  ])('encode and decode %s as the first release does', (_name, result, message) => {
     expect(overTheWire(encodePreparationReply(result))).toStrictEqual(message)
     const decoded = decodePreparationReply(message as never)
     expect(decoded.isOk()).toBe(result.isOk())
--- a/test/gateway/request-router.test.ts
+++ b/test/gateway/request-router.test.ts
@@ -4,7 +4,17 @@
 import { createConfiguration, createLog, createRoute } from './support/fakes.js'
 
 function createRequest(deadlineMs: number): ClientRequest {
-  const head = { requestId: 'id-1', host: 'host.example', key: undefined, deadlineMs, promptParts: [], stageItems: [], stageKey: '', lastEventId: undefined, headers: [] }
+  const head = {
+    requestId: 'id-1',
+    host: 'host.example',
+    key: undefined,
+    deadlineMs,
+    promptParts: [],
+    stageItems: [],
+    stageKey: '',
+    lastEventId: undefined,
+    headers: [],
+  }
   return { method: 'GET', path: '/a/', head, body: undefined, arrivedAt: 0 }
 }
 
--- a/test/gateway/retry-rule.test.ts
+++ b/test/gateway/retry-rule.test.ts
@@ -1,5 +1,14 @@
 import type { AttemptHistory, Route } from '@eidermast/gateway'
-import { AttemptEnd, CallFailureKind, decideAfterAttempt, decideBeforeAttempt, endOfFailure, mayRunAfterNext, needsBudget, RetryDecision } from '@eidermast/gateway'
+import {
+  AttemptEnd,
+  CallFailureKind,
+  decideAfterAttempt,
+  decideBeforeAttempt,
+  endOfFailure,
+  mayRunAfterNext,
+  needsBudget,
+  RetryDecision,
+} from '@eidermast/gateway'
 import { describe, expect, test } from 'vitest'
 import { createRoute } from './support/fakes.js'
 
@@ -7,6 +16,7 @@
 const ONCE = createRoute({ repeatable: false })
 const STREAM = createRoute({ streaming: true, repeatable: true, resumable: false })
 const RESUMABLE = createRoute({ streaming: true, repeatable: false, resumable: true })
+const MAY_HAVE_RUN: Partial<AttemptHistory> = { runs: 1, lastEnd: AttemptEnd.MayHaveRun }
 
 function createHistory(overrides: Partial<AttemptHistory> = {}): AttemptHistory {
   return { attempts: 1, runs: 0, lastEnd: AttemptEnd.NotRun, reachedBackend: true, ...overrides }
@@ -28,10 +38,10 @@
 describe('another attempt', () => {
   test.each<[string, Route, Partial<AttemptHistory>, RetryDecision]>([
     ['follows one that did not run, whatever the route', ONCE, {}, RetryDecision.Retry],
-    ['follows one that may have run where the route allows it', REPEATABLE, { runs: 1, lastEnd: AttemptEnd.MayHaveRun }, RetryDecision.Retry],
-    ['follows a broken stream that may be resumed', RESUMABLE, { runs: 1, lastEnd: AttemptEnd.MayHaveRun }, RetryDecision.Retry],
-    ['never follows one that may have run where the route forbids it', ONCE, { runs: 1, lastEnd: AttemptEnd.MayHaveRun }, RetryDecision.NotRepeatable],
-    ['never follows a broken stream that may not be resumed', STREAM, { runs: 1, lastEnd: AttemptEnd.MayHaveRun }, RetryDecision.NotRepeatable],
+    ['follows one that may have run where the route allows it', REPEATABLE, MAY_HAVE_RUN, RetryDecision.Retry],
+    ['follows a broken stream that may be resumed', RESUMABLE, MAY_HAVE_RUN, RetryDecision.Retry],
+    ['never follows one that may have run where the route forbids it', ONCE, MAY_HAVE_RUN, RetryDecision.NotRepeatable],
+    ['never follows a broken stream that may not be resumed', STREAM, MAY_HAVE_RUN, RetryDecision.NotRepeatable],
     ['ends with the runs that the route allows', REPEATABLE, { runs: 2, lastEnd: AttemptEnd.ServerError }, RetryDecision.RunsUsed],
     ['ends after six attempts that did not run', REPEATABLE, { attempts: 6 }, RetryDecision.AttemptsUsed],
   ])('%s', (_name, route, history, decision) => {
--- a/test/gateway/route-table.test.ts
+++ b/test/gateway/route-table.test.ts
@@ -41,7 +41,8 @@
   })
 
   test('choose services by weight, and never one without weight', () => {
-    const route = createRoute({ services: [{ service: 'none', weight: 0 }, { service: 'most', weight: 90 }, { service: 'few', weight: 10 }] })
+    const services = [{ service: 'none', weight: 0 }, { service: 'most', weight: 90 }, { service: 'few', weight: 10 }]
+    const route = createRoute({ services })
     const picked = Array.from({ length: 1000 }, (_, index) => pickService(route, index / 1000))
     expect(picked.filter(service => service === 'most')).toHaveLength(900)
     expect(picked).not.toContain('none')
--- a/test/platform/backend-client.test.ts
+++ b/test/platform/backend-client.test.ts
@@ -6,7 +6,14 @@
 import { afterEach, describe, expect, test } from 'vitest'
 import { createRecord } from '../gateway/support/fakes.js'
 
-const CALL: BackendCall = { requestId: 'id-1', method: 'POST', path: '/a/', headers: [['Attempt-Id', 'id-1']], body: Buffer.from('body'), remainingMs: 1000 }
+const CALL: BackendCall = {
+  requestId: 'id-1',
+  method: 'POST',
+  path: '/a/',
+  headers: [['Attempt-Id', 'id-1']],
+  body: Buffer.from('body'),
+  remainingMs: 1000,
+}
 const NEVER = new AbortController().signal
 
 let server: Server | undefined
@@ -29,7 +36,8 @@
 }
 
 function answer(status: string, headers: Record<string, string>, body = ''): string {
-  const lines = Object.entries({ 'Attempt-Id': 'id-1', 'Content-Length': String(body.length), ...headers }).map(([name, value]) => `${name}: ${value}\r\n`)
+  const all = { 'Attempt-Id': 'id-1', 'Content-Length': String(body.length), ...headers }
+  const lines = Object.entries(all).map(([name, value]) => `${name}: ${value}\r\n`)
   return `HTTP/1.1 ${status}\r\n${lines.join('')}\r\n${body}`
 }
 
@@ -47,7 +55,8 @@
 
 describe('an answer of a backend server', () => {
   test('is handed on with its head and body', async () => {
-    const backend = await startBackend(socket => socket.write(answer('200 OK', { 'Server-Signature': 's', 'Replica-Load': '2,1,6' }, 'whole')))
+    const bytes = answer('200 OK', { 'Server-Signature': 's', 'Replica-Load': '2,1,6' }, 'whole')
+    const backend = await startBackend(socket => socket.write(bytes))
     const result = (await createClient().run(backend, CALL, NEVER)).unwrap()
     expect(result.status).toBe(200)
     expect(new Map(result.headers).get('server-signature')).toBe('s')
--- a/test/platform/gateway.test.ts
+++ b/test/platform/gateway.test.ts
@@ -50,8 +50,10 @@
   })
 }
 
+const HEADERS = { 'host': 'host.example', 'attempt-id': 'id-1', 'api-key': 'key' }
+
 function send(path: string, headers: Record<string, string> = {}, body = 'body') {
-  return request(`${address}${path}`, { method: 'POST', headers: { 'host': 'host.example', 'attempt-id': 'id-1', 'api-key': 'key', 'deadline-ms': '3000', ...headers }, body })
+  return request(`${address}${path}`, { method: 'POST', headers: { ...HEADERS, 'deadline-ms': '3000', ...headers }, body })
 }
 
 describe('a gateway without a configuration', () => {
@@ -122,7 +124,7 @@
     const left = vi.fn()
     backends[0].respond = hang(left)
     const leaving = new AbortController()
-    const sent = request(`${address}/plain/x`, { method: 'POST', headers: { 'host': 'host.example', 'attempt-id': 'id-1', 'api-key': 'key' }, signal: leaving.signal })
+    const sent = request(`${address}/plain/x`, { method: 'POST', headers: HEADERS, signal: leaving.signal })
     await vi.waitFor(() => expect(backends[0].seen).toHaveLength(1))
     leaving.abort()
     await expect(sent).rejects.toThrow()
