--- a/test/gateway/pass-through.test.ts
+++ b/test/gateway/request-router.test.ts
@@ -4,11 +4,21 @@
 import { createConfiguration, createLog, createRoute } from './support/fakes.js'
 
 function createRequest(deadlineMs: number): ClientRequest {
-  const head = { requestId: 'id-1', host: 'host.example', key: undefined, deadlineMs, promptParts: [], stageItems: [], stageKey: '', lastEventId: undefined, headers: [] }
+  const head = {
+    requestId: 'id-1',
+    host: 'host.example',
+    key: undefined,
+    deadlineMs,
+    promptParts: [],
+    stageItems: [],
+    stageKey: '',
+    lastEventId: undefined,
+    headers: [],
+  }
   return { method: 'GET', path: '/a/', head, body: undefined, arrivedAt: 0 }
 }
 
-test('the time that clients of a route give is forgotten with the route', () => {
+test('the longest deadline of a route, by which retries are recognized, is forgotten with the route', () => {
   const { log } = createLog()
   const configuration = new ConfigurationHolder(text => createConfiguration(JSON.parse(text)), log)
   const router = new RequestRouter(configuration)
--- a/test/platform/gateway.test.ts
+++ b/test/platform/gateway.test.ts
@@ -50,12 +50,14 @@
   })
 }
 
+const HEADERS = { 'host': 'host.example', 'attempt-id': 'id-1', 'api-key': 'key' }
+
 function send(path: string, headers: Record<string, string> = {}, body = 'body') {
-  return request(`${address}${path}`, { method: 'POST', headers: { 'host': 'host.example', 'attempt-id': 'id-1', 'api-key': 'key', 'deadline-ms': '3000', ...headers }, body })
+  return request(`${address}${path}`, { method: 'POST', headers: { ...HEADERS, 'deadline-ms': '3000', ...headers }, body })
 }
 
 describe('a gateway without a configuration', () => {
-  test('is not ready, and tells clients to come back', async () => {
+  test('is not ready, and asks clients to retry later', async () => {
     expect((await request(readiness)).statusCode).toBe(503)
     const response = await send('/plain/x')
     expect(response.statusCode).toBe(503)
@@ -92,13 +94,13 @@
     expect(backends.flatMap(backend => backend.seen)).toEqual([])
   })
 
-  test('that may run once runs once, and is promised nothing when its answer is lost', async () => {
+  test('that may run once runs once, and ends without a promise that it did not run when its answer is lost', async () => {
     backends[0].respond = (_, response) => void response.destroy()
     expect((await send('/once/x')).statusCode).toBe(502)
     expect(backends[0].seen).toHaveLength(1)
   })
 
-  test('that may be repeated gets the backend server\'s own failure where no other backend server is', async () => {
+  test('that may run again gets the backend server\'s own failure where no other backend server is', async () => {
     backends[0].respond = answerWhole(500)
     const response = await send('/plain/x')
     expect(response.statusCode).toBe(500)
@@ -122,7 +124,7 @@
     const left = vi.fn()
     backends[0].respond = hang(left)
     const leaving = new AbortController()
-    const sent = request(`${address}/plain/x`, { method: 'POST', headers: { 'host': 'host.example', 'attempt-id': 'id-1', 'api-key': 'key' }, signal: leaving.signal })
+    const sent = request(`${address}/plain/x`, { method: 'POST', headers: HEADERS, signal: leaving.signal })
     await vi.waitFor(() => expect(backends[0].seen).toHaveLength(1))
     leaving.abort()
     await expect(sent).rejects.toThrow()
