--- /dev/null
+++ b/packages/gateway/src/process/stages/coordinator-failure.ts
@@ -0,0 +1,41 @@
+/**
+ * Decides, for a gateway whose call to the coordinator failed, whether the
+ * coordinator counts as failed or is asked again.
+ *
+ * Inputs: the error of the call; whether a call for the same request failed at
+ * this coordinator before.
+ * Rule: it counts as failed where its address refuses connections or at the
+ * second failed call of a request; else the request asks it again.
+ * Why: one reset connection says little. When each failed call counted, the
+ * coordinator changed five times on a day with resets and two worked at once.
+ * A coordinator that is silent is found by the heartbeats instead.
+ * Set by: commit 452e740 (firmasur k1 worth 0.298 to 0.563).
+ * Log event: `stage-coordinator-failed`, `stage-coordinator-call-failed`.
+ */
+
+/** What a failed call says of the coordinator. */
+export enum CoordinatorVerdict {
+  AskAgain = 'ask-again',
+  Failed = 'failed',
+}
+
+/** A failed call to the coordinator. */
+export interface FailedCall {
+  error: unknown
+  /** A call for the same request failed at this coordinator before. */
+  failedBefore: boolean
+}
+
+/** Decides on a coordinator after a failed call. */
+export function judgeCoordinator({ error, failedBefore }: FailedCall): CoordinatorVerdict {
+  return isRefusedConnection(error) || failedBefore ? CoordinatorVerdict.Failed : CoordinatorVerdict.AskAgain
+}
+
+/** Whether nobody listens at the address; the code stands in one of the error's causes. */
+function isRefusedConnection(error: unknown): boolean {
+  for (let cause = error; cause instanceof Error; cause = cause.cause) {
+    if ('code' in cause && cause.code === 'ECONNREFUSED')
+      return true
+  }
+  return false
+}
--- a/packages/gateway/src/process/stages/shared-preparer.ts
+++ b/packages/gateway/src/process/stages/shared-preparer.ts
@@ -1,7 +1,11 @@
 /**
- * Stage work at whichever gateway owns it. When the coordinator is lost, the work
- * begins anew at the next one; the lost one frees what it made when it sees
- * its caller gone.
+ * Stage work of this gateway's requests at the coordinator, be that this
+ * process or another. When the coordinator fails, the next one restarts the
+ * work, and the failed one, if it is still alive, frees what it made once it
+ * sees its caller gone; a coordinator that stops hands its results to the next
+ * one through here. Owns which coordinator holds each request's results until
+ * they are released; relies on the members' view of the coordinator. When the
+ * process dies, coordinators see their callers gone.
  */
 import type { EventLog } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
@@ -9,27 +13,34 @@
 import type { PeerClients } from '../../connection/peer-clients.js'
 import type { PreparationFailure, PreparationRequest, PreparedInputs, Preparer } from '../../connection/preparation.js'
 import type { Members } from '../membership/members.js'
-import { formatError } from '@eidermast/common'
 import { Err } from 'ts-results-es'
 import { PreparationFailureKind } from '../../connection/preparation.js'
+import { CoordinatorVerdict, judgeCoordinator } from './coordinator-failure.js'
+import { ReleaseBatches } from './release-batches.js'
+import { logCoordinatorCallFailed, logCoordinatorFailed } from './stage-log.js'
 
-const MAX_COORDINATORS = 4
-const RELEASE_DELAY_MS = 20
+/** Calls to coordinators for one request. Not measured; half of them fail requests when two coordinators die in turn, twice as many wait longer for nothing. */
+const MAX_COORDINATOR_CALLS = 4
+/** Milliseconds after which a client may retry when no coordinator answered. Not measured; half of it doubles the retries while gateways restart. */
 const RETRY_AFTER_MS = 1000
 
-/** Calls the coordinator of the stage work, be it this process or another. */
+type Preparation = Result<PreparedInputs, PreparationFailure>
+
+/** Calls the coordinator of the stage work. */
 export class SharedPreparer implements Preparer {
   private readonly coordinatorOf = new Map<string, Member>()
-  private readonly toRelease = new Map<string, string[]>()
+  private readonly releases: ReleaseBatches
 
   constructor(
     private readonly members: Members,
     private readonly local: Preparer,
     private readonly peers: Pick<PeerClients, 'prepare' | 'release'>,
     private readonly log: EventLog,
-  ) {}
+  ) {
+    this.releases = new ReleaseBatches(peers)
+  }
 
-  async prepare(request: PreparationRequest, signal: AbortSignal): Promise<Result<PreparedInputs, PreparationFailure>> {
+  async prepare(request: PreparationRequest, signal: AbortSignal): Promise<Preparation> {
     const result = await this.prepareAtCoordinators(request, signal)
     if (result.isErr())
       this.coordinatorOf.delete(request.requestId)
@@ -44,14 +55,15 @@
     if (coordinator.name === this.members.self.name)
       this.local.release(requestId)
     else
-      this.releaseAt(coordinator, requestId)
+      this.releases.add(coordinator, requestId)
   }
 
-  private async prepareAtCoordinators(request: PreparationRequest, signal: AbortSignal): Promise<Result<PreparedInputs, PreparationFailure>> {
+  /** Asks one coordinator after the other, with the time left and the results handed over. */
+  private async prepareAtCoordinators(request: PreparationRequest, signal: AbortSignal): Promise<Preparation> {
     const startedAt = performance.now()
     let { progress } = request
     const failedAt = new Set<string>()
-    for (let tried = 0; tried < MAX_COORDINATORS && !signal.aborted; tried++) {
+    for (let calls = 0; calls < MAX_COORDINATOR_CALLS && !signal.aborted; calls++) {
       const elapsed = performance.now() - startedAt
       const rest = { ...request, targetMs: request.targetMs - elapsed, deadlineMs: request.deadlineMs - elapsed, progress }
       if (rest.deadlineMs <= 0)
@@ -68,8 +80,13 @@
     return Err({ kind, message: 'no coordinator of the stage work answered', retryAfterMs: RETRY_AFTER_MS })
   }
 
-  /** The coordinator's word; undefined where the coordinator was lost, and its results with it. */
-  private async prepareAt(coordinator: Member, request: PreparationRequest, signal: AbortSignal, failedAt: Set<string>): Promise<Result<PreparedInputs, PreparationFailure> | undefined> {
+  /** The coordinator's answer; undefined where its call failed, and its results cannot be used. */
+  private async prepareAt(
+    coordinator: Member,
+    request: PreparationRequest,
+    signal: AbortSignal,
+    failedAt: Set<string>,
+  ): Promise<Preparation | undefined> {
     this.coordinatorOf.set(request.requestId, coordinator)
     if (coordinator.name === this.members.self.name)
       return this.local.prepare(request, signal)
@@ -78,6 +95,7 @@
       return await this.peers.prepare(coordinator, request, AbortSignal.any([signal, failure.signal]))
     }
     catch (error) {
+      // A call that was cancelled with its request says nothing of the coordinator.
       if (!signal.aborted)
         this.takeFailure(coordinator, request.requestId, error, failedAt)
       return undefined
@@ -87,40 +105,17 @@
     }
   }
 
-  /** One connection that breaks says little: the coordinator is lost where nobody listens any more, or where a second call fails. */
   private takeFailure(coordinator: Member, requestId: string, error: unknown, failedAt: Set<string>): void {
-    const isLost = isRefusedConnection(error) || failedAt.has(coordinator.name)
-    failedAt.add(coordinator.name)
-    this.log.write(isLost ? 'stage-coordinator-failed' : 'stage-coordinator-call-failed', { request: requestId, coordinator: coordinator.name, error: formatError(error) })
-    if (isLost)
-      this.members.suspect(coordinator)
-  }
-
-  private releaseAt(coordinator: Member, requestId: string): void {
-    const waiting = this.toRelease.get(coordinator.address)
-    if (waiting) {
-      waiting.push(requestId)
-      return
-    }
-    this.toRelease.set(coordinator.address, [requestId])
-    setTimeout(() => {
-      const ids = this.toRelease.get(coordinator.address) ?? []
-      this.toRelease.delete(coordinator.address)
-      // A result that is not given up ends by itself.
-      void this.peers.release(coordinator, ids).catch(() => {})
-    }, RELEASE_DELAY_MS)
-  }
-}
-
-/** Whether nobody listens at the address; the code stands in one of the error's causes. */
-function isRefusedConnection(error: unknown): boolean {
-  for (let cause = error; cause instanceof Error; cause = cause.cause) {
-    if ('code' in cause && cause.code === 'ECONNREFUSED')
-      return true
+    const { name } = coordinator
+    const verdict = judgeCoordinator({ error, failedBefore: failedAt.has(name) })
+    failedAt.add(name)
+    if (verdict === CoordinatorVerdict.AskAgain)
+      return logCoordinatorCallFailed(this.log, requestId, name, error)
+    logCoordinatorFailed(this.log, requestId, name, error)
+    this.members.suspect(coordinator)
   }
-  return false
 }
 
-function isHandedOver(result: Result<PreparedInputs, PreparationFailure>): boolean {
+function isHandedOver(result: Preparation): boolean {
   return result.isErr() && result.error.kind === PreparationFailureKind.HandedOver
 }
