--- a/packages/gateway/src/connection/preparation.ts
+++ b/packages/gateway/src/connection/preparation.ts
@@ -1,7 +1,7 @@
 /**
- * What a request asks of its preparing stages, and what it gets. A request is
- * prepared by this gateway or by another one; `peer-messages` spells these
- * types for the way between gateways.
+ * The stage work of one request as it is asked of a coordinator, and its
+ * outcome. The coordinator is this gateway or another one; `peer-messages`
+ * encodes these types for calls between gateways.
  */
 import type { Result } from 'ts-results-es'
 
@@ -12,7 +12,7 @@
   dependsOn: number[]
   /** Expected size of one result, in bytes. */
   resultBytes: number
-  /** Items of the stage; 0 where the request has none. */
+  /** Number of items; 0 where the request needs none. */
   items: number
 }
 
@@ -22,11 +22,11 @@
   /** Id of the backend server that holds it. */
   backend: string
   bytes: number
-  /** Milliseconds until the backend server drops it. */
+  /** Milliseconds until it expires. */
   remainingMs: number
 }
 
-/** A stage that an earlier coordinator has done; its results are empty where all their readers have them. */
+/** A stage that an earlier coordinator has finished; its results are empty where all their readers have fetched them. */
 export interface StageProgress {
   /** Number of the stage in its route. */
   stage: number
@@ -49,7 +49,7 @@
   isRetry: boolean
   /** Failure domain of the backend server that will read the results. */
   failureDomain: string
-  /** What an earlier coordinator has done and handed over. */
+  /** Stages that an earlier coordinator has finished and handed over. */
   progress?: StageProgress[]
 }
 
@@ -64,33 +64,34 @@
 
 /** Why stage work ended without results. */
 export enum PreparationFailureKind {
-  /** It cannot be done in time. */
+  /** It cannot end before its deadline. */
   TooLate = 'too-late',
-  /** More work waits than can be done in time; nothing was started. */
+  /** It would miss its target behind the work that waits; nothing was started. */
   Overloaded = 'overloaded',
-  /** No backend server of a stage's service can be used. On the wire between gateways since the first release. */
+  /** A stage's service is unknown. The value is on the wire between gateways. */
   NoBackend = 'no-replica',
   /** Items failed repeatedly. */
   Failed = 'failed',
-  /** The coordinator is stopping; the next one takes the work. */
+  /** The coordinator is stopping; the next one continues the work. */
   HandedOver = 'handed-over',
   /** The request was cancelled. */
   Cancelled = 'cancelled',
 }
 
-/** Stage work that ended without results; nothing that may not be repeated has run. */
+/** Stage work that ended without results. Nothing that must not be repeated has run. */
 export interface PreparationFailure {
   kind: PreparationFailureKind
   message: string
   /** Milliseconds after which a retry is worth while. */
   retryAfterMs: number
-  /** What is done, where the work is handed over. */
+  /** Finished stages, where the work is handed over. */
   progress?: StageProgress[]
 }
 
-/** Does the stage work of requests. */
+/** Runs the stage work of requests. */
 export interface Preparer {
+  /** Ends with a failure of kind `cancelled` when the signal aborts. */
   prepare: (request: PreparationRequest, signal: AbortSignal) => Promise<Result<PreparedInputs, PreparationFailure>>
-  /** Frees the results of a request. */
+  /** Frees the results of a request; does nothing where it has none. */
   release: (requestId: string) => void
 }
--- a/packages/gateway/src/connection/stage-client.ts
+++ b/packages/gateway/src/connection/stage-client.ts
@@ -1,5 +1,6 @@
 /**
- * Calls to the backend servers that make stage results, as the scheduler sees them.
+ * Calls to the backend servers of stage services, as the coordinator sees them.
+ * The platform's adapter implements them; nothing here has state.
  */
 import type { Backend } from './backend.js'
 
@@ -10,30 +11,32 @@
   stage: number
   /** Number of the item within its stage. */
   index: number
-  /** Milliseconds after which the result is of no use. */
+  /** Milliseconds until the client stops waiting. */
   remainingMs: number
-  /** What a stage without inputs works on. */
+  /** Input of a stage that reads no results. */
   key?: string
-  /** Handles of all results that it reads. */
+  /** Handles of all results that the item reads. */
   inputs?: readonly string[]
 }
 
-/** Why a item was not made. */
+/** Why an item has no result. */
 export enum ItemFailure {
-  /** Its time ran out before its turn. */
+  /** Its time ran out before the backend server started it. */
   Late = 'late',
-  /** An input is gone. */
+  /** The backend server could not fetch an input. */
   InputGone = 'input-gone',
-  /** The backend server has no room for the result. */
+  /** The backend server has no memory for the result. */
   NoMemory = 'no-memory',
+  /** Any other failure of the item itself. */
   Error = 'error',
 }
 
-/** A item's result or why there is none. */
+/** An item's result or why there is none. */
 export type ItemOutcome = { handle: string } | { failure: ItemFailure }
 
 /** How a call ended. */
 export enum StageCallEnd {
+  /** With an outcome for each item. */
   Done = 'done',
   /** The backend server is full; nothing ran. */
   Refused = 'refused',
@@ -41,21 +44,22 @@
   Misdirected = 'misdirected',
   /** No byte was sent. */
   NotSent = 'not-sent',
-  /** No sound answer; items may have been made and take room until their end. */
+  /** No valid answer; results may exist and use memory until they expire. */
   Broken = 'broken',
 }
 
-/** What a call brought; outcomes stand in the order of the items. */
+/** How a call ended; outcomes are in the order of the items, and empty unless it is done. */
 export interface StageCallResult {
   end: StageCallEnd
   outcomes: ItemOutcome[]
 }
 
-/** Runs batches of items and frees results. */
+/** Runs batches of items and deletes results. */
 export interface StageClient {
+  /** Never rejects: a call that was aborted or failed has its end. */
   run: (backend: Backend, items: readonly StageItem[], signal: AbortSignal) => Promise<StageCallResult>
-  /** Gives results up; false where the backend server did not say that they are gone: they end by themselves. */
+  /** Deletes results; false where the backend server did not confirm it, so that they last until they expire. */
   free: (backend: Backend, handles: readonly string[]) => Promise<boolean>
-  /** Room left for results, in bytes; undefined where the backend server does not tell. */
+  /** Free result memory in bytes; undefined where the backend server does not report it. */
   freeResultMemory: (backend: Backend) => Promise<number | undefined>
 }
--- a/packages/gateway/src/process/stages/backend/backend-pause.ts
+++ b/packages/gateway/src/process/stages/backend/backend-pause.ts
@@ -13,9 +13,15 @@
  * Log event: `stage-backend-paused`; missing memory shows in `stage-call`.
  */
 
-/** First pause after a failed call, in milliseconds. Not measured; half of it sends more calls into a failure, twice as much idles a healthy server. */
+/**
+ * First pause after a failed call, in milliseconds. Not measured; half of it
+ * sends more calls into a failure, twice as much idles a healthy server.
+ */
 const FIRST_PAUSE_MS = 100
-/** Longest pause after failed calls, in milliseconds. Not measured; twice as much leaves a recovered backend server idle for 10 s. */
+/**
+ * Longest pause after failed calls, in milliseconds. Not measured; twice as much
+ * leaves a recovered backend server idle for 10 s.
+ */
 const MAX_PAUSE_MS = 5000
 
 /**
--- a/packages/gateway/src/process/stages/pool/call-timeout.ts
+++ b/packages/gateway/src/process/stages/pool/call-timeout.ts
@@ -11,7 +11,10 @@
  * Log event: `stage-call` (tookMs, expectedMs, end `broken`).
  */
 
-/** Not measured; at half of it a call behind another coordinator's is aborted, at twice as much a silent backend server holds its items for seconds. */
+/**
+ * Not measured; at half of it a call behind another coordinator's is aborted, at
+ * twice as much a silent backend server holds its items for seconds.
+ */
 const TIMEOUT_FACTOR = 2.5
 /** Milliseconds. Not measured; covers connecting and a slow answer where calls are short. */
 const TIMEOUT_MARGIN_MS = 400
--- a/packages/gateway/src/process/stages/pool/domain-wait.ts
+++ b/packages/gateway/src/process/stages/pool/domain-wait.ts
@@ -24,9 +24,15 @@
  * c31d827) and 120 ms (trial f) were taken back in cb069cb: within the spread.
  */
 const MAX_DOMAIN_WAIT_MS = 400
-/** Time kept before the target, in milliseconds. Not measured; half of it risks targets to save bytes, twice as much crosses domains more often. */
+/**
+ * Time kept before the target, in milliseconds. Not measured; half of it risks
+ * targets to save bytes, twice as much crosses domains more often.
+ */
 const TARGET_MARGIN_MS = 150
-/** Bytes to another failure domain that weigh as much as one millisecond of waiting. Not measured; half of it waits twice as long for the same bytes. */
+/**
+ * Bytes to another failure domain that weigh as much as one millisecond of
+ * waiting. Not measured; half of it waits twice as long for the same bytes.
+ */
 const CROSSING_BYTES_PER_MS = 4000
 /** A cost below this is not worth a wait, in milliseconds. Not measured; a timer's resolution. */
 const MIN_CROSSING_COST_MS = 1
--- a/packages/gateway/src/process/stages/pool/early-free.ts
+++ b/packages/gateway/src/process/stages/pool/early-free.ts
@@ -19,10 +19,15 @@
  * may run first: commit cb069cb; 5 s cost firmasur trouble-3 (trials d to g).
  */
 export const OTHER_COORDINATOR_MS = 1500
-/** Time of a fetch over the plain transfer time, for both links and a busy backend server. Not measured; half of it risks lost inputs, twice as much holds memory. */
+/**
+ * Time of a fetch over the plain transfer time, for both links and a busy
+ * backend server. Not measured; half of it risks lost inputs, twice as much
+ * holds memory.
+ */
 const FETCH_FACTOR = 3
 /** Milliseconds. Not measured; connection and queueing of a fetch, with the same costs as FETCH_FACTOR. */
 const FETCH_MARGIN_MS = 80
+/** Bits in a byte, for a speed in megabits. */
 const BITS_PER_BYTE = 8
 /** Bits in a millisecond at one megabit a second. */
 const BITS_PER_MS_AT_ONE_MBPS = 1000
--- a/packages/gateway/src/process/stages/pool/item-retry.ts
+++ b/packages/gateway/src/process/stages/pool/item-retry.ts
@@ -13,7 +13,10 @@
  */
 import { ItemFailure, StageCallEnd } from '../../../connection/stage-client.js'
 
-/** Calls in which an item may fail. Not measured; one more delays the request past most targets, one less fails it at a second lost call. */
+/**
+ * Calls in which an item may fail. Not measured; one more delays the request
+ * past most targets, one less fails it at a second lost call.
+ */
 const MAX_ITEM_FAILURES = 3
 
 /** What happened to an item. */
--- a/packages/gateway/src/process/stages/pool/service-pace.ts
+++ b/packages/gateway/src/process/stages/pool/service-pace.ts
@@ -6,7 +6,10 @@
 import type { StageLimits } from '../../../version/configuration.js'
 import type { ServicePace } from '../stage-admission.js'
 
-/** Share of a full batch in a usual call. Not measured; half of it hides some itemMs from the estimates, 1 refuses work that would be in time. */
+/**
+ * Share of a full batch in a usual call. Not measured; half of it hides some
+ * itemMs from the estimates, 1 refuses work that would be in time.
+ */
 const TYPICAL_FILL = 0.6
 /** Share of the speed of full batches that is reached under load. Came in commit 5c1a649; not measured apart. */
 const BATCH_EFFICIENCY = 0.8
@@ -25,7 +28,10 @@
   return typicalBytes + (resultBytes - typicalBytes) * RESULT_SIZE_WEIGHT
 }
 
-/** Pace of a service; takes how much slower than configured each backend server is, and the size of a usual result. */
+/**
+ * Pace of a service; takes how much slower than configured each backend server
+ * is, and the size of a usual result.
+ */
 export function estimatePace(limits: StageLimits, slownessFactors: readonly number[], typicalBytes: number): ServicePace {
   const itemMs = (limits.callMs / sustainedBatch(limits, typicalBytes) + limits.itemMs) / BATCH_EFFICIENCY
   const backends = slownessFactors.reduce((sum, slowness) => sum + 1 / slowness, 0)
--- a/packages/gateway/src/process/stages/release-batches.ts
+++ b/packages/gateway/src/process/stages/release-batches.ts
@@ -6,7 +6,10 @@
 import type { Member } from '../../connection/member.js'
 import type { PeerClients } from '../../connection/peer-clients.js'
 
-/** Milliseconds that a release waits for others to share its call. Not measured; half of it sends more calls, twice as much holds result memory longer. */
+/**
+ * Milliseconds that a release waits for others to share its call. Not measured;
+ * half of it sends more calls, twice as much holds result memory longer.
+ */
 const RELEASE_DELAY_MS = 20
 
 /** Batches releases by the gateway that they go to. */
--- a/packages/gateway/src/process/stages/shared-preparer.ts
+++ b/packages/gateway/src/process/stages/shared-preparer.ts
@@ -19,9 +19,16 @@
 import { ReleaseBatches } from './release-batches.js'
 import { logCoordinatorCallFailed, logCoordinatorFailed } from './stage-log.js'
 
-/** Calls to coordinators for one request. Not measured; half of them fail requests when two coordinators die in turn, twice as many wait longer for nothing. */
+/**
+ * Calls to coordinators for one request. Not measured; half of them fail
+ * requests when two coordinators die in turn, twice as many wait longer for
+ * nothing.
+ */
 const MAX_COORDINATOR_CALLS = 4
-/** Milliseconds after which a client may retry when no coordinator answered. Not measured; half of it doubles the retries while gateways restart. */
+/**
+ * Milliseconds after which a client may retry when no coordinator answered. Not
+ * measured; half of it doubles the retries while gateways restart.
+ */
 const RETRY_AFTER_MS = 1000
 
 type Preparation = Result<PreparedInputs, PreparationFailure>
--- a/packages/gateway/src/process/stages/stage-admission.ts
+++ b/packages/gateway/src/process/stages/stage-admission.ts
@@ -28,7 +28,10 @@
 const ALWAYS_ALLOWED_WAIT_MS = 300
 /** Shortest time to a retry, in milliseconds. Not measured; half of it doubles the retries under overload. */
 const MIN_RETRY_MS = 300
-/** Time to a retry where a service has no backend server, in milliseconds. Not measured; twice as much delays service after a restart. */
+/**
+ * Time to a retry where a service has no backend server, in milliseconds. Not
+ * measured; twice as much delays service after a restart.
+ */
 const NO_BACKEND_RETRY_MS = 800
 /**
  * A refused client retries when its work would be expected within this share of
--- a/packages/gateway/src/process/stages/stage-log.ts
+++ b/packages/gateway/src/process/stages/stage-log.ts
@@ -56,7 +56,12 @@
 }
 
 /** The stage work of a request ended. */
-export function logStagesEnded(log: EventLog, request: PreparationRequest, result: Result<PreparedInputs, PreparationFailure>, tookMs: number): void {
+export function logStagesEnded(
+  log: EventLog,
+  request: PreparationRequest,
+  result: Result<PreparedInputs, PreparationFailure>,
+  tookMs: number,
+): void {
   log.write('stages-ended', {
     request: request.requestId,
     outcome: result.isOk() ? 'prepared' : result.error.kind,
--- a/packages/gateway/src/request/stages/prepared-inputs.ts
+++ b/packages/gateway/src/request/stages/prepared-inputs.ts
@@ -4,7 +4,10 @@
 import type { PreparedInputs } from '../../connection/preparation.js'
 import type { StageResult } from './stage-task.js'
 
-/** Handles and size of the results, and the failure domain that holds most of their bytes; without results, the given one. */
+/**
+ * Handles and size of the results, and the failure domain that holds most of
+ * their bytes; without results, the given one.
+ */
 export function describeInputs(results: readonly StageResult[], defaultDomain: string): PreparedInputs {
   const bytesByDomain = new Map<string, number>()
   for (const { holder, bytes } of results)
--- a/packages/gateway/src/request/stages/request-stages.ts
+++ b/packages/gateway/src/request/stages/request-stages.ts
@@ -10,33 +10,27 @@
 import type { Result } from 'ts-results-es'
 import type { PreparationFailure, PreparationRequest, PreparedInputs, StageProgress } from '../../connection/preparation.js'
 import type { ItemFailure } from '../../connection/stage-client.js'
-import type { StageResult, StageTask, StageTaskQueues, SubmittedTask } from './stage-task.js'
+import type { StageResult, StageTask, StageTaskQueues } from './stage-task.js'
 import { Err, Ok } from 'ts-results-es'
 import { PreparationFailureKind } from '../../connection/preparation.js'
 import { describeInputs } from './prepared-inputs.js'
 import { decideStageFailure, StageFailureDecision } from './stage-failure.js'
 import { StageGraph } from './stage-graph.js'
 import { adoptProgress, describeProgress } from './stage-progress.js'
+import { StageStates } from './stage-states.js'
 
-/** Milliseconds after which a client may retry failed stage work. Not measured; half of it doubles the retries while backend servers fail. */
+/**
+ * Milliseconds after which a client may retry failed stage work. Not measured;
+ * half of it doubles the retries while backend servers fail.
+ */
 const RETRY_AFTER_MS = 1000
 
-interface StageState {
-  results: StageResult[] | undefined
-  started: boolean
-  /** Stages that read the results and have not fetched them. */
-  readersLeft: number
-  /** Its own inputs are fetched. */
-  hasInputs: boolean
-  task: SubmittedTask | undefined
-}
-
 /** Called once with how the stage work ended. */
 export type PreparationListener = (result: Result<PreparedInputs, PreparationFailure>) => void
 
 /** Runs the stages of one request. */
 export class RequestStages {
-  private states: StageState[] = []
+  private states: StageStates
   private restarts = 0
   private ended = false
   private handingOver = false
@@ -54,19 +48,13 @@
     now = performance.now(),
   ) {
     this.graph = new StageGraph(request.stages)
+    this.states = this.createStates()
     this.progress = request.progress
     this.targetAt = now + request.targetMs
     this.deadlineAt = now + request.deadlineMs
   }
 
   start(): void {
-    this.states = this.request.stages.map((_, stage) => ({
-      results: undefined,
-      started: false,
-      readersLeft: this.graph.readersOf(stage).length,
-      hasInputs: false,
-      task: undefined,
-    }))
     this.adoptProgress()
     this.advance()
   }
@@ -74,7 +62,7 @@
   /** Lets another coordinator continue: at once, or when the items in calls have their results. */
   handOver(): void {
     this.handingOver = true
-    if (!this.ended && !this.states.some(state => state.task?.isUnderWay()))
+    if (!this.ended && !this.states.isUnderWay)
       this.handOverNow()
   }
 
@@ -84,7 +72,7 @@
       return 0
     let items = 0
     this.request.stages.forEach((stage, number) => {
-      if (stage.service === service && !this.states[number]?.results)
+      if (stage.service === service && !this.states.hasResults(number))
         items += stage.items
     })
     return items
@@ -93,48 +81,40 @@
   /** Cancels what is under way and frees all results. */
   release(): void {
     this.ended = true
-    this.freeEverything()
+    this.states.freeEverything()
   }
 
-  private get isDone(): boolean {
-    return this.states.every(state => state.results)
+  private createStates(): StageStates {
+    return new StageStates(this.request.stages, this.graph, this.queueOf)
   }
 
   /** Continues after the stages that an earlier coordinator has finished. */
   private adoptProgress(): void {
     const adopted = adoptProgress(this.request.stages, this.graph, this.progress ?? [], this.queueOf)
     this.progress = undefined
-    for (const { stage, results } of adopted) {
-      this.states[stage].started = true
-      this.states[stage].results = results
-    }
-    for (const { stage } of adopted)
-      this.markFetched(stage)
+    this.states.adopt(adopted)
   }
 
   private advance(): void {
-    for (let stage = 0; stage < this.states.length && !this.ended; stage++) {
-      const ready = this.request.stages[stage].dependsOn.every(dependency => this.states[dependency].results)
-      if (ready && !this.states[stage].started)
+    for (let stage = 0; stage < this.states.count && !this.ended; stage++) {
+      if (this.states.isReady(stage))
         this.startStage(stage)
     }
-    if (!this.ended && this.isDone)
+    if (!this.ended && this.states.isDone)
       this.finish()
   }
 
   private startStage(stage: number): void {
     const { service, items } = this.request.stages[stage]
-    const state = this.states[stage]
-    state.started = true
-    if (items === 0) {
-      state.results = []
-      this.markFetched(stage)
-      return
-    }
+    const { states } = this
+    states.markStarted(stage)
+    if (items === 0)
+      return states.complete(stage, [])
     const queue = this.queueOf(service)
     if (!queue)
       return this.fail(PreparationFailureKind.NoBackend, `no service ${service}`)
-    state.task = queue.submit(this.createTask(stage))
+    // The submission may restart the stages; its task belongs to the states before.
+    states.setTask(stage, queue.submit(this.createTask(stage)))
   }
 
   private createTask(stage: number): StageTask {
@@ -147,14 +127,14 @@
       items,
       resultBytes,
       key: dependsOn.length === 0 ? request.key : undefined,
-      inputs: dependsOn.flatMap(dependency => this.states[dependency].results ?? []),
+      inputs: this.states.inputsOf(stage),
       readerDomain: graph.isFinal(stage) ? request.failureDomain : undefined,
       rank: this.rank,
       targetAt: this.targetAt,
       deadlineAt: this.deadlineAt,
       remainingMs: graph.remainingAfter(stage, reader => this.queueOf(reader)?.typicalCallMs() ?? 0),
       listener: {
-        inputsFetched: () => this.markFetched(stage),
+        inputsFetched: () => this.states.markFetched(stage),
         completed: results => this.complete(stage, results),
         failed: failure => this.takeFailure(stage, failure),
       },
@@ -162,33 +142,17 @@
   }
 
   private complete(stage: number, results: StageResult[]): void {
-    this.states[stage].results = results
-    this.states[stage].task = undefined
-    this.markFetched(stage)
-    if (this.handingOver && !this.isDone)
+    this.states.complete(stage, results)
+    if (this.handingOver && !this.states.isDone)
       this.handOver()
     else
       this.advance()
   }
 
-  /** Frees the results that the stage was the last to read. */
-  private markFetched(stage: number): void {
-    const state = this.states[stage]
-    if (state.hasInputs)
-      return
-    state.hasInputs = true
-    for (const dependency of this.request.stages[stage].dependsOn) {
-      const read = this.states[dependency]
-      read.readersLeft--
-      if (read.readersLeft === 0)
-        this.freeResults(dependency)
-    }
-  }
-
   private takeFailure(stage: number, failure: ItemFailure): void {
     if (this.ended)
       return
-    this.states[stage].task = undefined
+    this.states.setTask(stage, undefined)
     const { restarts, handingOver } = this
     switch (decideStageFailure({ failure, restarts, handingOver })) {
       case StageFailureDecision.HandOver:
@@ -204,17 +168,17 @@
 
   private restart(): void {
     this.restarts++
-    this.freeEverything()
+    this.states.freeEverything()
+    this.states = this.createStates()
     this.start()
   }
 
   /** The results stay at their backend servers, for the next coordinator. */
   private handOverNow(): void {
-    const progress = describeProgress(this.states, this.graph, performance.now())
+    const progress = describeProgress(this.states.outcomes, this.graph, performance.now())
     this.ended = true
-    for (const state of this.states)
-      state.task?.cancel()
-    this.states = []
+    this.states.cancelTasks()
+    this.states = new StageStates([], this.graph, this.queueOf)
     this.listener(Err({ kind: PreparationFailureKind.HandedOver, message: 'the coordinator is stopping', retryAfterMs: 0, progress }))
   }
 
@@ -227,21 +191,6 @@
 
   private finish(): void {
     this.ended = true
-    const results = this.states.flatMap((state, stage) => this.graph.isFinal(stage) ? state.results ?? [] : [])
-    this.listener(Ok(describeInputs(results, this.request.failureDomain)))
-  }
-
-  private freeEverything(): void {
-    this.states.forEach((state, stage) => {
-      state.task?.cancel()
-      state.task = undefined
-      this.freeResults(stage)
-    })
-  }
-
-  private freeResults(stage: number): void {
-    const queue = this.queueOf(this.request.stages[stage].service)
-    for (const result of this.states[stage].results ?? [])
-      queue?.free(result)
+    this.listener(Ok(describeInputs(this.states.finalResults, this.request.failureDomain)))
   }
 }
--- /dev/null
+++ b/packages/gateway/src/request/stages/stage-states.ts
@@ -0,0 +1,134 @@
+/**
+ * How far the stages of one request are: which have started, which have
+ * results, and who still has to fetch them. Owned by the request's stage work,
+ * with a new instance for each restart; frees results when their last reader
+ * has fetched them. Gone with the process, as the stage work is.
+ */
+import type { PreparationStage } from '../../connection/preparation.js'
+import type { StageGraph } from './stage-graph.js'
+import type { AdoptedStage, StageOutcome } from './stage-progress.js'
+import type { StageResult, StageTaskQueues, SubmittedTask } from './stage-task.js'
+
+interface StageState {
+  results: StageResult[] | undefined
+  started: boolean
+  /** Stages that read the results and have not fetched them. */
+  readersLeft: number
+  /** Its own inputs are fetched. */
+  hasInputs: boolean
+  task: SubmittedTask | undefined
+}
+
+/** The states of all stages, by their numbers in the route. */
+export class StageStates {
+  private readonly states: StageState[]
+
+  constructor(
+    private readonly stages: readonly PreparationStage[],
+    private readonly graph: StageGraph,
+    private readonly queueOf: StageTaskQueues,
+  ) {
+    this.states = stages.map((_, stage) => ({
+      results: undefined,
+      started: false,
+      readersLeft: graph.readersOf(stage).length,
+      hasInputs: false,
+      task: undefined,
+    }))
+  }
+
+  get count(): number {
+    return this.states.length
+  }
+
+  get isDone(): boolean {
+    return this.states.every(state => state.results)
+  }
+
+  /** Whether all items of some stage that have no result are in calls. */
+  get isUnderWay(): boolean {
+    return this.states.some(state => state.task?.isUnderWay())
+  }
+
+  get outcomes(): readonly StageOutcome[] {
+    return this.states
+  }
+
+  /** Results that the request's backend server reads. */
+  get finalResults(): StageResult[] {
+    return this.states.flatMap((state, stage) => this.graph.isFinal(stage) ? state.results ?? [] : [])
+  }
+
+  hasResults(stage: number): boolean {
+    return this.states[stage]?.results !== undefined
+  }
+
+  /** Whether a stage has not started and all that it depends on is done. */
+  isReady(stage: number): boolean {
+    return !this.states[stage].started && this.stages[stage].dependsOn.every(dependency => this.hasResults(dependency))
+  }
+
+  inputsOf(stage: number): StageResult[] {
+    return this.stages[stage].dependsOn.flatMap(dependency => this.states[dependency].results ?? [])
+  }
+
+  /** Counts stages as done that an earlier coordinator has finished. */
+  adopt(adopted: readonly AdoptedStage[]): void {
+    for (const { stage, results } of adopted) {
+      this.markStarted(stage)
+      this.states[stage].results = results
+    }
+    for (const { stage } of adopted)
+      this.markFetched(stage)
+  }
+
+  markStarted(stage: number): void {
+    this.states[stage].started = true
+  }
+
+  setTask(stage: number, task: SubmittedTask | undefined): void {
+    this.states[stage].task = task
+  }
+
+  complete(stage: number, results: StageResult[]): void {
+    const state = this.states[stage]
+    state.results = results
+    state.task = undefined
+    this.markFetched(stage)
+  }
+
+  /** The stage needs its inputs no more; frees those that it was the last to read. */
+  markFetched(stage: number): void {
+    const state = this.states[stage]
+    if (state.hasInputs)
+      return
+    state.hasInputs = true
+    for (const dependency of this.stages[stage].dependsOn) {
+      const read = this.states[dependency]
+      read.readersLeft--
+      if (read.readersLeft === 0)
+        this.freeResults(dependency)
+    }
+  }
+
+  /** Cancels the tasks and leaves the results where they are. */
+  cancelTasks(): void {
+    for (const state of this.states)
+      state.task?.cancel()
+  }
+
+  /** Cancels the tasks and frees all results. */
+  freeEverything(): void {
+    this.states.forEach((state, stage) => {
+      state.task?.cancel()
+      state.task = undefined
+      this.freeResults(stage)
+    })
+  }
+
+  private freeResults(stage: number): void {
+    const queue = this.queueOf(this.stages[stage].service)
+    for (const result of this.states[stage].results ?? [])
+      queue?.free(result)
+  }
+}
--- a/packages/gateway/src/request/stages/stage-task.ts
+++ b/packages/gateway/src/request/stages/stage-task.ts
@@ -7,7 +7,10 @@
 import type { StageProgress } from '../../connection/preparation.js'
 import type { ItemFailure } from '../../connection/stage-client.js'
 
-/** Keeps results in the memory of one backend server, as far as this process knows; times are on the process clock. */
+/**
+ * Keeps results in the memory of one backend server, as far as this process
+ * knows; times are on the process clock.
+ */
 export interface ResultHolder {
   readonly backend: Backend
   readonly failureDomain: string
@@ -15,7 +18,10 @@
   isReadable: (handle: string, now: number) => boolean
   /** Milliseconds until the backend server drops a result by itself. */
   remainingLifetimeMs: (handle: string, now: number) => number
-  /** Marks a result for deletion; false where it is unknown or marked already. Its bytes stay counted until it is dropped. */
+  /**
+   * Marks a result for deletion; false where it is unknown or marked already.
+   * Its bytes stay counted until it is dropped.
+   */
   markFreeing: (handle: string) => boolean
   /** The backend server no longer holds the result; its bytes are free. */
   drop: (handle: string) => void
