--- a/test/gateway/shared-preparer.test.ts
+++ b/test/gateway/shared-preparer.test.ts
@@ -17,15 +17,15 @@
   return { local, shared: new SharedPreparer(members, local, new PeerClients(), log) }
 }
 
-describe('stage work of this gateway\'s own', () => {
-  test('is given up at its coordinator when its request releases it', async () => {
+describe('stage work at this gateway', () => {
+  test('is released at its coordinator when its request releases it', async () => {
     const { shared, local } = createPreparer(async () => PREPARED)
     await shared.prepare(REQUEST, NEVER)
     shared.release('id-1')
     expect(local.release).toHaveBeenCalledWith('id-1')
   })
 
-  test('that was refused leaves nothing behind to give up', async () => {
+  test('that was refused leaves nothing to release', async () => {
     const { shared, local } = createPreparer(async () => REFUSED)
     expect((await shared.prepare(REQUEST, NEVER)).isErr()).toBe(true)
     shared.release('id-1')
@@ -66,9 +66,9 @@
   afterEach(() => void vi.useRealTimers())
 
   test.each([
-    ['asks it again after one connection that was reset', [createError('ECONNRESET')], [COORDINATOR.name, COORDINATOR.name]],
-    ['goes on here where nobody listens there any more', [createError('ECONNREFUSED')], [COORDINATOR.name, SELF.name]],
-    ['goes on here after a second failure', [createError('ECONNRESET'), createError('ECONNRESET')], [COORDINATOR.name, COORDINATOR.name, SELF.name]],
+    ['is asked of the same coordinator again after one connection that was reset', [createError('ECONNRESET')], [COORDINATOR.name, COORDINATOR.name]],
+    ['restarts here where the coordinator refuses connections', [createError('ECONNREFUSED')], [COORDINATOR.name, SELF.name]],
+    ['restarts here after a second failed call', [createError('ECONNRESET'), createError('ECONNRESET')], [COORDINATOR.name, COORDINATOR.name, SELF.name]],
   ])('%s', async (_name, failures, asked) => {
     const { shared, members, askedAt } = await createShared([...failures])
     expect((await shared.prepare(REQUEST, NEVER)).isOk()).toBe(true)
--- /dev/null
+++ b/test/gateway/stage-rules.test.ts
@@ -0,0 +1,134 @@
+import type { BackendForecast, ItemFailureCause, ItemRetryDecision, PoolTask, ResultHolder, StageTask } from '@eidermast/gateway'
+import {
+  BatchReason,
+  chooseBatch,
+  createPoolTask,
+  decideDomainWait,
+  decideItemRetry,
+  decideStageFailure,
+  DomainDecision,
+  inputsFetchedAfter,
+  ItemFailure,
+  StageCallEnd,
+  StageFailureDecision,
+} from '@eidermast/gateway'
+import { describe, expect, test, vi } from 'vitest'
+
+function createTask(overrides: Partial<StageTask> = {}): StageTask {
+  return {
+    requestId: 'request-1',
+    stage: 0,
+    service: 'encode',
+    items: 2,
+    resultBytes: 10,
+    key: 'key',
+    inputs: [],
+    readerDomain: undefined,
+    rank: 0,
+    targetAt: 10_000,
+    deadlineAt: 20_000,
+    remainingMs: 250,
+    listener: { inputsFetched: () => {}, completed: () => {}, failed: () => {} },
+    ...overrides,
+  }
+}
+
+describe('the choice of a batch', () => {
+  function choose(tasks: PoolTask[], options: { freeBytes?: number, suits?: (task: StageTask) => boolean } = {}) {
+    const parts = chooseBatch({ tasks, maxItems: 4, freeBytes: 1000, suits: () => true, ...options })
+    return parts.map(part => [tasks.indexOf(part.task), part.items, part.reason])
+  }
+
+  test('adds whole tasks in their order and splits none behind them', () => {
+    const tasks = [2, 3, 2].map(items => createPoolTask(createTask({ items })))
+    expect(choose(tasks)).toEqual([[0, 2, BatchReason.SuitsDomain], [2, 2, BatchReason.SuitsDomain]])
+  })
+
+  test('splits the task that opens the call where places or memory end', () => {
+    expect(choose([createPoolTask(createTask({ items: 6 }))])).toEqual([[0, 4, BatchReason.SuitsDomain]])
+    expect(choose([createPoolTask(createTask({ items: 3 }))], { freeBytes: 25 })).toEqual([[0, 2, BatchReason.SuitsDomain]])
+  })
+
+  test('leaves tasks to a better failure domain, unless more than half a call waits', () => {
+    const suits = ({ stage }: StageTask): boolean => stage === 0
+    const few = [createPoolTask(createTask()), createPoolTask(createTask({ stage: 1 }))]
+    expect(choose(few, { suits })).toEqual([[0, 2, BatchReason.SuitsDomain]])
+    const many = [createPoolTask(createTask({ items: 1 })), createPoolTask(createTask({ stage: 1, items: 3 }))]
+    expect(choose(many, { suits })).toEqual([[0, 1, BatchReason.SuitsDomain], [1, 3, BatchReason.FillsCall]])
+  })
+})
+
+describe('the wait for a better failure domain', () => {
+  const HERE = createForecast('domain-a')
+
+  function createForecast(failureDomain: string, startsInMs = 0, isUsable = true): BackendForecast {
+    return { failureDomain, isUsable: () => isUsable, startsIn: () => startsInMs, callTime: () => 100 }
+  }
+
+  /** A task with one input of this size in `domain-b`. */
+  function createReader(bytes: number, targetAt = 10_000): StageTask {
+    const holder = { failureDomain: 'domain-b' } as ResultHolder
+    return createTask({ items: 1, inputs: [{ handle: 'handle', holder, bytes }], targetAt })
+  }
+
+  test.each([
+    ['runs here where next to no bytes cross', createReader(100), [createForecast('domain-b')], DomainDecision.NoCrossing],
+    ['waits where the bytes saved are worth more than the delay', createReader(800_000), [createForecast('domain-b', 150)], DomainDecision.Wait],
+    ['runs here where the delay costs more than the bytes', createReader(400_000), [createForecast('domain-b', 150)], DomainDecision.NothingBetter],
+    ['never waits longer than 400 ms', createReader(8_000_000), [createForecast('domain-b', 400)], DomainDecision.NothingBetter],
+    ['never waits into the time before its target', createReader(8_000_000, 600), [createForecast('domain-b', 100)], DomainDecision.NothingBetter],
+    ['does not wait for a backend server that gets no calls', createReader(8_000_000), [createForecast('domain-b', 0, false)], DomainDecision.NothingBetter],
+    ['does not wait for one in a failure domain that is no better', createReader(8_000_000), [createForecast('domain-c')], DomainDecision.NothingBetter],
+  ])('%s', (_name, task, others, decision) => {
+    expect(decideDomainWait(task, HERE, [HERE, ...others], 0)).toBe(decision)
+  })
+})
+
+describe('the retry of an item', () => {
+  test.each<[string, ItemFailureCause, number, ItemRetryDecision]>([
+    ['is retried after an error', ItemFailure.Error, 1, { isRetried: true }],
+    ['is retried after a call that reached nobody, however often it failed', StageCallEnd.NotSent, 9, { isRetried: true }],
+    ['fails its task after the third failed call', StageCallEnd.Broken, 3, { isRetried: false, failure: ItemFailure.Error }],
+    ['fails its task where an input is gone', ItemFailure.InputGone, 1, { isRetried: false, failure: ItemFailure.InputGone }],
+    ['fails its task where it is late', ItemFailure.Late, 1, { isRetried: false, failure: ItemFailure.Late }],
+  ])('%s', (_name, cause, failures, decision) => {
+    expect(decideItemRetry(cause, failures, () => true)).toEqual(decision)
+  })
+
+  test('uses the budget only for what it decides', () => {
+    const takeBudget = vi.fn(() => false)
+    expect(decideItemRetry(ItemFailure.Error, 1, takeBudget)).toEqual({ isRetried: false, failure: ItemFailure.Error })
+    expect(takeBudget).toHaveBeenCalledTimes(1)
+    decideItemRetry(ItemFailure.Late, 1, takeBudget)
+    decideItemRetry(StageCallEnd.NotSent, 1, takeBudget)
+    decideItemRetry(ItemFailure.Error, 3, takeBudget)
+    expect(takeBudget).toHaveBeenCalledTimes(1)
+  })
+})
+
+describe('a failed stage', () => {
+  test.each([
+    ['restarts the request', ItemFailure.Error, 1, false, StageFailureDecision.Restart],
+    ['ends a request that was restarted twice', ItemFailure.Error, 2, false, StageFailureDecision.Abandon],
+    ['ends a request whose time is up', ItemFailure.Late, 0, false, StageFailureDecision.TooLate],
+    ['is left to the next coordinator during a handover', ItemFailure.Late, 0, true, StageFailureDecision.HandOver],
+  ])('%s', (_name, failure, restarts, handingOver, decision) => {
+    expect(decideStageFailure({ failure, restarts, handingOver })).toBe(decision)
+  })
+})
+
+describe('the inputs of a call', () => {
+  const INPUT = { inputBytes: 1_000_000, bandwidthMbps: 1000, mayWaitForOther: false }
+
+  test('count as fetched after three times the transfer and 80 ms', () => {
+    expect(inputsFetchedAfter(INPUT)).toBe(104)
+  })
+
+  test.each([
+    ['another coordinator may be at work', { mayWaitForOther: true }],
+    ['the speed of the link is unknown', { bandwidthMbps: 0 }],
+    ['there are none', { inputBytes: 0 }],
+  ])('count as fetched only at its end where %s', (_name, override) => {
+    expect(inputsFetchedAfter({ ...INPUT, ...override })).toBeUndefined()
+  })
+})
--- a/test/gateway/support/fakes.ts
+++ b/test/gateway/support/fakes.ts
@@ -61,17 +61,17 @@
 /** What a fake stage backend server does with a call. */
 export type StageBehaviour = (call: FakeStageCall) => StageCallEnd | ((item: StageItem) => ItemFailure | undefined) | 'silent'
 
-/** A stage service in memory: one slot a backend server, results with handles that end when they are freed or their maker dies. */
+/** A stage service in memory: one slot a backend server, results that last until they are freed or their backend server dies. */
 export class FakeStageService implements StageClient {
   readonly calls: FakeStageCall[] = []
   readonly freed: string[] = []
   readonly live = new Map<string, string>()
   behaviour: StageBehaviour = () => StageCallEnd.Done
-  /** How long the freeing of results takes, in milliseconds. */
+  /** How long a deletion takes, in milliseconds. */
   freeTakesMs = 0
-  /** What backend servers tell of their room. */
-  toldFreeRoom: number | undefined
-  private made = 0
+  /** Free result memory that backend servers report, in bytes. */
+  reportedFreeBytes: number | undefined
+  private handlesGiven = 0
 
   constructor(private readonly limits: StageLimits) {}
 
@@ -91,7 +91,7 @@
     return { end: StageCallEnd.Done, outcomes: items.map((item, index) => missing[index] ? { failure: ItemFailure.InputGone } : this.make(backend, failureOf(item))) }
   }
 
-  async free(_replica: Backend, handles: readonly string[]): Promise<boolean> {
+  async free(_backend: Backend, handles: readonly string[]): Promise<boolean> {
     if (this.freeTakesMs > 0)
       await new Promise(resolve => setTimeout(resolve, this.freeTakesMs))
     for (const handle of handles) {
@@ -102,7 +102,7 @@
   }
 
   async freeResultMemory(): Promise<number | undefined> {
-    return this.toldFreeRoom
+    return this.reportedFreeBytes
   }
 
   /** The backend server dies with its results. */
@@ -116,7 +116,7 @@
   private make(backend: Backend, failure: ItemFailure | undefined): ItemOutcome {
     if (failure)
       return { failure }
-    const handle = `${backend.id}/${this.made++}`
+    const handle = `${backend.id}/${this.handlesGiven++}`
     this.live.set(handle, backend.id)
     return { handle }
   }
--- /dev/null
+++ b/test/gateway/support/stage-coordinator.ts
@@ -0,0 +1,47 @@
+/**
+ * A stage coordinator with a fake stage service, and requests for it.
+ */
+import type { PreparationRequest } from '@eidermast/gateway'
+import { BackendRegistry, RouteTable, StageCoordinator } from '@eidermast/gateway'
+import { createConfiguration, createLog, createRecord, createStageLimits, FakeStageService } from './fakes.js'
+
+const LIMITS = createStageLimits()
+
+/** A coordinator of two stage services, `encode` and `rerank`, with a fake stage service behind it. */
+export function createCoordinator(backends: { id: string, failureDomain?: string, service?: string }[]) {
+  const { log, lines } = createLog()
+  const registry = new BackendRegistry(log)
+  const service = new FakeStageService(LIMITS)
+  const repeats = { allowed: 10 }
+  const stageCoordinator = new StageCoordinator(registry, service, { takeRepeats: () => repeats.allowed-- > 0 }, log)
+  stageCoordinator.applyConfiguration(new RouteTable(createConfiguration({ services: [
+    { name: 'encode', maxConnections: 9, stage: LIMITS },
+    { name: 'rerank', maxConnections: 9, stage: LIMITS },
+  ] })))
+  for (const backend of backends)
+    registry.upsert(createRecord({ service: 'encode', failureDomain: 'zone-a', ...backend }))
+  return { stageCoordinator, registry, service, lines, repeats }
+}
+
+/** A request for two items of `encode`. */
+export function createStageRequest(overrides: Partial<PreparationRequest> = {}): PreparationRequest {
+  return {
+    requestId: 'request-1',
+    stages: [{ service: 'encode', dependsOn: [], resultBytes: 10, items: 2 }],
+    key: 'key',
+    priority: 1,
+    targetMs: 2000,
+    deadlineMs: 5000,
+    isRetry: false,
+    failureDomain: 'zone-a',
+    ...overrides,
+  }
+}
+
+/** Two items of `encode`, read by one of `rerank`. */
+export const TWO_STAGES = [
+  { service: 'encode', dependsOn: [], resultBytes: 10, items: 2 },
+  { service: 'rerank', dependsOn: [0], resultBytes: 10, items: 1 },
+]
+/** A signal that never aborts. */
+export const NEVER = new AbortController().signal
