--- a/test/platform/store.test.ts
+++ b/test/platform/store.test.ts
@@ -1,5 +1,5 @@
-import type { KeyedRecord } from '@eidermast/platform'
-import { encodeRecord, followTopic, longestReadWait, READ_MARGIN_MS, readRecords, StoreClient } from '@eidermast/platform'
+import type { KeyedRecord, TopicSink } from '@eidermast/platform'
+import { encodeRecord, maxReadWaitMs, PlatformLog, READ_MARGIN_MS, readRecords, StoreClient, TopicFollower } from '@eidermast/platform'
 import { afterEach, beforeEach, describe, expect, test, vi } from 'vitest'
 import { createLog } from '../gateway/support/fakes.js'
 import { StandInStore, StoreFault } from './support/stand-in-store.js'
@@ -11,9 +11,10 @@
 let seen: string[]
 let following: Promise<void>
 
-function follow(): void {
-  const take = (record: KeyedRecord): void => void seen.push(`${record.key}=${record.value.toString()}`)
-  following = followTopic(client, TOPIC, { snapshot: records => records.forEach(take), record: take }, createLog().log, ending.signal)
+function follow(options: Pick<TopicSink, 'restMs'> = {}): void {
+  const record = ({ key, value }: KeyedRecord): void => void seen.push(`${key}=${value.toString()}`)
+  const sink = { snapshot: (records: KeyedRecord[]) => records.forEach(record), record, ...options }
+  following = new TopicFollower(client, TOPIC, sink, new PlatformLog(createLog().log)).follow(ending.signal)
 }
 
 beforeEach(async () => {
@@ -63,8 +64,7 @@
   })
 
   test('rests after a read that brought records where it is told to, and misses none', async () => {
-    const take = (record: KeyedRecord): void => void seen.push(`${record.key}=${record.value.toString()}`)
-    following = followTopic(client, TOPIC, { snapshot: records => records.forEach(take), record: take, restMs: 400 }, createLog().log, ending.signal)
+    follow({ restMs: 400 })
     await vi.waitFor(() => expect(store.calls).toBeGreaterThan(1))
     store.put(TOPIC, 'first', '1')
     await vi.waitFor(() => expect(seen).toEqual(['first=1']))
@@ -105,7 +105,7 @@
     ['grown sites', 4000, 3000, 3000],
     ['a bound that is shorter', 3000, 2000, 500],
   ])('lets what a lost read hid be in force in time on %s', (_name, contact, configuration, drain) => {
-    const waitMs = longestReadWait({ 'contact-ms': contact, 'configuration-ms': configuration, 'drain-ms': drain })
+    const waitMs = maxReadWaitMs({ 'contact-ms': contact, 'configuration-ms': configuration, 'drain-ms': drain })
     expect(waitMs).toBeGreaterThanOrEqual(1000)
     expect(waitMs + READ_MARGIN_MS + 300).toBeLessThan(contact + Math.min(configuration, drain))
   })
