--- a/test/platform/codecs.test.ts
+++ b/test/platform/codecs.test.ts
@@ -1,7 +1,7 @@
 import type { BackendCall } from '@eidermast/gateway'
 import { createError, ErrorKind, Ran } from '@eidermast/common'
 import { Backend, CallFailureKind, ItemFailure, StageCallEnd } from '@eidermast/gateway'
-import { decodeConfiguration, PlatformBackendCodec, PlatformClientCodec, readOutcomes } from '@eidermast/platform'
+import { decodeConfiguration, decodeRunAnswer, PlatformBackendCodec, PlatformClientCodec } from '@eidermast/platform'
 import { describe, expect, test } from 'vitest'
 import { createRecord } from '../gateway/support/fakes.js'
 
@@ -103,7 +103,7 @@
 describe('the answer of a stage call', () => {
   test('gives an outcome for each item in order', () => {
     const text = JSON.stringify({ Items: [{ PromptHandle: 'a/1' }, { Reason: 'gone' }, { Reason: 'late' }, { Reason: 'room' }, { Reason: 'other' }] })
-    expect(readOutcomes(text, 5)).toEqual({ end: StageCallEnd.Done, outcomes: [{ handle: 'a/1' }, { failure: ItemFailure.InputGone }, { failure: ItemFailure.Late }, { failure: ItemFailure.NoMemory }, { failure: ItemFailure.Error }] })
+    expect(decodeRunAnswer(text, 5)).toEqual({ end: StageCallEnd.Done, outcomes: [{ handle: 'a/1' }, { failure: ItemFailure.InputGone }, { failure: ItemFailure.Late }, { failure: ItemFailure.NoMemory }, { failure: ItemFailure.Error }] })
   })
 
   test.each([
@@ -112,6 +112,6 @@
     ['that is cut', '{"Items":[{"Prompt'],
     ['of another shape', '[]'],
   ])('%s is no answer', (_name, text) => {
-    expect(readOutcomes(text, 2).end).toBe(StageCallEnd.Broken)
+    expect(decodeRunAnswer(text, 2).end).toBe(StageCallEnd.Broken)
   })
 })
