--- a/packages/common/src/event-log.ts
+++ b/packages/common/src/event-log.ts
@@ -1,7 +1,8 @@
 /**
  * Structured log lines on standard output: one JSON object a line. Writing
  * never blocks: one write is under way at a time, and lines that exceed the
- * buffer or the rate of their event are counted and left out.
+ * buffer or the rate of their event are counted and dropped. It owns the lines
+ * that wait to be written; they are lost when the process dies.
  */
 import { write as writeFile } from 'node:fs'
 import createDebug from 'debug'
@@ -19,10 +20,14 @@
   write: (line: string) => void
 }
 
+/** File descriptor of standard output. */
 const STANDARD_OUTPUT = 1
-const LARGEST_BUFFER_BYTES = 1 << 18
+/** Characters that wait while a write is under way. Not measured; half of it drops lines of a burst, twice as much is memory for a reader that hangs. */
+const MAX_BUFFER_LENGTH = 256 * 1024
+/** Milliseconds over which the lines of an event are counted. */
 const RATE_WINDOW_MS = 1000
-const MOST_LINES_A_WINDOW = 200
+/** Lines of one event in a window. Not measured; half of it hides requests of a busy second, twice as much costs processor time in a storm of failures. */
+const MAX_LINES_PER_WINDOW = 200
 
 /** Writes lines to a file descriptor without blocking; drops what exceeds its buffer. */
 export class DescriptorWriter implements LineWriter {
@@ -30,10 +35,10 @@
   private writing = false
   private dropped = 0
 
-  constructor(private readonly descriptor = STANDARD_OUTPUT, private readonly largestBuffer = LARGEST_BUFFER_BYTES) {}
+  constructor(private readonly descriptor = STANDARD_OUTPUT, private readonly maxBufferLength = MAX_BUFFER_LENGTH) {}
 
   write(line: string): void {
-    if (this.pending.length + line.length > this.largestBuffer) {
+    if (this.pending.length + line.length > this.maxBufferLength) {
       this.dropped++
       return
     }
@@ -58,6 +63,7 @@
       if (!error && written < bytes.length)
         return this.writeRest(bytes.subarray(written))
       this.writing = false
+      // Nobody reads any more where this fails; there is no other place to say so.
       if (this.pending !== '' && !error)
         this.flush()
     })
@@ -73,7 +79,8 @@
 /** Writes events of one process; each event has a rate of its own. */
 export class EventLog {
   private readonly rates = new Map<string, EventRate>()
-  private readonly enabled: (event: string) => boolean
+  /** Events that were asked for, and whether they are written. */
+  private readonly enabled = new Map<string, boolean>()
 
   constructor(
     private readonly writer: LineWriter,
@@ -82,20 +89,11 @@
     private readonly now: () => number = () => performance.now(),
   ) {
     createDebug.enable(namespaces)
-    const known = new Map<string, boolean>()
-    this.enabled = (event) => {
-      const existing = known.get(event)
-      if (existing !== undefined)
-        return existing
-      const decided = createDebug.enabled(`eidermast:${event}`)
-      known.set(event, decided)
-      return decided
-    }
   }
 
   /** Writes one line, unless its event is switched off or over its rate. */
   write(event: string, fields: EventFields = {}): void {
-    if (!this.enabled(event) || !this.withinRate(event))
+    if (!this.isEnabled(event) || !this.withinRate(event))
       return
     this.writeLine(event, fields)
   }
@@ -104,22 +102,35 @@
     this.writer.write(JSON.stringify({ time: new Date().toISOString(), event, ...this.common, ...fields }))
   }
 
+  private isEnabled(event: string): boolean {
+    const known = this.enabled.get(event)
+    if (known !== undefined)
+      return known
+    const decided = createDebug.enabled(`eidermast:${event}`)
+    this.enabled.set(event, decided)
+    return decided
+  }
+
   private withinRate(event: string): boolean {
+    const rate = this.currentRate(event)
+    if (rate.lines >= MAX_LINES_PER_WINDOW) {
+      rate.suppressed++
+      return false
+    }
+    rate.lines++
+    return true
+  }
+
+  /** The event's rate in the current window; reports what the last window suppressed. */
+  private currentRate(event: string): EventRate {
     const now = this.now()
     const rate = this.rates.get(event) ?? { windowStart: now, lines: 0, suppressed: 0 }
-    this.rates.set(event, rate)
     if (now - rate.windowStart >= RATE_WINDOW_MS) {
       if (rate.suppressed > 0)
         this.writeLine('log-rate-limited', { limited: event, count: rate.suppressed })
-      rate.windowStart = now
-      rate.lines = 0
-      rate.suppressed = 0
-    }
-    if (rate.lines >= MOST_LINES_A_WINDOW) {
-      rate.suppressed++
-      return false
+      Object.assign(rate, { windowStart: now, lines: 0, suppressed: 0 })
     }
-    rate.lines++
-    return true
+    this.rates.set(event, rate)
+    return rate
   }
 }
--- a/packages/gateway/src/process/backend-registry.ts
+++ b/packages/gateway/src/process/backend-registry.ts
@@ -1,43 +1,46 @@
 /**
- * The backend servers that the registry lists, by service.
+ * The backend servers that the platform lists, by service. It owns the
+ * `Backend` objects, and with them what was learned of each, from the listing
+ * of an id until its removal. All of it is lost with the process; the next one
+ * reads the list again.
  */
 import type { EventLog } from '@eidermast/common'
 import type { BackendRecord } from '../connection/backend.js'
 import { Backend } from '../connection/backend.js'
+import { BackendLog } from './backend-log.js'
+import { LapseGrace } from './lapse-grace.js'
 
 /** What follows changes of the registry. */
 export interface BackendListener {
   added?: (backend: Backend) => void
   removed?: (backend: Backend) => void
-  /** It began to leave, or came back. */
+  /** It began to leave, or takes work again. */
   stateChanged?: (backend: Backend) => void
 }
 
-/**
- * How long an entry that is gone right after its source was away is still
- * used, in milliseconds: it may have lapsed only because its backend server
- * could not renew it. Shorter than what a backend server that leaves serves on.
- */
-const LAPSE_GRACE_MS = 1900
-
 /** Holds backend servers; a source upserts and removes them. */
 export class BackendRegistry {
   private readonly byId = new Map<string, Backend>()
   private readonly byService = new Map<string, Set<Backend>>()
   private readonly listeners: BackendListener[] = []
+  private readonly grace = new LapseGrace()
+  /** Timers that remove backend servers whose entries have gone, by id. */
   private readonly lapsed = new Map<string, NodeJS.Timeout>()
-  private lapsesUntil = 0
-
-  constructor(private readonly log: EventLog) {}
+  private readonly log: BackendLog
 
-  get size(): number {
-    return this.byId.size
+  constructor(log: EventLog) {
+    this.log = new BackendLog(log)
   }
 
   listen(listener: BackendListener): void {
     this.listeners.push(listener)
   }
 
+  /** Backend servers known, also those that are leaving. */
+  get size(): number {
+    return this.byId.size
+  }
+
   find(id: string): Backend | undefined {
     return this.byId.get(id)
   }
@@ -47,35 +50,31 @@
     return [...this.byService.get(service) ?? []].filter(backend => !backend.record.draining)
   }
 
-  /** The source was away and is back: entries may have lapsed meanwhile. */
+  /** The source answers again after failures: entries may have lapsed meanwhile. */
   noteSourceReturned(): void {
-    this.lapsesUntil = performance.now() + LAPSE_GRACE_MS
+    this.grace.noteSourceReturned()
   }
 
+  /** Lists a backend server, or changes what is listed of it. */
   upsert(record: BackendRecord): void {
     this.endLapse(record.id)
     const existing = this.byId.get(record.id)
-    if (existing) {
+    if (existing)
       this.update(existing, record)
-      return
-    }
-    const backend = new Backend(record)
-    this.byId.set(record.id, backend)
-    this.membersOf(record.service).add(backend)
-    this.log.write('backend-added', { backend: record.id, service: record.service, failureDomain: record.failureDomain, address: record.address, draining: record.draining })
-    for (const listener of this.listeners)
-      listener.added?.(backend)
+    else
+      this.add(record)
   }
 
-  /** The source lists an entry no more. */
+  /** Its entry has gone: it is removed, at once or after the time of grace. */
   unlist(id: string): void {
-    const remainingMs = this.lapsesUntil - performance.now()
-    if (remainingMs <= 0 || !this.byId.has(id))
+    const remainingMs = this.grace.remainingMs()
+    if (remainingMs === 0 || !this.byId.has(id))
       return this.remove(id, 'its entry is gone')
     if (this.lapsed.has(id))
       return
-    this.log.write('backend-lapsed', { backend: id, usedForMs: Math.round(remainingMs) })
-    this.lapsed.set(id, setTimeout(() => this.remove(id, 'its entry lapsed and did not come back'), remainingMs).unref())
+    this.log.lapsed(id, remainingMs)
+    const removal = setTimeout(() => this.remove(id, 'its entry lapsed and did not come back'), remainingMs)
+    this.lapsed.set(id, removal.unref())
   }
 
   /** Sends nothing to it from now on. */
@@ -85,13 +84,13 @@
     if (!backend)
       return
     this.byId.delete(id)
-    this.membersOf(backend.service).delete(backend)
-    this.log.write('backend-removed', { backend: id, service: backend.service, reason })
+    this.backendsOf(backend.service).delete(backend)
+    this.log.removed(backend.record, reason)
     for (const listener of this.listeners)
       listener.removed?.(backend)
   }
 
-  /** Holds exactly these backend servers. */
+  /** Lists exactly these backend servers. */
   replaceAll(records: readonly BackendRecord[]): void {
     const listed = new Set(records.map(record => record.id))
     for (const id of [...this.byId.keys()]) {
@@ -102,9 +101,13 @@
       this.upsert(record)
   }
 
-  private endLapse(id: string): void {
-    clearTimeout(this.lapsed.get(id))
-    this.lapsed.delete(id)
+  private add(record: BackendRecord): void {
+    const backend = new Backend(record)
+    this.byId.set(record.id, backend)
+    this.backendsOf(record.service).add(backend)
+    this.log.added(record)
+    for (const listener of this.listeners)
+      listener.added?.(backend)
   }
 
   private update(backend: Backend, record: BackendRecord): void {
@@ -112,12 +115,17 @@
     backend.record = record
     if (!stateChanged)
       return
-    this.log.write('backend-state', { backend: record.id, service: record.service, draining: record.draining })
+    this.log.stateChanged(record)
     for (const listener of this.listeners)
       listener.stateChanged?.(backend)
   }
 
-  private membersOf(service: string): Set<Backend> {
+  private endLapse(id: string): void {
+    clearTimeout(this.lapsed.get(id))
+    this.lapsed.delete(id)
+  }
+
+  private backendsOf(service: string): Set<Backend> {
     const existing = this.byService.get(service)
     if (existing)
       return existing
--- a/packages/gateway/src/process/gateway-metrics.ts
+++ b/packages/gateway/src/process/gateway-metrics.ts
@@ -1,12 +1,15 @@
 /**
- * Metrics of a gateway, by prom-client.
+ * Metrics of a gateway, by prom-client. Names stay as the first release had
+ * them (`replicas` counts backend servers, `owns_stages` shows the
+ * coordinator). Counts begin at zero with each process.
  */
 import { Counter, Gauge, Histogram, Registry } from 'prom-client'
 
+/** Upper bounds in seconds. Not measured; around the latency targets of routes, which lie between tenths and some seconds. */
 const SECONDS_BUCKETS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 4, 8, 16]
 const MILLISECONDS_PER_SECOND = 1000
 
-/** What a gateway tells at the time of a scrape. */
+/** Values that are read at the time of a scrape. */
 export interface GatewayGauges {
   activeRequests: () => number
   configurationVersion: () => number
@@ -18,9 +21,22 @@
 /** Counters and histograms of one gateway. */
 export class GatewayMetrics {
   readonly registry = new Registry()
-  private readonly requests = new Counter({ name: 'eidermast_gateway_requests_total', help: 'Requests by route and outcome', labelNames: ['route', 'outcome'], registers: [this.registry] })
-  private readonly seconds = new Histogram({ name: 'eidermast_gateway_request_seconds', help: 'Time from arrival to the end of the answer', labelNames: ['route'], buckets: SECONDS_BUCKETS, registers: [this.registry] })
+  private readonly requests = new Counter({
+    name: 'eidermast_gateway_requests_total',
+    help: 'Requests by route and outcome',
+    labelNames: ['route', 'outcome'],
+    registers: [this.registry],
+  })
 
+  private readonly seconds = new Histogram({
+    name: 'eidermast_gateway_request_seconds',
+    help: 'Time from arrival to the end of the answer',
+    labelNames: ['route'],
+    buckets: SECONDS_BUCKETS,
+    registers: [this.registry],
+  })
+
+  /** Counts a request that has ended, with its time in milliseconds. */
   countRequest(route: string, outcome: string, milliseconds: number): void {
     this.requests.inc({ route, outcome })
     this.seconds.observe({ route }, milliseconds / MILLISECONDS_PER_SECOND)
