--- a/test/gateway/backend-registry.test.ts
+++ b/test/gateway/backend-registry.test.ts
@@ -14,25 +14,25 @@
 
 const isUsed = (): boolean => registry.available('encode').length > 0
 
-describe('an entry that is gone', () => {
-  test('is used no more where its source was there all the time', () => {
+describe('a backend server whose entry has gone', () => {
+  test('gets nothing more where the source of the list was reachable all the time', () => {
     registry.unlist('encode-a')
     expect(isUsed()).toBe(false)
   })
 
   test.each([
-    ['from the list', () => registry.unlist('encode-a')],
-    ['with the whole list', () => registry.replaceAll([])],
-  ])('%s right after its source was away is used for less than two seconds more', (_name, goes) => {
+    ['removed by itself', () => registry.unlist('encode-a')],
+    ['missing in a whole list', () => registry.replaceAll([])],
+  ])('%s right after the source was unreachable, is used for less than two seconds more', (_name, removeEntry) => {
     registry.noteSourceReturned()
-    goes()
+    removeEntry()
     vi.advanceTimersByTime(1800)
     expect(isUsed()).toBe(true)
     vi.advanceTimersByTime(200)
     expect(isUsed()).toBe(false)
   })
 
-  test('and comes back in that time stays, with what was learned of it', () => {
+  test('stays, with what was learned of it, if the entry is listed again in that time', () => {
     const backend = registry.find('encode-a')
     registry.noteSourceReturned()
     registry.unlist('encode-a')
@@ -43,14 +43,14 @@
     expect(isUsed()).toBe(true)
   })
 
-  test('and whose address another one has is used no more at once', () => {
+  test('gets nothing more, at once, if another backend server has its address', () => {
     registry.noteSourceReturned()
     registry.unlist('encode-a')
     registry.remove('encode-a', 'another backend server has its address')
     expect(isUsed()).toBe(false)
   })
 
-  test('does not hide that it began to leave', () => {
+  test('gets nothing more, at once, if it says that it is leaving', () => {
     registry.noteSourceReturned()
     registry.upsert({ ...RECORD, draining: true })
     expect(isUsed()).toBe(false)
--- a/test/gateway/members.test.ts
+++ b/test/gateway/members.test.ts
@@ -3,9 +3,12 @@
 import { afterEach, beforeEach, describe, expect, test, vi } from 'vitest'
 import { createLog } from './support/fakes.js'
 
+/** How a peer meets heartbeats: it answers, takes them without an answer, or refuses the connection. */
+type PeerBehaviour = HeartbeatReply | 'silent' | 'refused'
+
 /** Peers whose answers a test decides. */
 class FakePeers {
-  readonly replies = new Map<string, HeartbeatReply | 'silent' | 'refused'>()
+  readonly replies = new Map<string, PeerBehaviour>()
   heartbeats = 0
 
   async heartbeat(member: Member): Promise<HeartbeatReply> {
@@ -31,10 +34,26 @@
   return { members, peers, versions }
 }
 
+/** Members that have known each other for a while; `gateway-a` coordinates if it answers. */
+async function createSettledMembers(replies: Record<string, PeerBehaviour> = { 'gateway-a': ALIVE, 'gateway-b': ALIVE }, self = 'gateway-c', settledMs = 1500) {
+  const created = createMembers(self)
+  for (const [name, reply] of Object.entries(replies))
+    created.peers.replies.set(name, reply)
+  await vi.advanceTimersByTimeAsync(settledMs)
+  return created
+}
+
+/** The coordinators that a change brings from now on. */
+function collectCoordinators(members: Members): string[] {
+  const names: string[] = []
+  members.onCoordinatorChange(coordinator => names.push(coordinator.name))
+  return names
+}
+
 beforeEach(() => void vi.useFakeTimers())
 afterEach(() => void vi.useRealTimers())
 
-describe('who coordinates the stage work', () => {
+describe('the coordinator of the stage work', () => {
   test.each([
     ['the member announced first, if it answers', { 'gateway-a': ALIVE, 'gateway-b': ALIVE }, 'gateway-a'],
     ['the next one, if the first is silent', { 'gateway-a': 'silent', 'gateway-b': ALIVE }, 'gateway-b'],
@@ -42,56 +61,40 @@
     ['the next one, if the first is stopping', { 'gateway-a': { version: 1, stopping: true }, 'gateway-b': ALIVE }, 'gateway-b'],
     ['this gateway, if nobody before it answers', {}, 'gateway-c'],
   ] as const)('is %s', async (_name, replies, coordinator) => {
-    const { members, peers } = createMembers()
-    for (const [name, reply] of Object.entries(replies))
-      peers.replies.set(name, reply)
-    await vi.advanceTimersByTimeAsync(1500)
+    const { members } = await createSettledMembers(replies)
     expect(members.coordinator.name).toBe(coordinator)
   })
 
   test('stays when a single heartbeat of the coordinator gets no answer', async () => {
-    const { members, peers } = createMembers()
-    peers.replies.set('gateway-a', ALIVE)
-    peers.replies.set('gateway-b', ALIVE)
-    await vi.advanceTimersByTimeAsync(1500)
-    const coordinators = new Set<string>()
-    members.onCoordinatorChange(coordinator => coordinators.add(coordinator.name))
+    const { members, peers } = await createSettledMembers()
+    const coordinators = collectCoordinators(members)
     peers.replies.set('gateway-a', 'silent')
     await vi.advanceTimersByTimeAsync(150)
     peers.replies.set('gateway-a', ALIVE)
     await vi.advanceTimersByTimeAsync(1500)
-    expect([...coordinators]).toEqual([])
+    expect(coordinators).toEqual([])
   })
 
-  test('stays when this process itself stood still and heard nobody', async () => {
-    const { members, peers } = createMembers()
-    peers.replies.set('gateway-a', ALIVE)
-    peers.replies.set('gateway-b', ALIVE)
-    await vi.advanceTimersByTimeAsync(1500)
-    const coordinators = new Set<string>()
-    members.onCoordinatorChange(coordinator => coordinators.add(coordinator.name))
+  test('stays when this process itself stood still and got no answers', async () => {
+    const { members } = await createSettledMembers()
+    const coordinators = collectCoordinators(members)
     const now = performance.now.bind(performance)
     const standStill = vi.spyOn(performance, 'now').mockImplementation(() => now() + 5000)
     await vi.advanceTimersByTimeAsync(1500)
     standStill.mockRestore()
-    expect([...coordinators]).toEqual([])
+    expect(coordinators).toEqual([])
   })
 
-  test('stays when a gateway that was gone is announced anew', async () => {
-    const { members, peers } = createMembers()
-    peers.replies.set('gateway-b', ALIVE)
-    await vi.advanceTimersByTimeAsync(1500)
+  test('stays when a gateway that had failed restarts and is announced again', async () => {
+    const { members, peers } = await createSettledMembers({ 'gateway-b': ALIVE })
     peers.replies.set('gateway-a', ALIVE)
     members.upsert({ name: 'gateway-a', address: 'gateway-a', announcementOrder: 9 })
     await vi.advanceTimersByTimeAsync(1500)
     expect(members.coordinator.name).toBe('gateway-b')
   })
 
-  test('passes on within half a second of the loss being noticed, and those who wait for it are told', async () => {
-    const { members, peers } = createMembers()
-    peers.replies.set('gateway-a', ALIVE)
-    peers.replies.set('gateway-b', ALIVE)
-    await vi.advanceTimersByTimeAsync(1000)
+  test('passes on within half a second of the failure being noticed, and watches of the failed one abort', async () => {
+    const { members, peers } = await createSettledMembers(undefined, 'gateway-c', 1000)
     const failure = members.watchFailure(members.coordinator)
     peers.replies.set('gateway-a', 'silent')
     await vi.advanceTimersByTimeAsync(1100)
@@ -100,9 +103,7 @@
   })
 
   test('passes from a gateway that stops to one that answers', async () => {
-    const { members, peers } = createMembers('gateway-a')
-    peers.replies.set('gateway-b', ALIVE)
-    await vi.advanceTimersByTimeAsync(500)
+    const { members } = await createSettledMembers({ 'gateway-b': ALIVE }, 'gateway-a', 500)
     expect(members.isCoordinator).toBe(true)
     members.markStopping(members.self)
     await vi.advanceTimersByTimeAsync(500)
@@ -124,20 +125,15 @@
   })
 
   test('passes on at once to a follower that was heard lately, never to one that was last heard long ago', async () => {
-    const { members, peers } = createMembers()
-    peers.replies.set('gateway-a', ALIVE)
-    peers.replies.set('gateway-b', ALIVE)
-    await vi.advanceTimersByTimeAsync(1000)
+    const { members, peers } = await createSettledMembers(undefined, 'gateway-c', 1000)
     peers.replies.set('gateway-b', 'silent')
     await vi.advanceTimersByTimeAsync(2000)
     members.suspect(members.coordinator)
     expect(members.coordinator.name).toBe('gateway-c')
   })
 
-  test('tells the versions that peers hold', async () => {
-    const { peers, versions } = createMembers()
-    peers.replies.set('gateway-a', { version: 7, stopping: false })
-    await vi.advanceTimersByTimeAsync(500)
+  test('reports the configuration versions that peers hold', async () => {
+    const { versions } = await createSettledMembers({ 'gateway-a': { version: 7, stopping: false } }, 'gateway-c', 500)
     expect(versions).toContain(7)
   })
 })
--- a/test/platform/operations-page.test.ts
+++ b/test/platform/operations-page.test.ts
@@ -34,14 +34,14 @@
     await store.stop()
   })
 
-  test('tells every metric of the gateway that is served, and no other', async () => {
+  test('lists every metric of the gateway that is served, and no other', async () => {
     const text = await gateway.metrics.registry.metrics()
     const served = [...text.matchAll(/^# HELP (\S+)/gm)].map(match => match[1])
     const reported = tableNames(GATEWAY_SECTION).filter(name => name.startsWith('eidermast_'))
     expect(reported.sort()).toEqual(served.sort())
   })
 
-  test('tells every event that is written', () => {
+  test('lists every event that is written', () => {
     const events = [...writtenEvents()]
     expect(events.length).toBeGreaterThan(20)
     expect(events.filter(event => !GATEWAY_SECTION.includes(`\`${event}\``))).toEqual([])
--- a/test/platform/store.test.ts
+++ b/test/platform/store.test.ts
@@ -31,7 +31,7 @@
 })
 
 describe('following a topic', () => {
-  test('begins with the newest of each key and goes on with each record', async () => {
+  test('starts with the newest record of each key and goes on with each further one', async () => {
     store.put(TOPIC, 'config', 'one')
     store.put(TOPIC, 'config', 'two')
     follow()
@@ -40,7 +40,7 @@
     await vi.waitFor(() => expect(seen).toEqual(['config=two', 'config=three']))
   })
 
-  test.each([StoreFault.Busy, StoreFault.Reset, StoreFault.Cut])('goes on after a store that is %s, without a loss or a repeat', async (fault) => {
+  test.each([StoreFault.Busy, StoreFault.Reset, StoreFault.Cut])('resumes after a store that is %s, without a lost or a repeated record', async (fault) => {
     store.put(TOPIC, 'config', 'one')
     follow()
     await vi.waitFor(() => expect(seen).toEqual(['config=one']))
@@ -63,7 +63,7 @@
     await vi.waitFor(() => expect(seen).toEqual(['config=one', 'config=two']), { timeout: 4500 })
   })
 
-  test('rests after a read that brought records where it is told to, and misses none', async () => {
+  test('rests after a read that brought records where the sink asks for it, and misses none', async () => {
     follow({ restMs: 400 })
     await vi.waitFor(() => expect(store.calls).toBeGreaterThan(1))
     store.put(TOPIC, 'first', '1')
@@ -77,7 +77,7 @@
     expect(store.calls - calls).toBeLessThanOrEqual(2)
   })
 
-  test('begins anew with the newest when the history is gone', async () => {
+  test('starts again with the newest records when the history is gone', async () => {
     store.put(TOPIC, 'config', 'one')
     follow()
     await vi.waitFor(() => expect(seen).toEqual(['config=one']))
@@ -90,7 +90,7 @@
     await vi.waitFor(() => expect(seen.at(-1)).toBe('config=three'), { timeout: 5000 })
   })
 
-  test('calls a store that refuses seldom', async () => {
+  test('seldom calls a store that refuses', async () => {
     store.fault = StoreFault.Busy
     follow()
     await new Promise(resolve => setTimeout(resolve, 1500))
@@ -99,7 +99,7 @@
   })
 })
 
-describe('how long reads wait', () => {
+describe('the wait of a read', () => {
   test.each([
     ['small sites', 3000, 2000, 2000],
     ['grown sites', 4000, 3000, 3000],
