--- a/test/platform/gateways.test.ts
+++ b/test/platform/gateways.test.ts
@@ -1,21 +1,21 @@
-import type { ServerResponse } from 'node:http'
 import type { StartedGateway } from './support/gateway-process.js'
 import type { SeenRequest } from './support/stand-in-backend.js'
+import { wait } from '@eidermast/common'
 import { request } from 'undici'
 import { afterEach, beforeEach, describe, expect, test, vi } from 'vitest'
 import { startGateway } from './support/gateway-process.js'
 import { StandInBackend, streamEvents } from './support/stand-in-backend.js'
+import { makeStageResults, STAGE_LIMITS } from './support/stand-in-stages.js'
 import { StandInStore, StoreFault } from './support/stand-in-store.js'
 
 const LIMITS = { MaxHeaderBytes: 8000, MaxBodyBytes: 1000, HeaderTimeoutMs: 3000, IdleTimeoutMs: 5000 }
-const STAGE = { Capacity: 1, Queue: 2, Batch: 6, CallMs: 40, ItemMs: 5, HeadroomMb: 5, HandleTtlS: 4, BandwidthMbps: 10_000 }
 const ROUTE = { Name: 'staged', Host: 'host.example', PathPrefix: '/staged/', Type: 'streaming', Service: 'model', TimeoutMs: 8000, TargetLatencyMs: 4000, MaxAttempts: 1, Phases: [{ Service: 'encode', WatchRevision: [], SizeBytes: 1000 }] }
 
 function createConfiguration(version: number, routes: object[] = [ROUTE]) {
   return {
     Version: version,
     Routes: routes,
-    Services: [{ Name: 'model', MaxConnections: 40, Engine: { Capacity: 8, KvCapacityTokens: 1000 } }, { Name: 'encode', MaxConnections: 40, Segments: STAGE }],
+    Services: [{ Name: 'model', MaxConnections: 40, Engine: { Capacity: 8, KvCapacityTokens: 1000 } }, { Name: 'encode', MaxConnections: 40, Segments: STAGE_LIMITS }],
     Limits: LIMITS,
   }
 }
@@ -24,25 +24,14 @@
 let gateways: StartedGateway[]
 let model: StandInBackend
 let encoder: StandInBackend
-let made: number
-
-/** Makes a result for each item, after a while. */
-async function makeResults(seen: SeenRequest, response: ServerResponse): Promise<void> {
-  if (seen.path !== '/-/stage-run')
-    return void response.end(JSON.stringify({ FreeMb: 5 }))
-  await new Promise(resolve => setTimeout(resolve, 60))
-  const items = (JSON.parse(seen.body) as { Items: unknown[] }).Items
-  response.end(JSON.stringify({ Items: items.map(() => ({ PromptHandle: `encoder/${made++}` })) }))
-}
 
 beforeEach(async () => {
-  made = 0
   store = new StandInStore()
   const address = await store.start()
   model = new StandInBackend('model-a', 'model')
   encoder = new StandInBackend('encode-a', 'encode')
   model.respond = streamEvents(3)
-  encoder.respond = makeResults
+  encoder.respond = makeStageResults()
   await Promise.all([model.start(), encoder.start()])
   store.put('keyed.op', 'config', createConfiguration(1))
   store.put('keyed.servers', model.id, model.entry())
@@ -73,7 +62,7 @@
 }
 
 describe('two gateways', () => {
-  test('have the stages of all requests made by the coordinator, and hand each request its own results', async () => {
+  test('run the stages of all requests at the coordinator, and give each request its own results', async () => {
     const answers = await Promise.all([send(gateways[1], 'id-1'), send(gateways[0], 'id-2')])
     for (const answer of answers)
       expect(await answer.body.text()).toContain('data: 3')
@@ -84,7 +73,7 @@
     expect(new Set(inputs.flat()).size).toBe(4)
   })
 
-  test('serve a request whose coordinator dies while its stages are made', async () => {
+  test('serve a request whose coordinator dies while its stages run', async () => {
     const answer = send(gateways[1], 'id-1')
     await vi.waitFor(() => expect(stageCalls().length).toBeGreaterThan(0))
     await gateways[0].gateway.close()
@@ -93,7 +82,7 @@
     expect(gateways[1].gateway.members.isCoordinator).toBe(true)
   })
 
-  test('serve a request whose coordinator stops while its stages are made', async () => {
+  test('serve a request whose coordinator stops while its stages run', async () => {
     const answer = send(gateways[1], 'id-1')
     await vi.waitFor(() => expect(stageCalls().length).toBeGreaterThan(0))
     const drained = gateways[0].gateway.drain()
@@ -103,7 +92,7 @@
     await drained
   })
 
-  test.each([[0, 1], [1, 0]])('pass a newer configuration on while the store answers nobody (from %i to %i)', async (from, to) => {
+  test.each([[0, 1], [1, 0]])('pass on a newer configuration while the store answers nobody (from %i to %i)', async (from, to) => {
     store.fault = StoreFault.Busy
     gateways[from].gateway.configuration.offer(JSON.stringify(createConfiguration(9, [])), 'test')
     await vi.waitFor(() => expect(gateways[to].gateway.configuration.version).toBe(9), { timeout: 3000 })
@@ -115,7 +104,7 @@
     gateways[0].gateway.configuration.offer(JSON.stringify(createConfiguration(9)), 'test')
     await vi.waitFor(() => expect(gateways[1].gateway.configuration.version).toBe(9), { timeout: 3000 })
     gateways[0].gateway.configuration.offer(JSON.stringify(createConfiguration(4)), 'test')
-    await new Promise(resolve => setTimeout(resolve, 400))
+    await wait(400)
     expect(gateways.map(({ gateway }) => gateway.configuration.version)).toEqual([9, 9])
   })
 })
--- a/test/platform/store.test.ts
+++ b/test/platform/store.test.ts
@@ -1,4 +1,5 @@
 import type { KeyedRecord, TopicSink } from '@eidermast/platform'
+import { wait } from '@eidermast/common'
 import { encodeRecord, maxReadWaitMs, PlatformLog, READ_MARGIN_MS, readRecords, StoreClient, TopicFollower } from '@eidermast/platform'
 import { afterEach, beforeEach, describe, expect, test, vi } from 'vitest'
 import { createLog } from '../gateway/support/fakes.js'
@@ -46,7 +47,7 @@
     await vi.waitFor(() => expect(seen).toEqual(['config=one']))
     store.fault = fault
     store.put(TOPIC, 'config', 'two')
-    await new Promise(resolve => setTimeout(resolve, 300))
+    await wait(300)
     store.fault = StoreFault.None
     store.put(TOPIC, 'config', 'three')
     await vi.waitFor(() => expect(seen).toEqual(['config=one', 'config=two', 'config=three']), { timeout: 5000 })
@@ -57,7 +58,7 @@
     follow()
     await vi.waitFor(() => expect(seen).toEqual(['config=one']))
     store.fault = StoreFault.Silent
-    await new Promise(resolve => setTimeout(resolve, 300))
+    await wait(300)
     store.fault = StoreFault.None
     store.put(TOPIC, 'config', 'two')
     await vi.waitFor(() => expect(seen).toEqual(['config=one', 'config=two']), { timeout: 4500 })
@@ -71,7 +72,7 @@
     const calls = store.calls
     for (const key of ['second', 'third', 'fourth']) {
       store.put(TOPIC, key, '1')
-      await new Promise(resolve => setTimeout(resolve, 20))
+      await wait(20)
     }
     await vi.waitFor(() => expect(seen).toHaveLength(4))
     expect(store.calls - calls).toBeLessThanOrEqual(2)
@@ -82,7 +83,7 @@
     follow()
     await vi.waitFor(() => expect(seen).toEqual(['config=one']))
     store.fault = StoreFault.Busy
-    await new Promise(resolve => setTimeout(resolve, 250))
+    await wait(250)
     store.put(TOPIC, 'config', 'two')
     store.put(TOPIC, 'config', 'three')
     store.dropHistory(TOPIC)
@@ -93,7 +94,7 @@
   test('seldom calls a store that refuses', async () => {
     store.fault = StoreFault.Busy
     follow()
-    await new Promise(resolve => setTimeout(resolve, 1500))
+    await wait(1500)
     expect(store.calls).toBeLessThanOrEqual(12)
     expect(store.calls).toBeGreaterThan(1)
   })
--- a/test/platform/support/stand-in-backend.ts
+++ b/test/platform/support/stand-in-backend.ts
@@ -6,6 +6,7 @@
 import type { AddressInfo } from 'node:net'
 import { Buffer } from 'node:buffer'
 import { createServer } from 'node:http'
+import { wait } from '@eidermast/common'
 
 /** One request as the backend server got it. */
 export interface SeenRequest {
@@ -40,11 +41,11 @@
     for (let id = from + 1; id <= count; id++) {
       if (id > breakAfter) {
         response.write(`id: ${id}\nda`)
-        await new Promise(resolve => setTimeout(resolve, 20))
+        await wait(20)
         return void response.destroy()
       }
       response.write(`id: ${id}\ndata: ${id}\n\n`)
-      await new Promise(resolve => setTimeout(resolve, 5))
+      await wait(5)
     }
     response.end()
   }
--- a/test/platform/support/stand-in-store.ts
+++ b/test/platform/support/stand-in-store.ts
@@ -6,6 +6,7 @@
 import type { AddressInfo } from 'node:net'
 import { Buffer } from 'node:buffer'
 import { createServer } from 'node:http'
+import { wait } from '@eidermast/common'
 
 interface StoredRecord {
   key: string
@@ -99,7 +100,7 @@
     if (offset < (this.dropped.get(topic) ?? 0))
       return void response.writeHead(410).end(JSON.stringify({ first: this.dropped.get(topic) }))
     for (let waited = 0; waited < HOLD_MS && this.records(topic).length <= offset; waited += 10)
-      await new Promise(resolve => setTimeout(resolve, 10))
+      await wait(10)
     if (this.fault === StoreFault.Silent)
       return
     const header = Buffer.alloc(16)
--- a/test/soak/gateway-soak.test.ts
+++ b/test/soak/gateway-soak.test.ts
@@ -1,4 +1,5 @@
-import type { Draw, ToldRequest } from './support/soak-clients.js'
+import type { Draw, SentRequest } from './support/soak-clients.js'
+import { wait } from '@eidermast/common'
 import { unsafeUniformIntDistribution, xoroshiro128plus } from 'pure-rand'
 import { beforeAll, describe, expect, test, vi } from 'vitest'
 import { StoreFault } from '../platform/support/stand-in-store.js'
@@ -8,7 +9,9 @@
 /** Seeds that CI plays; `SOAK_SEEDS=100-149` plays others by hand. */
 const DEFAULT_SEEDS = [1, 2]
 const STEPS = 10
+/** Milliseconds between the beginnings of two faults. */
 const STEP_MS = 400
+/** Milliseconds that a fault lasts. */
 const PAUSE_MS = 900
 /** Statuses that promise that a request has not run and never will. */
 const PROMISES = new Set([408, 421, 429, 503])
@@ -31,37 +34,37 @@
   async ({ gateways }, draw) => {
     const gateway = gateways[draw(gateways.length)]
     gateway.signal('SIGSTOP')
-    await new Promise(resolve => setTimeout(resolve, PAUSE_MS))
+    await wait(PAUSE_MS)
     gateway.signal('SIGCONT')
   },
   async ({ store }, draw) => {
     store.fault = [StoreFault.Busy, StoreFault.Reset, StoreFault.Cut, StoreFault.Silent][draw(4)]
-    await new Promise(resolve => setTimeout(resolve, PAUSE_MS))
+    await wait(PAUSE_MS)
     store.fault = StoreFault.None
   },
   deployment => deployment.publish(),
   async (deployment, draw) => {
     const backend = deployment.backends[draw(deployment.backends.length)]
     deployment.list(backend, 'draining')
-    await new Promise(resolve => setTimeout(resolve, PAUSE_MS))
+    await wait(PAUSE_MS)
     deployment.list(backend, 'ready')
   },
 ]
 
-/** What a client was told against what backend servers saw; undefined where it holds. */
-function findFault(reported: ToldRequest, runs: number): string | undefined {
-  if (reported.kind === RequestKind.Once && runs > 1)
-    return `${reported.id} may run once and ran ${runs} times`
-  if (reported.status === undefined)
+/** What is wrong with a request's answer, by the runs that backend servers saw; undefined where nothing is. */
+function findFault(sent: SentRequest, runs: number): string | undefined {
+  if (sent.kind === RequestKind.Once && runs > 1)
+    return `${sent.id} may run once and ran ${runs} times`
+  if (sent.status === undefined)
     return undefined
-  if (reported.echoedId !== reported.id)
-    return `${reported.id} got the answer of ${reported.echoedId}`
-  if (PROMISES.has(reported.status) && runs > 0)
-    return `${reported.id} was told ${reported.status} and ran ${runs} times`
-  if (reported.status !== 200 || reported.body === undefined)
+  if (sent.echoedId !== sent.id)
+    return `${sent.id} got the answer of ${sent.echoedId}`
+  if (PROMISES.has(sent.status) && runs > 0)
+    return `${sent.id} was answered ${sent.status} and ran ${runs} times`
+  if (sent.status !== 200 || sent.body === undefined)
     return undefined
-  const whole = reported.kind === RequestKind.Stream ? WHOLE_STREAM : `answer to /${reported.kind}/${reported.id}`
-  return reported.body === whole ? undefined : `${reported.id} got ${JSON.stringify(reported.body)} as whole`
+  const whole = sent.kind === RequestKind.Stream ? WHOLE_STREAM : `answer to /${sent.kind}/${sent.id}`
+  return sent.body === whole ? undefined : `${sent.id} got ${JSON.stringify(sent.body)} as whole`
 }
 
 describe('a soak of gateways as processes', () => {
@@ -81,14 +84,14 @@
       clients.start()
       for (let step = 0; step < STEPS; step++) {
         faults.push(FAULTS[draw(FAULTS.length)](deployment, draw))
-        await new Promise(resolve => setTimeout(resolve, STEP_MS))
+        await wait(STEP_MS)
       }
       await Promise.all(faults)
       await allReady()
       await clients.stop()
-      expect(clients.reported.map(reported => findFault(reported, deployment.runsOf(reported.id))).filter(Boolean)).toEqual([])
+      expect(clients.requests.map(sent => findFault(sent, deployment.runsOf(sent.id))).filter(Boolean)).toEqual([])
       for (const kind of Object.values(RequestKind))
-        expect(clients.reported.filter(reported => reported.kind === kind && reported.status === 200).length).toBeGreaterThan(0)
+        expect(clients.requests.filter(sent => sent.kind === kind && sent.status === 200).length).toBeGreaterThan(0)
     }
     finally {
       await clients.stop()
--- a/test/soak/support/soak-clients.ts
+++ b/test/soak/support/soak-clients.ts
@@ -1,6 +1,6 @@
 /**
- * Clients of a soak: they send requests of three kinds and keep what they
- * were told, to be held against what the backend servers saw.
+ * Clients of a soak: they send requests of three kinds and keep the answers,
+ * which a soak compares with what the backend servers saw.
  */
 import type { GatewayChild } from './gateway-child.js'
 import { request } from 'undici'
@@ -9,14 +9,14 @@
 export enum RequestKind {
   /** May run once only. */
   Once = 'once',
-  /** May be repeated. */
+  /** May run more than once. */
   Plain = 'plain',
   /** A stream after a stage, which may be resumed. */
   Stream = 'stream',
 }
 
-/** What a client was told. */
-export interface ToldRequest {
+/** A request and the answer that its client got. */
+export interface SentRequest {
   id: string
   kind: RequestKind
   /** Undefined where the connection ended without a head. */
@@ -30,14 +30,15 @@
 export type Draw = (bound: number) => number
 
 const KINDS = Object.values(RequestKind)
+/** Milliseconds between requests. */
 const SEND_INTERVAL_MS = 15
 
 /** Sends requests until it is stopped. */
 export class SoakClients {
-  readonly reported: ToldRequest[] = []
+  readonly requests: SentRequest[] = []
   private readonly underWay = new Set<Promise<void>>()
   private timer: NodeJS.Timeout | undefined
-  private sent = 0
+  private sentCount = 0
 
   constructor(private readonly gateways: readonly GatewayChild[], private readonly draw: Draw) {}
 
@@ -54,21 +55,22 @@
   private send(): void {
     const kind = KINDS[this.draw(KINDS.length)]
     const gateway = this.gateways[this.draw(this.gateways.length)]
-    const reported: ToldRequest = { id: `${kind}-${this.sent++}`, kind }
-    this.reported.push(reported)
-    const call = this.call(gateway.address, reported).catch(() => {}).finally(() => this.underWay.delete(call))
+    const sentRequest: SentRequest = { id: `${kind}-${this.sentCount++}`, kind }
+    this.requests.push(sentRequest)
+    // A call that fails leaves no status or no body; what may be said of it is checked by those.
+    const call = this.call(gateway.address, sentRequest).catch(() => {}).finally(() => this.underWay.delete(call))
     this.underWay.add(call)
   }
 
-  private async call(address: string, reported: ToldRequest): Promise<void> {
-    const response = await request(`${address}/${reported.kind}/${reported.id}`, {
+  private async call(address: string, sentRequest: SentRequest): Promise<void> {
+    const response = await request(`${address}/${sentRequest.kind}/${sentRequest.id}`, {
       method: 'POST',
-      headers: { 'host': 'host.example', 'attempt-id': reported.id, 'deadline-ms': '3000', 'chunk-count': '2', 'chunk-key': 'key' },
+      headers: { 'host': 'host.example', 'attempt-id': sentRequest.id, 'deadline-ms': '3000', 'chunk-count': '2', 'chunk-key': 'key' },
       body: 'body',
       signal: AbortSignal.timeout(5000),
     })
-    reported.status = response.statusCode
-    reported.echoedId = String(response.headers['attempt-id'])
-    reported.body = await response.body.text()
+    sentRequest.status = response.statusCode
+    sentRequest.echoedId = String(response.headers['attempt-id'])
+    sentRequest.body = await response.body.text()
   }
 }
--- a/test/soak/support/soak-deployment.ts
+++ b/test/soak/support/soak-deployment.ts
@@ -2,12 +2,13 @@
  * What a soak plays with: a stand-in store, stand-in backend servers, and gateways
  * as processes of their own.
  */
-import type { ServerResponse } from 'node:http'
-import type { Respond, SeenRequest } from '../../platform/support/stand-in-backend.js'
+import type { Respond } from '../../platform/support/stand-in-backend.js'
 import { mkdtempSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import path from 'node:path'
+import { wait } from '@eidermast/common'
 import { answerWhole, StandInBackend, streamEvents } from '../../platform/support/stand-in-backend.js'
+import { makeStageResults, STAGE_LIMITS } from '../../platform/support/stand-in-stages.js'
 import { StandInStore } from '../../platform/support/stand-in-store.js'
 import { GatewayChild } from './gateway-child.js'
 import { RequestKind } from './soak-clients.js'
@@ -15,10 +16,10 @@
 /** Events of a whole stream. */
 export const STREAM_EVENTS = 4
 const GATEWAYS = 3
+/** Backend servers of each service. */
 const BACKENDS_EACH = 2
+/** Milliseconds that a backend server of the plain service works on a request. */
 const ANSWER_MS = 20
-const STAGE_MS = 60
-const STAGE = { Capacity: 1, Queue: 2, Batch: 6, CallMs: 40, ItemMs: 5, HeadroomMb: 5, HandleTtlS: 4, BandwidthMbps: 10_000 }
 const ROUTE = { Host: 'host.example', TimeoutMs: 4000, TargetLatencyMs: 3000, Service: 'plain' }
 const ROUTES = [
   { ...ROUTE, Name: 'once', PathPrefix: `/${RequestKind.Once}/`, Type: 'non_idempotent', MaxAttempts: 1 },
@@ -27,7 +28,7 @@
 ]
 
 const delayed: Respond = async (seen, response) => {
-  await new Promise(resolve => setTimeout(resolve, ANSWER_MS))
+  await wait(ANSWER_MS)
   await answerWhole()(seen, response)
 }
 
@@ -38,11 +39,10 @@
   readonly backends: StandInBackend[] = []
   gateways: GatewayChild[] = []
   private version = 0
-  private made = 0
 
   async start(): Promise<void> {
     const address = await this.store.start()
-    const responds: Record<string, Respond> = { plain: delayed, model: streamEvents(STREAM_EVENTS), encode: (seen, response) => this.makeResults(seen, response) }
+    const responds: Record<string, Respond> = { plain: delayed, model: streamEvents(STREAM_EVENTS), encode: makeStageResults() }
     for (const [service, respond] of Object.entries(responds)) {
       for (let number = 0; number < BACKENDS_EACH; number++)
         await this.addBackend(service, number, respond)
@@ -63,7 +63,7 @@
     this.store.put('keyed.op', 'config', {
       Version: ++this.version,
       Routes: ROUTES,
-      Services: [{ Name: 'plain', MaxConnections: 60 }, { Name: 'model', MaxConnections: 60, Engine: { Capacity: 8, KvCapacityTokens: 1000 } }, { Name: 'encode', MaxConnections: 60, Segments: STAGE }],
+      Services: [{ Name: 'plain', MaxConnections: 60 }, { Name: 'model', MaxConnections: 60, Engine: { Capacity: 8, KvCapacityTokens: 1000 } }, { Name: 'encode', MaxConnections: 60, Segments: STAGE_LIMITS }],
       Limits: { MaxHeaderBytes: 8000, MaxBodyBytes: 1000, HeaderTimeoutMs: 3000, IdleTimeoutMs: 5000 },
     })
   }
@@ -85,12 +85,4 @@
     this.backends.push(backend)
     this.list(backend, 'ready')
   }
-
-  private async makeResults(seen: SeenRequest, response: ServerResponse): Promise<void> {
-    if (seen.path !== '/-/stage-run')
-      return void response.end(JSON.stringify({ FreeMb: 5 }))
-    await new Promise(resolve => setTimeout(resolve, STAGE_MS))
-    const items = (JSON.parse(seen.body) as { Items: unknown[] }).Items
-    response.end(JSON.stringify({ Items: items.map(() => ({ PromptHandle: `encoder/${this.made++}` })) }))
-  }
 }
