--- a/packages/gateway/src/process/drain.ts
+++ b/packages/gateway/src/process/drain/drain-clients.ts
@@ -3,7 +3,8 @@
  * It holds no state beyond the run; a process that is killed meanwhile breaks
  * the connections that it still has.
  */
-import type { ClientServer } from '../connection/client-server.js'
+import type { ClientServer } from '../../connection/client-server.js'
+import { wait } from '@eidermast/common'
 import { DRAIN_CLOSE_MS, DRAIN_SERVE_MS, isDrained } from './drain-plan.js'
 
 /** Milliseconds between looks at the requests under way. Not measured; the process ends at most this much later than it could. */
@@ -16,5 +17,5 @@
   setTimeout(() => clients.refuseNew(), DRAIN_SERVE_MS)
   setTimeout(() => clients.close(), DRAIN_CLOSE_MS)
   while (!isDrained(performance.now() - startedAt, clients.activeRequests, gracePeriodMs))
-    await new Promise(resolve => setTimeout(resolve, DRAIN_CHECK_MS))
+    await wait(DRAIN_CHECK_MS)
 }
--- a/packages/gateway/src/process/drain-plan.ts
+++ b/packages/gateway/src/process/drain/drain-plan.ts
@@ -15,26 +15,28 @@
  */
 
 /**
- * Milliseconds from SIGTERM on for which new requests are served. Not measured; the balancer
- * checks readiness each second and looks away after two misses (the platform's
- * protocol, section Ingress), and a new connection may take a second more
- * (section Answers). At half of it requests that were just sent here are
- * refused; twice as long would leave nothing of the default grace period for them.
+ * Milliseconds from SIGTERM on for which new requests are served. Not
+ * measured; the balancer checks readiness each second and looks away after two
+ * misses (the platform's protocol, section on ingress), and a new connection
+ * may take a second more (section on answers). With half of it requests are
+ * refused that were just sent here; with twice as much, little of the default
+ * grace period (8000) is left for those under way.
  */
 export const DRAIN_SERVE_MS = 3200
 
 /**
  * Milliseconds from SIGTERM on after which the listener closes. Not measured;
- * between this and DRAIN_SERVE_MS a late request gets a refusal that it may
- * retry elsewhere, and not a refused connection. It must lie between
- * DRAIN_SERVE_MS and the grace period.
+ * between DRAIN_SERVE_MS and this, a late request gets a refusal that it may
+ * retry elsewhere in place of a refused connection. With half of it there is
+ * no such time; with twice as much the process ends only with the default grace period.
  */
 export const DRAIN_CLOSE_MS = 4000
 
 /**
  * Milliseconds of the grace period that are kept for the end of the process.
- * Not measured; with half of it SIGKILL may come before the last log lines are written,
- * with twice as much requests are cut off that could have been answered.
+ * Not measured; with half of it SIGKILL may come before the last log lines are
+ * written, with twice as much requests are cut off that could have been
+ * answered.
  */
 const END_MARGIN_MS = 400
 
--- a/packages/gateway/src/process/membership/failure-detection.ts
+++ b/packages/gateway/src/process/membership/failure-detection.ts
@@ -7,27 +7,28 @@
  * Rule: a member has failed when it has not answered for FAILED_AFTER_MS. Time
  * in which this process itself stood still does not count.
  * Why: several heartbeats may be lost within that time, so that no single one
- * decides; a limit of one heartbeat (450 ms without an answer) made a
- * healthy coordinator count as failed, and two of them worked (docs/FINDINGS.md, runs
- * of firmasur quiet-1; commit 3ddaec6).
+ * decides. When a single one without an answer (450 ms) used up most of it, a
+ * healthy coordinator counted as failed and two of them worked
+ * (docs/FINDINGS.md, runs of firmasur quiet-1; commit 3ddaec6).
  * Set by: the constants below.
  * Log events: `member-failed`, `member-recovered`.
  */
 
-/** Milliseconds between heartbeats to a member. Not measured; twice as long and one lost heartbeat is half of FAILED_AFTER_MS. */
+/** Milliseconds between heartbeats to a member. Not measured; with twice as much one lost heartbeat is half of FAILED_AFTER_MS. */
 export const HEARTBEAT_INTERVAL_MS = 150
 
 /**
- * Milliseconds without an answer. Not measured by itself: half of it is fewer
- * than two lost heartbeats (see above); twice as long, and stage work waits
- * that much longer for the next coordinator.
+ * Milliseconds without an answer. Not measured by itself; with half of it two
+ * lost heartbeats make a failure, with twice as much stage work waits that
+ * much longer for the next coordinator.
  */
 export const FAILED_AFTER_MS = 600
 
 /**
  * Milliseconds between two ticks from which on this process itself stood
- * still: two intervals (commit 3ddaec6). Half of it is the interval itself; at twice the value a
- * pause as long as FAILED_AFTER_MS would pass for silence of the others.
+ * still (commit 3ddaec6). With half of it every tick would look late; with
+ * twice as much a pause of nearly FAILED_AFTER_MS would count as silence of
+ * the others.
  */
 export const LATE_TICK_MS = 2 * HEARTBEAT_INTERVAL_MS
 
--- a/packages/gateway/src/process/peer-configuration.ts
+++ b/packages/gateway/src/process/peers/peer-configuration.ts
@@ -4,10 +4,10 @@
  * configuration itself; one fetch is under way at a time, and one that fails is
  * tried again with the next heartbeat that shows a newer version.
  */
-import type { Member } from '../connection/member.js'
-import type { PeerClients } from '../connection/peer-clients.js'
-import type { ConfigurationHolder } from '../version/configuration-holder.js'
-import type { GatewayLog } from './gateway-log.js'
+import type { Member } from '../../connection/member.js'
+import type { PeerClients } from '../../connection/peer-clients.js'
+import type { ConfigurationHolder } from '../../version/configuration-holder.js'
+import type { GatewayLog } from '../gateway-log.js'
 
 /** Fetches configurations that peers have and this process lacks. */
 export class PeerConfiguration {
--- a/packages/gateway/src/process/peer-service.ts
+++ b/packages/gateway/src/process/peers/peer-service.ts
@@ -3,10 +3,10 @@
  * stage work while it coordinates. It holds no state of its own.
  */
 import type { Result } from 'ts-results-es'
-import type { Heartbeat, HeartbeatReply } from '../connection/peer-messages.js'
-import type { PeerService } from '../connection/peer-router.js'
-import type { PreparationFailure, PreparationRequest, PreparedInputs, Preparer } from '../connection/preparation.js'
-import type { ConfigurationHolder, ConfigurationRecord } from '../version/configuration-holder.js'
+import type { Heartbeat, HeartbeatReply } from '../../connection/peer-messages.js'
+import type { PeerService } from '../../connection/peer-router.js'
+import type { PreparationFailure, PreparationRequest, PreparedInputs, Preparer } from '../../connection/preparation.js'
+import type { ConfigurationHolder, ConfigurationRecord } from '../../version/configuration-holder.js'
 import type { PeerConfiguration } from './peer-configuration.js'
 
 /** The parts of a gateway that answer its peers. */
--- a/test/platform/store.test.ts
+++ b/test/platform/store.test.ts
@@ -18,6 +18,13 @@
   following = new TopicFollower(client, TOPIC, sink, new PlatformLog(createLog().log)).follow(ending.signal)
 }
 
+/** Follows the topic, whose first record has been seen when this resolves. */
+async function followFromFirstRecord(): Promise<void> {
+  store.put(TOPIC, 'config', 'one')
+  follow()
+  await vi.waitFor(() => expect(seen).toEqual(['config=one']))
+}
+
 beforeEach(async () => {
   store = new StandInStore()
   client = new StoreClient(await store.start())
@@ -42,9 +49,7 @@
   })
 
   test.each([StoreFault.Busy, StoreFault.Reset, StoreFault.Cut])('resumes after a store that is %s, without a lost or a repeated record', async (fault) => {
-    store.put(TOPIC, 'config', 'one')
-    follow()
-    await vi.waitFor(() => expect(seen).toEqual(['config=one']))
+    await followFromFirstRecord()
     store.fault = fault
     store.put(TOPIC, 'config', 'two')
     await wait(300)
@@ -54,9 +59,7 @@
   })
 
   test('notices within some seconds that a read was lost by a store that was silent', async () => {
-    store.put(TOPIC, 'config', 'one')
-    follow()
-    await vi.waitFor(() => expect(seen).toEqual(['config=one']))
+    await followFromFirstRecord()
     store.fault = StoreFault.Silent
     await wait(300)
     store.fault = StoreFault.None
@@ -79,9 +82,7 @@
   })
 
   test('starts again with the newest records when the history is gone', async () => {
-    store.put(TOPIC, 'config', 'one')
-    follow()
-    await vi.waitFor(() => expect(seen).toEqual(['config=one']))
+    await followFromFirstRecord()
     store.fault = StoreFault.Busy
     await wait(250)
     store.put(TOPIC, 'config', 'two')
