--- a/test/platform/store.test.ts
+++ b/test/platform/store.test.ts
@@ -1,5 +1,6 @@
-import type { KeyedRecord } from '@eidermast/platform'
-import { encodeRecord, followTopic, longestReadWait, READ_MARGIN_MS, readRecords, StoreClient } from '@eidermast/platform'
+import type { KeyedRecord, TopicSink } from '@eidermast/platform'
+import { wait } from '@eidermast/common'
+import { encodeRecord, maxReadWaitMs, PlatformLog, READ_MARGIN_MS, readRecords, StoreClient, TopicFollower } from '@eidermast/platform'
 import { afterEach, beforeEach, describe, expect, test, vi } from 'vitest'
 import { createLog } from '../gateway/support/fakes.js'
 import { StandInStore, StoreFault } from './support/stand-in-store.js'
@@ -11,9 +12,17 @@
 let seen: string[]
 let following: Promise<void>
 
-function follow(): void {
-  const take = (record: KeyedRecord): void => void seen.push(`${record.key}=${record.value.toString()}`)
-  following = followTopic(client, TOPIC, { snapshot: records => records.forEach(take), record: take }, createLog().log, ending.signal)
+function follow(options: Pick<TopicSink, 'restMs'> = {}): void {
+  const record = ({ key, value }: KeyedRecord): void => void seen.push(`${key}=${value.toString()}`)
+  const sink = { snapshot: (records: KeyedRecord[]) => records.forEach(record), record, ...options }
+  following = new TopicFollower(client, TOPIC, sink, new PlatformLog(createLog().log)).follow(ending.signal)
+}
+
+/** Follows the topic, whose first record has been seen when this resolves. */
+async function followFromFirstRecord(): Promise<void> {
+  store.put(TOPIC, 'config', 'one')
+  follow()
+  await vi.waitFor(() => expect(seen).toEqual(['config=one']))
 }
 
 beforeEach(async () => {
@@ -30,7 +39,7 @@
 })
 
 describe('following a topic', () => {
-  test('begins with the newest of each key and goes on with each record', async () => {
+  test('starts with the newest record of each key and goes on with each further one', async () => {
     store.put(TOPIC, 'config', 'one')
     store.put(TOPIC, 'config', 'two')
     follow()
@@ -39,50 +48,43 @@
     await vi.waitFor(() => expect(seen).toEqual(['config=two', 'config=three']))
   })
 
-  test.each([StoreFault.Busy, StoreFault.Reset, StoreFault.Cut])('goes on after a store that is %s, without a loss or a repeat', async (fault) => {
-    store.put(TOPIC, 'config', 'one')
-    follow()
-    await vi.waitFor(() => expect(seen).toEqual(['config=one']))
+  test.each([StoreFault.Busy, StoreFault.Reset, StoreFault.Cut])('resumes after a store that is %s, without a lost or a repeated record', async (fault) => {
+    await followFromFirstRecord()
     store.fault = fault
     store.put(TOPIC, 'config', 'two')
-    await new Promise(resolve => setTimeout(resolve, 300))
+    await wait(300)
     store.fault = StoreFault.None
     store.put(TOPIC, 'config', 'three')
     await vi.waitFor(() => expect(seen).toEqual(['config=one', 'config=two', 'config=three']), { timeout: 5000 })
   })
 
   test('notices within some seconds that a read was lost by a store that was silent', async () => {
-    store.put(TOPIC, 'config', 'one')
-    follow()
-    await vi.waitFor(() => expect(seen).toEqual(['config=one']))
+    await followFromFirstRecord()
     store.fault = StoreFault.Silent
-    await new Promise(resolve => setTimeout(resolve, 300))
+    await wait(300)
     store.fault = StoreFault.None
     store.put(TOPIC, 'config', 'two')
     await vi.waitFor(() => expect(seen).toEqual(['config=one', 'config=two']), { timeout: 4500 })
   })
 
-  test('rests after a read that brought records where it is told to, and misses none', async () => {
-    const take = (record: KeyedRecord): void => void seen.push(`${record.key}=${record.value.toString()}`)
-    following = followTopic(client, TOPIC, { snapshot: records => records.forEach(take), record: take, restMs: 400 }, createLog().log, ending.signal)
+  test('rests after a read that brought records where the sink asks for it, and misses none', async () => {
+    follow({ restMs: 400 })
     await vi.waitFor(() => expect(store.calls).toBeGreaterThan(1))
     store.put(TOPIC, 'first', '1')
     await vi.waitFor(() => expect(seen).toEqual(['first=1']))
     const calls = store.calls
     for (const key of ['second', 'third', 'fourth']) {
       store.put(TOPIC, key, '1')
-      await new Promise(resolve => setTimeout(resolve, 20))
+      await wait(20)
     }
     await vi.waitFor(() => expect(seen).toHaveLength(4))
     expect(store.calls - calls).toBeLessThanOrEqual(2)
   })
 
-  test('begins anew with the newest when the history is gone', async () => {
-    store.put(TOPIC, 'config', 'one')
-    follow()
-    await vi.waitFor(() => expect(seen).toEqual(['config=one']))
+  test('starts again with the newest records when the history is gone', async () => {
+    await followFromFirstRecord()
     store.fault = StoreFault.Busy
-    await new Promise(resolve => setTimeout(resolve, 250))
+    await wait(250)
     store.put(TOPIC, 'config', 'two')
     store.put(TOPIC, 'config', 'three')
     store.dropHistory(TOPIC)
@@ -90,22 +92,22 @@
     await vi.waitFor(() => expect(seen.at(-1)).toBe('config=three'), { timeout: 5000 })
   })
 
-  test('calls a store that refuses seldom', async () => {
+  test('seldom calls a store that refuses', async () => {
     store.fault = StoreFault.Busy
     follow()
-    await new Promise(resolve => setTimeout(resolve, 1500))
+    await wait(1500)
     expect(store.calls).toBeLessThanOrEqual(12)
     expect(store.calls).toBeGreaterThan(1)
   })
 })
 
-describe('how long reads wait', () => {
+describe('the wait of a read', () => {
   test.each([
     ['small sites', 3000, 2000, 2000],
     ['grown sites', 4000, 3000, 3000],
     ['a bound that is shorter', 3000, 2000, 500],
   ])('lets what a lost read hid be in force in time on %s', (_name, contact, configuration, drain) => {
-    const waitMs = longestReadWait({ 'contact-ms': contact, 'configuration-ms': configuration, 'drain-ms': drain })
+    const waitMs = maxReadWaitMs({ 'contact-ms': contact, 'configuration-ms': configuration, 'drain-ms': drain })
     expect(waitMs).toBeGreaterThanOrEqual(1000)
     expect(waitMs + READ_MARGIN_MS + 300).toBeLessThan(contact + Math.min(configuration, drain))
   })
