--- a/packages/stand-ins/src/child-process.ts
+++ b/packages/stand-ins/src/child-process.ts
@@ -1,10 +1,14 @@
 /**
- * Child processes of the launcher.
+ * Child processes as the launcher needs them: their first line and their end.
  */
 import type { ChildProcess } from 'node:child_process'
 import { once } from 'node:events'
 import { createInterface } from 'node:readline'
 
+/**
+ * Milliseconds for a child to listen. Not measured: half as long fails starts on
+ * a busy machine, twice as long only delays the report of a child that hangs.
+ */
 const START_TIMEOUT_MS = 30_000
 
 /** Whether a child has not ended. */
--- /dev/null
+++ b/packages/stand-ins/src/daemon-status.ts
@@ -0,0 +1,89 @@
+/**
+ * Reads the status of a deployment's daemon processes, as operators get it,
+ * and waits until all of them serve. It keeps no state.
+ */
+import type { PeerConnection, ProcessStatus } from '@eidermast/daemon'
+import type { ProcessGroup } from './process-group.js'
+import { wait } from '@eidermast/common'
+import { callPeer, CallState, connectEntry, connectSide, MemberState } from '@eidermast/daemon'
+import { request } from 'undici'
+import { ProcessKind } from './process-group.js'
+
+/**
+ * Milliseconds for every process to serve. Not measured: a busy machine starts
+ * the small deployment in several seconds; half as long fails tests there,
+ * twice as long only delays the report of a process that never serves.
+ */
+const READY_TIMEOUT_MS = 15_000
+
+/** Milliseconds for one status call; a frozen process costs a caller this much. Not measured. */
+const STATUS_TIMEOUT_MS = 2000
+
+/** Milliseconds between two looks at a process that is not ready. */
+const POLL_INTERVAL_MS = 50
+
+/** Status of entries and sides. */
+export class DaemonStatus {
+  constructor(private readonly processes: ProcessGroup, private readonly key: string) {}
+
+  /** Status of an entry; undefined where it does not answer in time. */
+  async entryStatus(name: string): Promise<ProcessStatus | undefined> {
+    const opened = await connectEntry(this.peerOf(name))
+    return opened.isOk() ? readStatus(opened.value, client => client.status.query()) : undefined
+  }
+
+  /** Status of a side; undefined where it does not answer in time. */
+  async sideStatus(name: string): Promise<ProcessStatus | undefined> {
+    const opened = await connectSide(this.peerOf(name))
+    return opened.isOk() ? readStatus(opened.value, client => client.status.query()) : undefined
+  }
+
+  /** Waits until every side takes work, and then until every entry sees that; throws after 15 s. */
+  async waitUntilReady(): Promise<void> {
+    const sides = this.processes.list(ProcessKind.Side)
+    const latest = Date.now() + READY_TIMEOUT_MS
+    for (const { name } of sides)
+      await waitUntil(() => this.takesWork(name), latest, `${name} takes no work`)
+    for (const { name } of this.processes.list(ProcessKind.Entry)) {
+      const seesAll = async (): Promise<boolean> => await this.countInForce(name) >= sides.length
+      await waitUntil(seesAll, latest, `${name} does not see every backend server in force`)
+    }
+  }
+
+  /** Whether a side takes work and has seen that its backend server is the one that runs now. */
+  private async takesWork(sideName: string): Promise<boolean> {
+    const status = await this.sideStatus(sideName)
+    const seen = status?.detail.find(line => line.subject === 'backend-instance')?.text
+    return status?.ready === true && seen === await readInstance(this.processes.find(`${sideName}.backend`).url!)
+  }
+
+  /** Number of backend servers that an entry uses. */
+  private async countInForce(entryName: string): Promise<number> {
+    const status = await this.entryStatus(entryName)
+    return status?.detail.filter(line => line.text === MemberState.InForce).length ?? 0
+  }
+
+  private peerOf(name: string): { address: string, key: string } {
+    return { address: this.processes.find(name).peer!, key: this.key }
+  }
+}
+
+async function readStatus<Client>(peer: PeerConnection<Client>, query: (client: Client) => Promise<ProcessStatus>): Promise<ProcessStatus | undefined> {
+  const result = await callPeer(peer, query, STATUS_TIMEOUT_MS)
+  peer.close()
+  return result.state === CallState.Answered ? result.value : undefined
+}
+
+async function readInstance(backendUrl: string): Promise<string> {
+  const response = await request(`${backendUrl}/v1/load`)
+  const { instance } = await response.body.json() as { instance: string }
+  return instance
+}
+
+async function waitUntil(holds: () => Promise<boolean>, latest: number, message: string): Promise<void> {
+  while (!await holds()) {
+    if (Date.now() > latest)
+      throw new Error(`${message} within ${READY_TIMEOUT_MS} ms; see its log in the deployment's directory`)
+    await wait(POLL_INTERVAL_MS)
+  }
+}
--- a/packages/stand-ins/src/demo.ts
+++ b/packages/stand-ins/src/demo.ts
@@ -1,13 +1,14 @@
 /**
  * The demonstration: starts a small deployment, serves requests of both users'
- * kinds and checks that none is lost or doubled.
+ * kinds and checks that none is lost or doubled. Exits with 1 where one is, or
+ * where an answer is not whole.
  */
 import type { Deployment } from './deployment.js'
 import { request } from 'undici'
 import { v7 as uuidv7 } from 'uuid'
 import { DeploymentName, resolveDeployment } from './deployment.js'
-import { RunningSystem } from './launcher.js'
 import { expectedAnswer } from './outputs.js'
+import { RunningSystem } from './running-system.js'
 
 /** A request of the demonstration. */
 interface DemoRequest {
@@ -29,16 +30,54 @@
   text: string
 }
 
+/** Characters of an answer that are shown. */
 const SHORT_LENGTH = 60
 
 const REQUESTS: DemoRequest[] = [
-  { title: 'rider answer', account: 'rider-app', pipeline: 'rider-answer', input: 'Does the 12X wait for the 08:14 train at Canley?', count: 10 },
-  { title: 'digest', account: 'depot-control', pipeline: 'disruption-digest', input: 'Tram works at Pool Meadow, buses 8 and 9 diverted.', count: 5 },
-  { title: 'tag', account: 'feed-desk', pipeline: 'feed-tag', input: 'NaPTAN 43000286 renamed Spon Street.', count: 5 },
-  { title: 'departure alert', account: 'rider-app', pipeline: 'departure-alert', input: 'The 15:05 school coach leaves from stand C.', count: 5 },
-  { title: 'attestation', account: 'medidores-sur', pipeline: 'attestation', input: 'Build 8812, meter firmware 4.1.0, key 7.', count: 5 },
-  { title: 'manifest explanation', account: 'taller-rio', pipeline: 'manifest-explanation', input: 'Manifest rejected: hash of partition 3 differs.', count: 5 },
+  {
+    title: 'rider answer',
+    account: 'rider-app',
+    pipeline: 'rider-answer',
+    input: 'Does the 12X wait for the 08:14 train at Canley?',
+    count: 10,
+  },
+  {
+    title: 'digest',
+    account: 'depot-control',
+    pipeline: 'disruption-digest',
+    input: 'Tram works at Pool Meadow, buses 8 and 9 diverted.',
+    count: 5,
+  },
+  {
+    title: 'tag',
+    account: 'feed-desk',
+    pipeline: 'feed-tag',
+    input: 'NaPTAN 43000286 renamed Spon Street.',
+    count: 5,
+  },
+  {
+    title: 'departure alert',
+    account: 'rider-app',
+    pipeline: 'departure-alert',
+    input: 'The 15:05 school coach leaves from stand C.',
+    count: 5,
+  },
+  {
+    title: 'attestation',
+    account: 'medidores-sur',
+    pipeline: 'attestation',
+    input: 'Build 8812, meter firmware 4.1.0, key 7.',
+    count: 5,
+  },
+  {
+    title: 'manifest explanation',
+    account: 'taller-rio',
+    pipeline: 'manifest-explanation',
+    input: 'Manifest rejected: hash of partition 3 differs.',
+    count: 5,
+  },
 ]
+/** Calls of the plain service. */
 const STOP_LOOKUPS = 10
 
 const deployment = resolveDeployment(DeploymentName.Small)
@@ -102,7 +141,8 @@
     })
     const answer = await response.body.json() as { path?: string, requestId?: string, kind?: string }
     const whole = answer.path === path && answer.requestId === requestId
-    results.push({ requestId, account: '', unrepeatable: false, whole, late: false, kind: answer.kind, text: JSON.stringify(answer) })
+    const text = JSON.stringify(answer)
+    results.push({ requestId, account: '', unrepeatable: false, whole, late: false, kind: answer.kind, text })
   }
   console.log(`stop lookup: ${results[0].text.slice(0, SHORT_LENGTH)}`)
   return results
--- a/packages/stand-ins/src/deployment.ts
+++ b/packages/stand-ins/src/deployment.ts
@@ -18,8 +18,11 @@
   service: string
   kind: BackendKind
   replicas: number
+  /** Runs at once in one backend server. */
   slots: number
+  /** Milliseconds of a run, without its tokens. */
   baseMs: number
+  /** Milliseconds of a token. */
   tokenMs: number
   model?: string
   version?: string
@@ -49,8 +52,8 @@
 }
 
 /** The language model that every deployment serves. */
-export const LANGUAGE_MODEL = 'transit-writer'
-export const LANGUAGE_MODEL_VERSION = 'v1'
+const LANGUAGE_MODEL = 'transit-writer'
+const LANGUAGE_MODEL_VERSION = 'v1'
 
 interface TemplateOptions {
   name: string
@@ -67,7 +70,14 @@
       { name: 'encode', service: 'encoder', costPerCall: 1 },
       { name: 'retrieve', service: 'retriever', costPerCall: 1 },
       { name: 'rerank', service: 'reranker', costPerCall: 2 },
-      { name: 'generate', service: 'language-model', model: LANGUAGE_MODEL, version: LANGUAGE_MODEL_VERSION, costPerMillisecond: 0.5, maxTokens: tokens },
+      {
+        name: 'generate',
+        service: 'language-model',
+        model: LANGUAGE_MODEL,
+        version: LANGUAGE_MODEL_VERSION,
+        costPerMillisecond: 0.5,
+        maxTokens: tokens,
+      },
     ],
     deadlineMs,
     priority,
@@ -85,7 +95,17 @@
     { service: 'encoder', kind: BackendKind.Pool, replicas: small, slots: 8, baseMs: 4, tokenMs: 0 },
     { service: 'retriever', kind: BackendKind.Pool, replicas: small, slots: 8, baseMs: 6, tokenMs: 0 },
     { service: 'reranker', kind: BackendKind.Pool, replicas: small, slots: 8, baseMs: 8, tokenMs: 0 },
-    { service: 'language-model', kind: BackendKind.Engine, replicas: languageModels, slots: 8, baseMs: 20, tokenMs: 2, model: LANGUAGE_MODEL, version: LANGUAGE_MODEL_VERSION, adapters: ['house-style'] },
+    {
+      service: 'language-model',
+      kind: BackendKind.Engine,
+      replicas: languageModels,
+      slots: 8,
+      baseMs: 20,
+      tokenMs: 2,
+      model: LANGUAGE_MODEL,
+      version: LANGUAGE_MODEL_VERSION,
+      adapters: ['house-style'],
+    },
   ]
 }
 
@@ -165,3 +185,18 @@
 export function resolveDeployment(name: DeploymentName): Deployment {
   return DEPLOYMENTS[name]
 }
+
+/** Name of a backend server, of its side and of its VM. */
+export function backendName(pool: PoolDeployment, index: number): string {
+  return `${pool.service}-${index + 1}`
+}
+
+/** Every second backend server refuses orders with an old fence, so that a deployment has both sorts. */
+export function checksFences(index: number): boolean {
+  return index % 2 === 0
+}
+
+/** The failure domain of a process, by its place among those of its kind. */
+export function failureDomain({ failureDomains }: Deployment, index: number): string {
+  return failureDomains[index % failureDomains.length]
+}
--- a/packages/stand-ins/src/http-service.ts
+++ b/packages/stand-ins/src/http-service.ts
@@ -25,9 +25,15 @@
   close: () => Promise<void>
 }
 
+/**
+ * Milliseconds for which an idle connection stays open: longer than any test,
+ * so that no caller meets a connection that closes as it sends.
+ */
+const KEEP_ALIVE_MS = 600_000
+
 /** Starts a stand-in on loopback with a port from the system. */
 export async function startService(handler: StandInHandler, port = 0): Promise<StandInService> {
-  const server = createServer({ keepAliveTimeout: 600_000 }, (request, response) => {
+  const server = createServer({ keepAliveTimeout: KEEP_ALIVE_MS }, (request, response) => {
     void serve(handler, request, response)
   })
   await new Promise<void>(resolve => server.listen(port, '127.0.0.1', resolve))
@@ -45,7 +51,14 @@
     for await (const chunk of request)
       chunks.push(chunk as Buffer)
     const target = new URL(request.url ?? '/', 'http://stand-in')
-    await handler({ method: request.method ?? 'GET', path: target.pathname, query: target.searchParams, body: Buffer.concat(chunks).toString(), request, response })
+    await handler({
+      method: request.method ?? 'GET',
+      path: target.pathname,
+      query: target.searchParams,
+      body: Buffer.concat(chunks).toString(),
+      request,
+      response,
+    })
   }
   catch (error) {
     if (!response.headersSent)
@@ -59,8 +72,3 @@
     return
   response.writeHead(status, { 'content-type': 'application/json' }).end(JSON.stringify(body))
 }
-
-/** Waits. */
-export function delay(milliseconds: number): Promise<void> {
-  return new Promise(resolve => setTimeout(resolve, milliseconds))
-}
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -1,7 +1,11 @@
-export * from './backend-service.js'
-export * from './deployment.js'
-export * from './http-service.js'
-export * from './launcher.js'
-export * from './log-service.js'
-export * from './outputs.js'
-export * from './platform-services.js'
+/**
+ * What the tests may use of the stand-ins. Nothing of the product relies on
+ * this package.
+ */
+export { DeploymentName, resolveDeployment } from './deployment.js'
+export { LogOutage } from './faults.js'
+export type { StandInService } from './http-service.js'
+export { LogService } from './log-service.js'
+export { expectedAnswer } from './outputs.js'
+export { ProcessKind } from './process-group.js'
+export { RunningSystem } from './running-system.js'
--- a/packages/stand-ins/src/log-service.ts
+++ b/packages/stand-ins/src/log-service.ts
@@ -1,34 +1,14 @@
 /**
- * Stand-in of the platform's append-only log: offsets, a rate limit, limited
- * retention, and faults set over HTTP.
+ * Stand-in of the platform's append-only log: offsets, a limit on the rate of
+ * appends and limited retention. Records live in memory and end with the
+ * process.
  */
+import type { LogFaults } from './faults.js'
 import type { StandInCall, StandInService } from './http-service.js'
+import { wait } from '@eidermast/common'
 import { z } from 'zod'
-import { delay, sendJson, startService } from './http-service.js'
-
-/** How the log fails while it is out. */
-export enum LogOutage {
-  None = 'none',
-  /** Answers 503 to everything. */
-  Refuse = 'refuse',
-  /** Answers nothing. */
-  Hang = 'hang',
-}
-
-const faultsSchema = z.strictObject({
-  outage: z.enum(LogOutage).default(LogOutage.None),
-  /** Added to every answer, in milliseconds. */
-  delayMs: z.number().min(0).default(0),
-  /** Appends whose acknowledgement is lost after the append. */
-  dropAcknowledgements: z.int().min(0).default(0),
-  /** Appends that are taken a second time, a while later. */
-  repeatAppends: z.int().min(0).default(0),
-  /** Whether every append is refused for its rate. */
-  refuseAppends: z.boolean().default(false),
-})
-
-/** Faults of the log. */
-export type LogFaults = z.infer<typeof faultsSchema>
+import { logFaultsSchema, LogOutage } from './faults.js'
+import { sendJson, startService } from './http-service.js'
 
 /** Options of the log. */
 export interface LogServiceOptions {
@@ -37,11 +17,6 @@
    * @default 86400000
    */
   retentionMs?: number
-  /**
-   * Appends a second.
-   * @default 100
-   */
-  appendsPerSecond?: number
   /**
    * Clock of records and retention, in epoch milliseconds.
    * @default Date.now
@@ -62,27 +37,40 @@
   waiters: Set<() => void>
 }
 
-const DAY_MS = 86_400_000
-const BURST_SECONDS = 0.2
+/** Milliseconds of a day, the retention that the users' platform gives. */
+export const DAY_MS = 86_400_000
+
+/** Turns milliseconds into seconds. */
+const MILLISECONDS_PER_SECOND = 1000
+
+/** Appends a second, from the users' brief; more are refused with 429. */
+const APPENDS_PER_SECOND = 100
+
+/** Appends that may come at once: what the rate gives in 0.2 s. Not measured; one would refuse any two concurrent appends. */
+const APPEND_BURST = 20
+
+/** Milliseconds until a repeated append is stored again. Not measured; long enough for other records to come between. */
 const REPEAT_AFTER_MS = 300
+
+/** Records in one answer where the reader names no limit. */
+const DEFAULT_READ_LIMIT = 1000
+
 const RECORDS_PATH = /^\/streams\/([^/]+)\/records$/
 const appendSchema = z.object({ records: z.array(z.unknown()).min(1) })
 
 /** The log's state and its HTTP interface. */
 export class LogService {
   private readonly streams = new Map<string, Stream>()
-  private faults: LogFaults = faultsSchema.parse({})
+  private faults: LogFaults = logFaultsSchema.parse({})
   private readonly retentionMs: number
-  private readonly appendsPerSecond: number
   private readonly now: () => number
-  private tokens: number
+  /** Appends that may still come at once. */
+  private tokens = APPEND_BURST
   private refilledAt = performance.now()
 
   constructor(options: LogServiceOptions = {}) {
     this.retentionMs = options.retentionMs ?? DAY_MS
-    this.appendsPerSecond = options.appendsPerSecond ?? 100
     this.now = options.now ?? Date.now
-    this.tokens = this.appendsPerSecond * BURST_SECONDS
   }
 
   /** Starts listening. */
@@ -92,7 +80,7 @@
 
   /** Sets the faults; those not named are off. */
   setFaults(faults: Partial<LogFaults>): void {
-    this.faults = faultsSchema.parse(faults)
+    this.faults = logFaultsSchema.parse(faults)
     for (const stream of this.streams.values())
       wakeAll(stream)
   }
@@ -105,17 +93,18 @@
     const name = RECORDS_PATH.exec(call.path)?.[1]
     if (!name)
       return sendJson(call.response, 404, { message: 'no such path' })
-    if (await this.isOut(call))
+    if (this.isOut(call))
       return
     if (this.faults.delayMs > 0)
-      await delay(this.faults.delayMs)
+      await wait(this.faults.delayMs)
     const stream = this.streamOf(name)
     if (call.method === 'POST')
       return this.append(stream, call)
     return this.read(stream, call)
   }
 
-  private async isOut(call: StandInCall): Promise<boolean> {
+  /** Answers for a log that is out, if it is; while it hangs, no answer is sent. */
+  private isOut(call: StandInCall): boolean {
     if (this.faults.outage === LogOutage.None)
       return false
     if (this.faults.outage === LogOutage.Refuse)
@@ -150,11 +139,11 @@
 
   private async read(stream: Stream, call: StandInCall): Promise<void> {
     const from = Number(call.query.get('from') ?? 0)
-    const limit = Number(call.query.get('limit') ?? 1000)
+    const limit = Number(call.query.get('limit') ?? DEFAULT_READ_LIMIT)
     const waitMs = Number(call.query.get('waitMs') ?? 0)
     if (from >= stream.nextOffset && waitMs > 0)
       await waitForRecord(stream, waitMs)
-    if (await this.isOut(call))
+    if (this.isOut(call))
       return
     this.trim(stream)
     const start = Math.max(0, from - stream.firstOffset)
@@ -172,8 +161,8 @@
 
   private takeToken(): boolean {
     const now = performance.now()
-    const refill = ((now - this.refilledAt) / 1000) * this.appendsPerSecond
-    this.tokens = Math.min(this.appendsPerSecond * BURST_SECONDS, this.tokens + refill)
+    const refill = ((now - this.refilledAt) / MILLISECONDS_PER_SECOND) * APPENDS_PER_SECOND
+    this.tokens = Math.min(APPEND_BURST, this.tokens + refill)
     this.refilledAt = now
     if (this.tokens < 1)
       return false
--- a/packages/stand-ins/src/outputs.ts
+++ b/packages/stand-ins/src/outputs.ts
@@ -4,7 +4,9 @@
  */
 import { createHash } from 'node:crypto'
 
+/** Characters of a stage's output; enough that two inputs never share it. */
 const DIGEST_LENGTH = 12
+/** Characters of a generated token. */
 const WORD_LENGTH = 5
 
 function digest(text: string): string {
--- /dev/null
+++ b/packages/stand-ins/src/running-system.ts
@@ -0,0 +1,241 @@
+/**
+ * A running deployment as the demo and the tests use it: its processes and
+ * addresses, the faults of its stand-ins, its VM list, its status. It owns the
+ * processes and their directory until `stop`.
+ */
+import type { ProcessStatus } from '@eidermast/daemon'
+import type { StandInFaults } from './faults.js'
+import type { LaunchOptions, LaunchPlace } from './launcher.js'
+import type { LaunchedProcess } from './process-group.js'
+import type { PlatformUrls } from './settings-files.js'
+import type { ListedVirtualMachine } from './virtual-machine-list-service.js'
+import { randomBytes } from 'node:crypto'
+import { mkdtempSync, rmSync } from 'node:fs'
+import { tmpdir } from 'node:os'
+import path from 'node:path'
+import { HttpLogClient, ObjectKind, publishChange, PublishOutcome, readConfiguration, VirtualMachineRole } from '@eidermast/daemon'
+import { request } from 'undici'
+import { isRunning, untilEnded } from './child-process.js'
+import { DaemonStatus } from './daemon-status.js'
+import { failureDomain } from './deployment.js'
+import { launchProcesses } from './launcher.js'
+import { ProcessGroup, ProcessKind } from './process-group.js'
+import { countRuns, runTimes } from './run-counts.js'
+import { commandLineSettingsFile } from './settings-files.js'
+
+/** Bytes of the random key that a deployment's processes share. */
+const KEY_BYTES = 24
+
+/** A running deployment. */
+export class RunningSystem {
+  readonly directory: string
+  /** Shared key of the system's processes. */
+  readonly key: string
+  private readonly group: ProcessGroup
+  private readonly status: DaemonStatus
+  private virtualMachines: ListedVirtualMachine[] = []
+
+  private constructor(private readonly options: LaunchOptions, place: LaunchPlace, private readonly platform: PlatformUrls) {
+    this.directory = place.directory
+    this.key = place.key
+    this.group = place.processes
+    this.status = new DaemonStatus(this.group, this.key)
+  }
+
+  /** Starts every process, publishes the configuration and waits until it is in force; throws, with all ended, where that fails. */
+  static async launch(options: LaunchOptions): Promise<RunningSystem> {
+    const directory = mkdtempSync(path.join(tmpdir(), 'eidermast-'))
+    const processes = new ProcessGroup(directory)
+    const place = { directory, key: randomBytes(KEY_BYTES).toString('hex'), processes }
+    try {
+      const platform = await launchProcesses(options, place)
+      const system = new RunningSystem(options, place, platform)
+      await system.listVirtualMachines()
+      await system.waitUntilReady()
+      return system
+    }
+    catch (error) {
+      await stopAll(processes, directory)
+      throw error
+    }
+  }
+
+  /** Processes by name. */
+  get processes(): ReadonlyMap<string, LaunchedProcess> {
+    return this.group.byName
+  }
+
+  /** Processes of one kind. */
+  list(kind: ProcessKind): LaunchedProcess[] {
+    return this.group.list(kind)
+  }
+
+  /** Throws where no process has the name. */
+  find(name: string): LaunchedProcess {
+    return this.group.find(name)
+  }
+
+  /** URLs of the entries for callers. */
+  get entryUrls(): string[] {
+    return this.list(ProcessKind.Entry).map(entry => entry.url!)
+  }
+
+  /** The settings file for the operators' command line. */
+  get commandLineSettings(): string {
+    return commandLineSettingsFile(this.directory)
+  }
+
+  get logServiceUrl(): string {
+    return this.platform.log
+  }
+
+  get weightStoreUrl(): string {
+    return this.platform.weightStore
+  }
+
+  get virtualMachineListUrl(): string {
+    return this.platform.virtualMachines
+  }
+
+  /** Sends a signal to a process by its id. */
+  signal(name: string, signal: NodeJS.Signals): void {
+    this.group.signal(name, signal)
+  }
+
+  /** Sends a signal and waits for the process's end; returns its exit code. */
+  end(name: string, signal: NodeJS.Signals): Promise<number | null> {
+    return this.group.end(name, signal)
+  }
+
+  /** Starts an ended process again and lists its VM under its new address. */
+  async restart(name: string): Promise<void> {
+    await this.group.restart(name)
+    const { kind, peer } = this.find(name)
+    if (kind === ProcessKind.Entry || kind === ProcessKind.Side)
+      await this.setVirtualMachines(this.virtualMachines.map(listed => listed.name === name ? { ...listed, address: peer! } : listed))
+  }
+
+  /** Publishes the new addresses of restarted sides, as operators do for replaced VMs. */
+  async publishNewAddresses(): Promise<void> {
+    const client = new HttpLogClient({ url: this.platform.log })
+    const configuration = await readConfiguration(client)
+    for (const { name, offset, value } of configuration?.list(ObjectKind.Backend) ?? []) {
+      const address = this.processes.get(name)?.peer
+      if (address === undefined || address === value.address)
+        continue
+      const publication = await publishChange(client, { kind: ObjectKind.Backend, name, value: { ...value, address }, base: offset })
+      if (publication.outcome !== PublishOutcome.Accepted)
+        throw new Error(`the new address of ${name} was not accepted: ${publication.outcome}`)
+    }
+    await client.close()
+  }
+
+  /** Sets the faults of a stand-in. */
+  async setFaults(url: string, faults: StandInFaults): Promise<void> {
+    const response = await post(`${url}/faults`, faults)
+    if (response.status !== 200)
+      throw new Error(`${url} refused the faults: ${response.text}`)
+  }
+
+  /** Sets the faults of every backend server of a service. */
+  async setServiceFaults(service: string, faults: StandInFaults): Promise<void> {
+    const backends = this.list(ProcessKind.Backend).filter(({ name }) => name.startsWith(`${service}-`))
+    await Promise.all(backends.map(({ url }) => this.setFaults(url!, faults)))
+  }
+
+  /** Sets the VMs that the platform lists; without effect while the list is out, as the platform's own updates are then. */
+  async setVirtualMachines(virtualMachines: ListedVirtualMachine[]): Promise<void> {
+    this.virtualMachines = virtualMachines
+    await post(this.platform.virtualMachines, { virtualMachines })
+  }
+
+  /** The VMs that were last set to be listed. */
+  get listedVirtualMachines(): ListedVirtualMachine[] {
+    return this.virtualMachines
+  }
+
+  /** Runs counted by the backend servers, killed ones included, by account, request and stage. */
+  countRuns(): Map<string, number> {
+    return countRuns(this.directory)
+  }
+
+  /** When each run of one backend server began, in epoch milliseconds. */
+  runTimes(sideName: string): number[] {
+    return runTimes(this.directory, sideName)
+  }
+
+  /** Status of an entry, as operators get it; undefined where it does not answer. */
+  entryStatus(name: string): Promise<ProcessStatus | undefined> {
+    return this.status.entryStatus(name)
+  }
+
+  /** Status of a side, as operators get it; undefined where it does not answer. */
+  sideStatus(name: string): Promise<ProcessStatus | undefined> {
+    return this.status.sideStatus(name)
+  }
+
+  /** Waits until every side takes work, and then until every entry sees that. */
+  waitUntilReady(): Promise<void> {
+    return this.status.waitUntilReady()
+  }
+
+  /**
+   * Wakes and restarts what was frozen or ended, and turns every fault off.
+   * @param restore What else to put right before everything can be ready.
+   */
+  async recover(restore: () => Promise<void> = async () => {}): Promise<void> {
+    for (const launched of [...this.processes.values()])
+      await this.revive(launched)
+    const backendUrls = this.list(ProcessKind.Backend).map(backend => backend.url!)
+    await Promise.all([...Object.values(this.platform), ...backendUrls].map(url => this.setFaults(url, {})))
+    await this.publishNewAddresses()
+    await restore()
+    await this.waitUntilReady()
+  }
+
+  /** Ends every process by its id, at once; for a planned stop see `end`. */
+  stop(): Promise<void> {
+    return stopAll(this.group, this.directory)
+  }
+
+  private async revive({ name, kind, url, child, pid }: LaunchedProcess): Promise<void> {
+    if (isRunning(child))
+      process.kill(pid, 'SIGCONT')
+    // A backend server may have died so shortly before that its end is not known yet.
+    if (kind === ProcessKind.Backend && isRunning(child) && !await answers(url!))
+      await untilEnded(child)
+    if (!isRunning(child))
+      await this.restart(name)
+  }
+
+  private async listVirtualMachines(): Promise<void> {
+    const domain = failureDomain(this.options.deployment, 0)
+    const createListed = ({ name, peer }: LaunchedProcess, role: VirtualMachineRole): ListedVirtualMachine =>
+      ({ name, role, state: 'live', failureDomain: domain, address: peer! })
+    await this.setVirtualMachines([
+      ...this.list(ProcessKind.Side).map(side => createListed(side, VirtualMachineRole.Backend)),
+      ...this.list(ProcessKind.Entry).map(entry => createListed(entry, VirtualMachineRole.Entry)),
+    ])
+  }
+}
+
+async function stopAll(processes: ProcessGroup, directory: string): Promise<void> {
+  await processes.stop()
+  rmSync(directory, { recursive: true, force: true })
+}
+
+interface PostAnswer {
+  status: number
+  text: string
+}
+
+/** Posts a value to a stand-in. */
+async function post(url: string, value: object): Promise<PostAnswer> {
+  const response = await request(url, { method: 'POST', body: JSON.stringify(value) })
+  return { status: response.statusCode, text: await response.body.text() }
+}
+
+/** Whether a backend server answers; one that has just ended does not, and that is all the caller asks. */
+async function answers(url: string): Promise<boolean> {
+  return request(`${url}/v1/load`).then(response => response.body.dump()).then(() => true, () => false)
+}
--- a/packages/stand-ins/src/stand-in.ts
+++ b/packages/stand-ins/src/stand-in.ts
@@ -1,18 +1,27 @@
+import type { BackendKind } from './backend-service.js'
 /**
- * Runs one stand-in as a process of its own; prints its URL as one JSON line.
+ * Runs one stand-in as a process of its own; prints its URL as one JSON line
+ * once it listens. The launcher starts it.
  */
+import type { StandInService } from './http-service.js'
+import { wait } from '@eidermast/common'
 import { Command } from 'commander'
-import { BackendKind, BackendService } from './backend-service.js'
-import { delay } from './http-service.js'
-import { LogService } from './log-service.js'
-import { MachineListService, WeightStoreService } from './platform-services.js'
+import { BackendService } from './backend-service.js'
+import { DAY_MS, LogService } from './log-service.js'
+import { VirtualMachineListService } from './virtual-machine-list-service.js'
+import { WeightStoreService } from './weight-store-service.js'
 
-/** Time for the side to read that this backend server drains, in milliseconds. */
+/** Milliseconds for the side to read that its backend server drains; it asks four times a second (`load-interval-ms`). */
 const DRAIN_NOTICE_MS = 1000
 
-interface StandInOptions {
+/** Milliseconds between two looks at whether a draining backend server is idle. */
+const IDLE_POLL_MS = 20
+
+interface LogOptions {
   retentionMs: string
-  lagMs: string
+}
+
+interface BackendOptions {
   kind: BackendKind
   slots: string
   baseMs: string
@@ -22,42 +31,36 @@
   runsFile?: string
 }
 
-const program = new Command('stand-in')
-  .argument('<service>', 'log, machines, weights or backend')
-  .option('--retention-ms <n>', 'log: milliseconds for which records are kept', '86400000')
-  .option('--lag-ms <n>', 'machines: milliseconds by which the list lags', '0')
-  .option('--kind <kind>', 'backend: engine, pool or plain', BackendKind.Pool)
-  .option('--slots <n>', 'backend: runs at once', '8')
-  .option('--base-ms <n>', 'backend: milliseconds of a run', '5')
-  .option('--token-ms <n>', 'backend: milliseconds of a token', '1')
-  .option('--port <n>', 'backend: port to listen on', '0')
-  .option('--runs-file <file>', 'backend: file to which every run is appended')
-  .option('--checks-fences', 'backend: refuse orders with an old fence', false)
+const program = new Command('stand-in').description('Run one stand-in of the platform, or of a backend server')
 
-program.parse()
-await main(program.args[0], program.opts<StandInOptions>())
+program.command('log')
+  .option('--retention-ms <n>', 'milliseconds for which records are kept', String(DAY_MS))
+  .action(({ retentionMs }: LogOptions) => announce(new LogService({ retentionMs: Number(retentionMs) }).start()))
 
-async function main(name: string, options: StandInOptions): Promise<void> {
-  const service = await start(name, options)
-  process.stdout.write(`${JSON.stringify({ service: name, url: service.url, pid: process.pid })}\n`)
-}
+program.command('virtual-machines')
+  .action(() => announce(new VirtualMachineListService().start()))
+
+program.command('weights')
+  .action(() => announce(new WeightStoreService().start()))
+
+program.command('backend')
+  .requiredOption('--kind <kind>', 'engine, pool or plain')
+  .requiredOption('--slots <n>', 'runs at once')
+  .requiredOption('--base-ms <n>', 'milliseconds of a run')
+  .requiredOption('--token-ms <n>', 'milliseconds of a token')
+  .option('--port <n>', 'port to listen on; 0 takes one from the system', '0')
+  .option('--runs-file <file>', 'file to which every run is appended')
+  .option('--checks-fences', 'refuse orders with an old fence', false)
+  .action((options: BackendOptions) => announce(startBackend(options)))
+
+await program.parseAsync()
 
-function start(name: string, options: StandInOptions) {
-  switch (name) {
-    case 'log':
-      return new LogService({ retentionMs: Number(options.retentionMs) }).start()
-    case 'machines':
-      return new MachineListService(Number(options.lagMs)).start()
-    case 'weights':
-      return new WeightStoreService().start()
-    case 'backend':
-      return startBackend(options)
-    default:
-      throw new Error(`no stand-in is named ${name}; use log, machines, weights or backend`)
-  }
+async function announce(starting: Promise<StandInService>): Promise<void> {
+  const { url } = await starting
+  process.stdout.write(`${JSON.stringify({ url, pid: process.pid })}\n`)
 }
 
-function startBackend(options: StandInOptions) {
+function startBackend(options: BackendOptions): Promise<StandInService> {
   const backend = new BackendService({
     kind: options.kind,
     slots: Number(options.slots),
@@ -72,9 +75,9 @@
 
 /** A planned stop: takes nothing new, says so in its load, finishes what runs. */
 async function drain(backend: BackendService): Promise<void> {
-  backend.draining = true
-  await delay(DRAIN_NOTICE_MS)
+  backend.beginDrain()
+  await wait(DRAIN_NOTICE_MS)
   while (!backend.idle)
-    await delay(20)
+    await wait(IDLE_POLL_MS)
   process.exit(0)
 }
--- a/packages/stand-ins/src/system.ts
+++ b/packages/stand-ins/src/system.ts
@@ -4,7 +4,7 @@
  */
 import { Command, Option } from 'commander'
 import { DeploymentName, resolveDeployment } from './deployment.js'
-import { RunningSystem } from './launcher.js'
+import { RunningSystem } from './running-system.js'
 
 const program = new Command('system')
   .addOption(new Option('--deployment <name>', 'which deployment to run').choices(Object.values(DeploymentName)).default(DeploymentName.Coventry))
--- /dev/null
+++ b/packages/stand-ins/src/virtual-machine-list-service.ts
@@ -0,0 +1,47 @@
+/**
+ * Stand-in of the platform's VM list: shows what was last posted to it. The
+ * list lives in memory only and ends with the process.
+ */
+import type { VirtualMachineListFaults } from './faults.js'
+import type { StandInCall, StandInService } from './http-service.js'
+import { VirtualMachineRole } from '@eidermast/daemon'
+import { z } from 'zod'
+import { virtualMachineListFaultsSchema } from './faults.js'
+import { sendJson, startService } from './http-service.js'
+
+const virtualMachineSchema = z.object({
+  name: z.string(),
+  role: z.enum(VirtualMachineRole),
+  state: z.enum(['live', 'leaving']),
+  failureDomain: z.string(),
+  /** Host and port of the daemon's process, for calls between processes. */
+  address: z.string(),
+})
+const listSchema = z.object({ virtualMachines: z.array(virtualMachineSchema) })
+
+/** A VM as it is listed. */
+export type ListedVirtualMachine = z.infer<typeof virtualMachineSchema>
+
+/** The VM list and its HTTP interface. */
+export class VirtualMachineListService {
+  private shown: ListedVirtualMachine[] = []
+  private faults: VirtualMachineListFaults = virtualMachineListFaultsSchema.parse({})
+
+  start(): Promise<StandInService> {
+    return startService(call => this.handle(call))
+  }
+
+  private handle(call: StandInCall): void {
+    if (call.path === '/faults') {
+      this.faults = virtualMachineListFaultsSchema.parse(JSON.parse(call.body))
+      return sendJson(call.response, 200, this.faults)
+    }
+    if (this.faults.out)
+      return sendJson(call.response, 503, { message: 'the list is out' })
+    if (call.method === 'POST') {
+      this.shown = listSchema.parse(JSON.parse(call.body)).virtualMachines
+      return sendJson(call.response, 200, {})
+    }
+    sendJson(call.response, 200, { virtualMachines: this.shown })
+  }
+}
--- a/test/promises/leaving.test.ts
+++ b/test/promises/leaving.test.ts
@@ -20,7 +20,7 @@
 
 afterEach(() => system.recover(async () => {
   await order('in')
-  await system.setMachines(system.listedMachines.map(machine => ({ ...machine, state: 'live' as const })))
+  await system.setVirtualMachines(system.listedVirtualMachines.map(machine => ({ ...machine, state: 'live' as const })))
 }), 30_000)
 
 afterAll(async () => {
@@ -82,7 +82,7 @@
   })
 
   test('by the platform\'s list', async () => {
-    const leave = (): Promise<void> => system.setMachines(system.listedMachines.map(machine => machine.name === LEAVING ? { ...machine, state: 'leaving' as const } : machine))
+    const leave = (): Promise<void> => system.setVirtualMachines(system.listedVirtualMachines.map(machine => machine.name === LEAVING ? { ...machine, state: 'leaving' as const } : machine))
     expect(await measureLastRun(leave)).toBeLessThan(FEW_SECONDS_MS)
   })
 
@@ -92,7 +92,7 @@
 
   test('by the backend server\'s own word, with the log and the list out', async () => {
     await system.setFaults(system.logServiceUrl, { outage: LogOutage.Refuse })
-    await system.setFaults(system.machineListUrl, { out: true })
+    await system.setFaults(system.virtualMachineListUrl, { out: true })
     expect(await measureLastRun(async () => system.signal(`${LEAVING}.backend`, 'SIGTERM'))).toBeLessThan(FEW_SECONDS_MS)
   })
 })
--- a/test/promises/mixed-faults.test.ts
+++ b/test/promises/mixed-faults.test.ts
@@ -110,7 +110,7 @@
       case Fault.LogLosesAcknowledgements:
         return system.setFaults(system.logServiceUrl, { dropAcknowledgements: 3, repeatAppends: 2 })
       case Fault.ListOut:
-        return system.setFaults(system.machineListUrl, { out: true })
+        return system.setFaults(system.virtualMachineListUrl, { out: true })
       case Fault.DropReplies:
         return this.setBackendFaults({ dropReplies: 3 })
       case Fault.FailingBackend:
