--- a/packages/command-line/src/backend-commands.ts
+++ b/packages/command-line/src/commands/backend-commands.ts
@@ -1,12 +1,14 @@
 /**
- * The command `backend`: orders backend servers in and out.
+ * The command group `backend`: orders backend servers in and out, shows and
+ * lists them.
  */
 import type { Backend } from '@eidermast/daemon'
 import type { Command } from 'commander'
 import { BackendOrder, BackendRole, ObjectKind } from '@eidermast/daemon'
 import { Option } from 'commander'
-import { CommandFailure, failUnreachable, globalOptions, reportPublication, withOperator } from './context.js'
-import { ExitCode } from './exit-codes.js'
+import { CommandFailure, ExitCode } from '../exit-codes.js'
+import { globalOptions, reportPublication, requireConfiguration, withOperator } from './command-context.js'
+import { exampleHelp } from './examples.js'
 import { listObjects, showObject } from './object-commands.js'
 
 interface BackendOptions {
@@ -21,9 +23,28 @@
   adapters?: string
 }
 
-/** Adds the command `backend`. */
+/** Adds the group `backend`. */
 export function addBackendCommands(program: Command): void {
-  const group = program.command('backend').description('order backend servers in or out')
+  const group = program.command('backend').description('order backend servers in or out, show and list them')
+  addInCommand(group)
+  group.command('out <name>')
+    .description('order a backend server out: it finishes what it has and gets nothing new')
+    .addHelpText('after', exampleHelp('eidermast backend out language-model-3'))
+    .action((name: string, _options: object, command: Command) => orderOut(name, command))
+  group.command('show <name>')
+    .description('show the newest order and description of a backend server')
+    .action((name: string, _options: object, command: Command) => showObject(ObjectKind.Backend, name, command))
+  group.command('list')
+    .description('list every backend server with the offset of its newest version')
+    .action((_options: object, command: Command) => listObjects(ObjectKind.Backend, command))
+  group.addHelpText('after', exampleHelp(
+    'eidermast backend list',
+    'eidermast backend out language-model-3',
+    'eidermast backend in language-model-3 --model-version v2',
+  ))
+}
+
+function addInCommand(group: Command): void {
   group.command('in <name>')
     .description('order a backend server in; what is not given stays as it was')
     .option('--service <name>', 'the pool or plain service that it belongs to')
@@ -36,33 +57,30 @@
     .option('--model <name>', 'the model to hold')
     .option('--model-version <name>', 'the version to hold')
     .option('--adapters <names>', 'the adapters to hold, separated by commas')
+    .addHelpText('after', exampleHelp('eidermast backend in language-model-3 --model-version v2'))
     .action((name: string, options: BackendOptions, command: Command) => orderIn(name, options, command))
-  group.command('out <name>')
-    .description('order a backend server out: it finishes what it has and gets nothing new')
-    .action((name: string, _options: object, command: Command) => orderOut(name, command))
-  group.command('show <name>').description('show its newest version').action((name: string, _options: object, command: Command) => showObject(ObjectKind.Backend, name, command))
-  group.command('list').description('list all').action((_options: object, command: Command) => listObjects(ObjectKind.Backend, command))
 }
 
 async function orderIn(name: string, given: BackendOptions, command: Command): Promise<void> {
   const options = globalOptions(command)
   await withOperator(options, async (operator) => {
-    const configuration = await operator.configuration() ?? failUnreachable()
+    const configuration = await requireConfiguration(operator)
     const value = operator.resolveBackend(configuration.get(ObjectKind.Backend, name), createOrder(given))
     if (value.isErr())
       throw new CommandFailure(ExitCode.BadInput, `the backend server ${name} is not described in full: ${value.error}`)
-    reportPublication(options, await operator.publish({ kind: ObjectKind.Backend, name, value: value.value, base: configuration.baseOffset(ObjectKind.Backend, name) }))
+    const base = configuration.baseOffset(ObjectKind.Backend, name)
+    reportPublication(options, await operator.publish({ kind: ObjectKind.Backend, name, value: value.value, base }))
   })
 }
 
 async function orderOut(name: string, command: Command): Promise<void> {
   const options = globalOptions(command)
   await withOperator(options, async (operator) => {
-    const configuration = await operator.configuration() ?? failUnreachable()
-    const known = configuration.get(ObjectKind.Backend, name)
+    const known = (await requireConfiguration(operator)).get(ObjectKind.Backend, name)
     if (!known)
       throw new CommandFailure(ExitCode.NotFound, `no backend server is named ${name}`)
-    reportPublication(options, await operator.publish({ kind: ObjectKind.Backend, name, value: { ...known.value, order: BackendOrder.Out }, base: known.offset }))
+    const value = { ...known.value, order: BackendOrder.Out }
+    reportPublication(options, await operator.publish({ kind: ObjectKind.Backend, name, value, base: known.offset }))
   })
 }
 
--- a/packages/command-line/src/context.ts
+++ b/packages/command-line/src/commands/command-context.ts
@@ -1,50 +1,39 @@
 /**
- * What every command needs: checked settings, the operator's connection and
- * the way out.
+ * What every command needs: the options of the whole command line, checked
+ * settings, an operator's connection for the time of the command, and the
+ * failures that more than one command ends with.
  */
 import type { SettingsFault } from '@eidermast/common'
-import type { Publication } from '@eidermast/daemon'
+import type { Configuration, Publication } from '@eidermast/daemon'
 import type { Command } from 'commander'
-import type { OutputOptions } from './output.js'
+import type { OutputOptions } from '../output.js'
+import type { CommandLineSettings } from '../settings.js'
 import { formatFault } from '@eidermast/common'
-import { ExitCode, PUBLISH_EXIT_CODES } from './exit-codes.js'
-import { Operator } from './operator.js'
-import { print } from './output.js'
-import { loadCommandLineSettings } from './settings.js'
+import { CommandFailure, ExitCode, PUBLISH_EXIT_CODES } from '../exit-codes.js'
+import { Operator } from '../operator.js'
+import { print } from '../output.js'
+import { loadCommandLineSettings } from '../settings.js'
 
 /** Options of the whole command line. */
 export interface GlobalOptions extends OutputOptions {
+  /** Name of the settings file. */
   settings: string
 }
 
-/** Ends a command with an exit code and a sentence. */
-export class CommandFailure extends Error {
-  constructor(readonly exitCode: ExitCode, message: string) {
-    super(message)
-  }
-}
-
-/** Ends a command because of faults in a file. */
-export function failWithFaults(faults: SettingsFault[]): never {
-  throw new CommandFailure(ExitCode.BadInput, faults.map(formatFault).join('\n'))
-}
-
-/** Ends a command because the platform's log does not answer. */
-export function failUnreachable(): never {
-  throw new CommandFailure(ExitCode.Unreachable, 'the platform\'s log does not answer; try again later')
-}
-
 /** The options given before a subcommand's own. */
 export function globalOptions(command: Command): GlobalOptions {
   return command.optsWithGlobals<GlobalOptions>()
 }
 
-/** Runs a command's work with an operator's connection. */
-export async function withOperator<Value>(options: GlobalOptions, work: (operator: Operator) => Promise<Value>): Promise<Value> {
+/** The settings; ends the command where they are faulty. */
+export function requireSettings(options: GlobalOptions): CommandLineSettings {
   const settings = loadCommandLineSettings(options.settings)
-  if (settings.isErr())
-    failWithFaults(settings.error)
-  const operator = new Operator(settings.value)
+  return settings.isErr() ? failWithFaults(settings.error) : settings.value
+}
+
+/** Runs a command's work with an operator's connection, which is closed after it. */
+export async function withOperator<Value>(options: GlobalOptions, work: (operator: Operator) => Promise<Value>): Promise<Value> {
+  const operator = new Operator(requireSettings(options))
   try {
     return await work(operator)
   }
@@ -53,9 +42,24 @@
   }
 }
 
+/** The configuration on the log; ends the command where the log does not answer. */
+export async function requireConfiguration(operator: Operator): Promise<Configuration> {
+  return await operator.configuration() ?? failUnreachable()
+}
+
 /** Prints what became of a change and sets the exit code. */
 export function reportPublication(options: GlobalOptions, publication: Publication): void {
   const offset = publication.offset === undefined ? '' : ` at offset ${publication.offset}`
   print(options, publication, [`${publication.outcome}${offset} (record ${publication.recordId})`])
   process.exitCode = PUBLISH_EXIT_CODES[publication.outcome]
 }
+
+/** Ends a command because of faults in a file. */
+export function failWithFaults(faults: SettingsFault[]): never {
+  throw new CommandFailure(ExitCode.BadInput, faults.map(formatFault).join('\n'))
+}
+
+/** Ends a command because the platform's log does not answer. */
+export function failUnreachable(): never {
+  throw new CommandFailure(ExitCode.Unreachable, 'the platform\'s log does not answer; try again later')
+}
--- a/packages/command-line/src/config-commands.ts
+++ b/packages/command-line/src/commands/config-commands.ts
@@ -1,15 +1,21 @@
 /**
- * The command `config`: check files, show the configuration and its history.
+ * The command group `config`: check files, show the configuration and its
+ * history.
  */
 import type { SettingsFault } from '@eidermast/common'
 import type { Command } from 'commander'
 import type { Result } from 'ts-results-es'
+import type { HistoryLine } from '../configuration-history.js'
 import { loadSettings, ObjectKind } from '@eidermast/daemon'
 import { Option } from 'commander'
-import { failUnreachable, failWithFaults, globalOptions, withOperator } from './context.js'
-import { loadObjectFile } from './object-file.js'
-import { formatTable, print } from './output.js'
-import { loadCommandLineSettings } from './settings.js'
+import { loadObjectFile } from '../object-file.js'
+import { formatTable, print } from '../output.js'
+import { loadCommandLineSettings } from '../settings.js'
+import { failUnreachable, failWithFaults, globalOptions, requireConfiguration, withOperator } from './command-context.js'
+import { exampleHelp } from './examples.js'
+
+/** Records that `history` shows where no limit is given: a screen of them. */
+const DEFAULT_HISTORY_LIMIT = 50
 
 /** What a file to check may hold. */
 enum CheckedFile {
@@ -27,18 +33,25 @@
   limit: string
 }
 
-/** Adds the command `config`. */
+/** Adds the group `config`. */
 export function addConfigCommands(program: Command): void {
   const group = program.command('config').description('check files, show the configuration and its history')
   group.command('check <file>')
-    .description('check a file without sending it')
+    .description('check a file and name every fault; nothing is sent')
     .addOption(new Option('--kind <kind>', 'what the file holds').choices(Object.values(CheckedFile)).default(CheckedFile.Template))
+    .addHelpText('after', exampleHelp('eidermast config check rider-answer.ini', 'eidermast config check entry-1.ini --kind daemon'))
     .action((file: string, options: CheckOptions, command: Command) => check(file, options.kind, command))
-  group.command('show').description('show the whole configuration').action((_options: object, command: Command) => show(command))
+  group.command('show')
+    .description('show the offset of the configuration and of every object in it')
+    .action((_options: object, command: Command) => show(command))
   group.command('history')
     .description('show the records that the log still holds, and what became of each')
-    .option('--limit <n>', 'how many of the newest to show', '50')
+    .option('--limit <n>', 'how many of the newest to show', String(DEFAULT_HISTORY_LIMIT))
     .action((options: HistoryOptions, command: Command) => history(Number(options.limit), command))
+  group.addHelpText('after', exampleHelp(
+    'eidermast config check rider-answer.ini',
+    'eidermast config history --limit 10',
+  ))
 }
 
 function check(file: string, kind: CheckedFile, command: Command): void {
@@ -68,10 +81,11 @@
 async function show(command: Command): Promise<void> {
   const options = globalOptions(command)
   await withOperator(options, async (operator) => {
-    const configuration = await operator.configuration() ?? failUnreachable()
+    const configuration = await requireConfiguration(operator)
     const objects = Object.values(ObjectKind).flatMap(kind => configuration.list(kind).map(object => ({ kind, ...object })))
     const rows = objects.map(object => [object.kind, object.name, String(object.offset)])
-    print(options, { offset: configuration.offset, objects }, [`offset ${configuration.offset}`, ...formatTable([['kind', 'name', 'offset'], ...rows])])
+    const table = formatTable([['kind', 'name', 'offset'], ...rows])
+    print(options, { offset: configuration.offset, objects }, [`offset ${configuration.offset}`, ...table])
   })
 }
 
@@ -79,7 +93,10 @@
   const options = globalOptions(command)
   await withOperator(options, async (operator) => {
     const lines = (await operator.history() ?? failUnreachable()).slice(-limit)
-    const rows = lines.map(line => [String(line.offset), new Date(line.time).toISOString(), line.kind, line.name, line.author || '-', line.outcome])
-    print(options, lines, formatTable([['offset', 'time', 'kind', 'name', 'author', 'outcome'], ...rows]))
+    print(options, lines, formatTable([['offset', 'time', 'kind', 'name', 'author', 'outcome'], ...lines.map(formatHistoryRow)]))
   })
 }
+
+function formatHistoryRow({ offset, time, kind, name, author, outcome }: HistoryLine): string[] {
+  return [String(offset), new Date(time).toISOString(), kind, name, author || '-', outcome]
+}
--- /dev/null
+++ b/packages/command-line/src/commands/load-command.ts
@@ -0,0 +1,69 @@
+/**
+ * The command `load`: sends requests to the entries of the settings and
+ * reports how they ended.
+ */
+import type { Command } from 'commander'
+import type { LoadKind } from '../load/index.js'
+import type { GlobalOptions } from './command-context.js'
+import { InvalidArgumentError } from 'commander'
+import { CommandFailure, ExitCode } from '../exit-codes.js'
+import { createLoadKinds, formatReport, runLoad } from '../load/index.js'
+import { print } from '../output.js'
+import { globalOptions, requireConfiguration, requireSettings, withOperator } from './command-context.js'
+import { exampleHelp } from './examples.js'
+
+interface LoadOptions {
+  /** Requests a second. */
+  rate: number
+  seconds: number
+  seed: number
+}
+
+/** Requests a second, far below what the smallest deployment serves. */
+const DEFAULT_RATE = 50
+
+/** Seconds; a first look. */
+const DEFAULT_SECONDS = 10
+
+const DEFAULT_SEED = 1
+
+/** Adds the command `load`. */
+export function addLoadCommand(program: Command): void {
+  program.command('load')
+    .description('send requests of every published template and plain service, at planned times whether or not earlier ones were answered, and report how they ended')
+    .option('--rate <n>', 'requests a second', parsePositive, DEFAULT_RATE)
+    .option('--seconds <n>', 'how long requests are sent', parsePositive, DEFAULT_SECONDS)
+    .option('--seed <n>', 'seed of arrivals and mix; the same seed sends the same requests', parsePositive, DEFAULT_SEED)
+    .addHelpText('after', exampleHelp('eidermast load --rate 100 --seconds 30'))
+    .action((options: LoadOptions, command: Command) => load(options, command))
+}
+
+async function load({ rate, seconds, seed }: LoadOptions, command: Command): Promise<void> {
+  const options = globalOptions(command)
+  const entryUrls = requireSettings(options).callers.entries
+  if (entryUrls.length === 0)
+    throw new CommandFailure(ExitCode.BadInput, 'name the entries under [callers] entries in the settings')
+  const kinds = await readKinds(options)
+  const report = await runLoad({ entryUrls, kinds, ratePerSecond: rate, seconds, seed, onProgress: showProgress })
+  print(options, report, formatReport(report))
+}
+
+async function readKinds(options: GlobalOptions): Promise<LoadKind[]> {
+  const kinds = createLoadKinds(await withOperator(options, requireConfiguration))
+  if (kinds.length === 0)
+    throw new CommandFailure(ExitCode.NotFound, 'no template and no plain service is published')
+  return kinds
+}
+
+function parsePositive(text: string): number {
+  const value = Number(text)
+  if (!(value > 0))
+    throw new InvalidArgumentError('It must be a number above 0.')
+  return value
+}
+
+/** Progress goes to the terminal alone, never into piped output. */
+function showProgress(sent: number, ended: number): void {
+  if (process.stderr.isTTY)
+    process.stderr.write(`\rsent ${sent}, answered ${ended} `)
+}
--- /dev/null
+++ b/packages/command-line/src/commands/status-command.ts
@@ -0,0 +1,34 @@
+/**
+ * The command `status`: every process, its configuration offset and what it
+ * sees of the others.
+ */
+import type { Command } from 'commander'
+import type { AskedProcess } from '../operator.js'
+import { formatTable, print } from '../output.js'
+import { failUnreachable, globalOptions, withOperator } from './command-context.js'
+import { exampleHelp } from './examples.js'
+
+const HEADINGS = ['name', 'role', 'address', 'pid', 'offset', 'state', 'detail']
+
+/** Adds the command `status`. */
+export function addStatusCommand(program: Command): void {
+  program.command('status')
+    .description('show every process, its configuration offset and what it sees; "silent" is a process that did not answer')
+    .addHelpText('after', exampleHelp('eidermast status', 'eidermast --json status'))
+    .action((_options: object, command: Command) => status(command))
+}
+
+async function status(command: Command): Promise<void> {
+  const options = globalOptions(command)
+  await withOperator(options, async (operator) => {
+    const asked = await operator.status() ?? failUnreachable()
+    print(options, asked, formatTable([HEADINGS, ...asked.map(formatRow)]))
+  })
+}
+
+function formatRow({ name, address, status }: AskedProcess): string[] {
+  if (!status)
+    return [name, '-', address, '-', '-', 'silent', '']
+  const detail = status.detail.map(line => `${line.subject}=${line.text}`).join(' ')
+  return [name, status.role, address, String(status.pid), String(status.offset), status.ready ? 'ready' : 'not ready', detail]
+}
--- a/packages/command-line/src/eidermast.ts
+++ b/packages/command-line/src/eidermast.ts
@@ -1,33 +1,47 @@
 /**
- * The operators' command line.
+ * The operators' command line: one command, then the process ends. It changes
+ * the configuration through the platform's log alone and keeps no state.
  */
 import { formatError } from '@eidermast/common'
-import { ObjectKind } from '@eidermast/daemon'
 import { Command } from 'commander'
-import { addBackendCommands } from './backend-commands.js'
-import { addConfigCommands } from './config-commands.js'
-import { CommandFailure } from './context.js'
-import { EXIT_CODE_HELP, ExitCode } from './exit-codes.js'
-import { addObjectCommands } from './object-commands.js'
-import { addSystemCommands } from './system-commands.js'
+import {
+  addAccountCommands,
+  addBackendCommands,
+  addConfigCommands,
+  addExplainCommand,
+  addLoadCommand,
+  addStatusCommand,
+  addTemplateCommands,
+  formatExamples,
+} from './commands/index.js'
+import { exitCodeOfError, exitCodeOfParsing, formatExitCodes } from './exit-codes.js'
+
+const EXAMPLES = formatExamples(
+  'eidermast status',
+  'eidermast config check answer.ini && eidermast template publish rider-answer answer.ini',
+  'eidermast backend out language-model-3',
+  'eidermast explain 0192f0c1-7e4b-7a10-8c55-3b0c2e0f9d21 --logs gateway-*.log',
+)
 
 const program = new Command('eidermast')
-  .description('Operate an Eidermast system')
-  .option('--settings <file>', 'INI file that names the platform and the key', 'eidermast.ini')
-  .option('--json', 'print one JSON value', false)
-  .addHelpText('after', EXIT_CODE_HELP)
-  .exitOverride(error => process.exit(error.exitCode === 0 ? ExitCode.Accepted : ExitCode.BadInput))
+  .description('Operate an Eidermast system: look at its processes, follow a request, change its configuration.')
+  .option('--settings <file>', 'INI file that names the platform and the key of the system\'s processes', 'eidermast.ini')
+  .option('--json', 'print one JSON value in place of text', false)
+  .addHelpText('after', `\n${EXAMPLES}\n\n${formatExitCodes()}`)
+  .exitOverride(error => process.exit(exitCodeOfParsing(error.exitCode)))
 
-addObjectCommands(program, ObjectKind.Template, 'publish, show, list and delete pipeline templates')
-addObjectCommands(program, ObjectKind.Account, 'publish, show, list and delete client accounts')
+addStatusCommand(program)
+addExplainCommand(program)
+addTemplateCommands(program)
+addAccountCommands(program)
 addBackendCommands(program)
 addConfigCommands(program)
-addSystemCommands(program)
+addLoadCommand(program)
 
 try {
   await program.parseAsync()
 }
 catch (error) {
   console.error(formatError(error))
-  process.exitCode = error instanceof CommandFailure ? error.exitCode : ExitCode.Failed
+  process.exitCode = exitCodeOfError(error)
 }
--- a/packages/command-line/src/index.ts
+++ b/packages/command-line/src/index.ts
@@ -1,7 +1,5 @@
-export * from './exit-codes.js'
-export * from './load/index.js'
-export * from './object-file.js'
-export * from './operator.js'
-export * from './output.js'
-export * from './request-story.js'
-export * from './settings.js'
+/**
+ * What the tests may use of the command line; operators run its program.
+ */
+export { ExitCode, PUBLISH_EXIT_CODES } from './exit-codes.js'
+export { formatStory, parseLogLine, readStory } from './request-story.js'
--- a/packages/command-line/src/load/load-kind.ts
+++ b/packages/command-line/src/load/load-kind.ts
@@ -1,7 +1,8 @@
 /**
- * Kinds of requests that a load run sends.
+ * Kinds of requests that a load run sends: every published pipeline by every
+ * client account, and every plain service.
  */
-import type { Configuration, Priority } from '@eidermast/daemon'
+import type { Account, Configuration, Priority, Template } from '@eidermast/daemon'
 import { BackendRole, ObjectKind } from '@eidermast/daemon'
 
 /** One kind of request. */
@@ -11,8 +12,8 @@
   /** How often it is sent, relative to the others. */
   weight: number
   priority: Priority | 'service'
+  /** Milliseconds. */
   deadlineMs: number
-  unrepeatable: boolean
   method: 'GET' | 'POST'
   /** Path at an entry, for the number of the request. */
   path: (index: number) => string
@@ -20,38 +21,64 @@
   input?: (index: number) => string
 }
 
-/** Part of the requests that go to plain services. */
-const SERVICE_PART = 0.2
+/** An object of the configuration. */
+interface Named<Value> {
+  name: string
+  value: Value
+}
+
+/** Share of the requests that go to plain services, where there are some. An assumption about the users' mix, not measured. */
+const SERVICE_SHARE = 0.2
+
+/** Milliseconds; plain services have no deadline of their own. Not measured: it only parts late from attained in the report. */
 const SERVICE_DEADLINE_MS = 1000
-/** Inputs repeat their beginning within this many topics, so that prefixes are shared. */
+
+/** Inputs begin in this many ways, so that prefixes are shared as in real traffic. Not measured. */
 const TOPICS = 20
 
-/** Kinds from the published configuration: every pipeline by every account, by the accounts' weights, and every plain service. */
+/** Kinds from the published configuration, pipelines weighted by the accounts' shares. */
 export function createLoadKinds(configuration: Configuration): LoadKind[] {
   const templates = configuration.list(ObjectKind.Template)
   const accounts = configuration.list(ObjectKind.Account)
-  const services = new Set(configuration.list(ObjectKind.Backend).filter(backend => backend.value.role === BackendRole.Plain).map(backend => backend.value.service))
-  const shares = accounts.reduce((sum, account) => sum + account.value.share, 0)
-  const pipelineKinds = templates.flatMap(template => accounts.map((account): LoadKind => ({
+  const services = plainServices(configuration)
+  const allShares = accounts.reduce((sum, account) => sum + account.value.share, 0)
+  const pipelineShare = services.length > 0 ? 1 - SERVICE_SHARE : 1
+  const pipelineKinds = templates.flatMap(template => accounts.map((account) => {
+    const weight = (account.value.share / allShares / templates.length) * pipelineShare
+    return createPipelineKind(template, account, weight)
+  }))
+  const account = accounts[0]?.name ?? ''
+  const serviceKinds = services.map(service => createServiceKind(service, account, SERVICE_SHARE / services.length))
+  return [...pipelineKinds, ...serviceKinds]
+}
+
+function plainServices(configuration: Configuration): string[] {
+  const backends = configuration.list(ObjectKind.Backend).filter(({ value }) => value.role === BackendRole.Plain)
+  return [...new Set(backends.map(({ value }) => value.service))]
+}
+
+function createPipelineKind(template: Named<Template>, account: Named<Account>, weight: number): LoadKind {
+  const topic = `of ${template.name} for ${account.name}, in the words of the house and with the names of its places.`
+  return {
     name: template.name,
     account: account.name,
-    weight: (account.value.share / shares / templates.length) * (services.size > 0 ? 1 - SERVICE_PART : 1),
+    weight,
     priority: account.value.priority ?? template.value.priority,
     deadlineMs: account.value.deadlineMs ?? template.value.deadlineMs,
-    unrepeatable: template.value.unrepeatable || account.value.unrepeatable.includes(template.name),
     method: 'POST',
     path: () => `/v1/pipelines/${template.name}/requests`,
-    input: index => `Topic ${index % TOPICS} of ${template.name} for ${account.name}, in the words of the house and with the names of its places. Question ${index}`,
-  })))
-  const serviceKinds = [...services].map((service): LoadKind => ({
+    input: index => `Topic ${index % TOPICS} ${topic} Question ${index}`,
+  }
+}
+
+function createServiceKind(service: string, account: string, weight: number): LoadKind {
+  return {
     name: service,
-    account: accounts[0]?.name ?? '',
-    weight: SERVICE_PART / services.size,
+    account,
+    weight,
     priority: 'service',
     deadlineMs: SERVICE_DEADLINE_MS,
-    unrepeatable: false,
     method: 'GET',
     path: index => `/v1/services/${service}/items/${index}`,
-  }))
-  return [...pipelineKinds, ...serviceKinds]
+  }
 }
--- a/packages/command-line/src/load/load-run.ts
+++ b/packages/command-line/src/load/load-run.ts
@@ -26,6 +26,7 @@
   onProgress?: (sent: number, ended: number) => void
 }
 
+/** Turns seconds into milliseconds. */
 const MILLISECONDS_PER_SECOND = 1000
 
 /** Milliseconds between two reports of progress; for the eye only. */
--- a/packages/command-line/src/object-file.ts
+++ b/packages/command-line/src/object-file.ts
@@ -5,18 +5,15 @@
 import type { SettingsFault } from '@eidermast/common'
 import type { ObjectValues } from '@eidermast/daemon'
 import type { Result } from 'ts-results-es'
-import { readFileSync } from 'node:fs'
-import { describeFaults } from '@eidermast/common'
 import { ObjectKind, objectSchemas } from '@eidermast/daemon'
-import { parse as parseIni } from 'ini'
 import { Err, Ok } from 'ts-results-es'
 import { z } from 'zod'
+import { checkIni, commaSeparated, describeUnreadable, readText } from './ini-file.js'
 
 const NUMBER_RULE = 'a number'
 const numberText = z.string({ error: NUMBER_RULE }).regex(/^\d+(?:\.\d+)?$/, NUMBER_RULE).transform(Number)
 const flag = z.union([z.boolean(), z.enum(['true', 'false']).transform(text => text === 'true')], { error: 'true or false' })
-const names = z.string({ error: 'names, separated by commas' })
-  .transform(value => value.split(',').map(part => part.trim()).filter(part => part !== ''))
+const names = commaSeparated('names, separated by commas')
 const nameByName = z.record(z.string(), z.string())
 
 const stageFileSchema = z.strictObject({
@@ -78,29 +75,25 @@
 
 /** Reads and checks an object file; names every fault. */
 export function loadObjectFile<Kind extends FileKind>(kind: Kind, file: string): Result<ObjectValues[Kind], SettingsFault[]> {
+  return readText(file)
+    .andThen(text => file.endsWith('.json') ? parseJson(text, file) : checkIni(fileSchemas[kind], text))
+    .andThen(value => checkValue(kind, value))
+}
+
+function parseJson(text: string, file: string): Result<unknown, SettingsFault[]> {
   try {
-    return parseObjectFile(kind, readFileSync(file, 'utf8'), file.endsWith('.json'))
+    return Ok(JSON.parse(text))
   }
   catch (error) {
-    return Err([{ section: 'file', key: 'path', value: file, allowed: `a readable file (${String(error)})` }])
+    return Err([describeUnreadable(file, error)])
   }
 }
 
-/** Checks the text of an object file. */
-export function parseObjectFile<Kind extends FileKind>(kind: Kind, text: string, isJson: boolean): Result<ObjectValues[Kind], SettingsFault[]> {
-  const raw: unknown = isJson ? JSON.parse(text) : parseIni(text)
-  const value = isJson ? Ok(raw) : parseIniObject(kind, raw)
-  if (value.isErr())
-    return value
-  const checked = objectSchemas[kind].safeParse(value.value)
+function checkValue<Kind extends FileKind>(kind: Kind, value: unknown): Result<ObjectValues[Kind], SettingsFault[]> {
+  const checked = objectSchemas[kind].safeParse(value)
   return checked.success ? Ok(checked.data) : Err(describeValueFaults(checked.error))
 }
 
-function parseIniObject(kind: FileKind, raw: unknown): Result<unknown, SettingsFault[]> {
-  const parsed = fileSchemas[kind].safeParse(raw)
-  return parsed.success ? Ok(parsed.data) : Err(describeFaults(parsed.error, raw))
-}
-
 function describeValueFaults(error: z.ZodError): SettingsFault[] {
   return error.issues.map(issue => ({
     section: issue.path.slice(0, -1).join('.') || 'file',
--- a/packages/command-line/src/operator.ts
+++ b/packages/command-line/src/operator.ts
@@ -1,37 +1,77 @@
 /**
  * What operators do with a running system, apart from the command line's
- * arguments and output.
+ * arguments and output: they change and read the configuration on the
+ * platform's log, and ask the daemon's processes. It owns one connection to
+ * the log until `close`; connections to processes live for one call.
  */
-import type { Backend, ConnectFailure, Decision, EntryClient, LogPage, ObjectValues, PeerConnection, ProcessStatus, Publication, PublishOptions, SideClient, UsableObject } from '@eidermast/daemon'
+import type {
+  Backend,
+  Configuration,
+  ConnectFailure,
+  Decision,
+  EntryClient,
+  PeerConnection,
+  PeerConnectionOptions,
+  ProcessStatus,
+  Publication,
+  PublishOptions,
+  SideClient,
+  UsableObject,
+} from '@eidermast/daemon'
 import type { Result } from 'ts-results-es'
+import type { HistoryLine } from './configuration-history.js'
 import type { CommandLineSettings } from './settings.js'
-import { backendSchema, callPeer, CallState, Configuration, CONFIGURATION_STREAM, connectEntry, connectSide, hasGap, HttpLogClient, HttpVirtualMachineSource, ObjectKind, parseRecord, publishChange, readConfiguration, RecordKind, VirtualMachineRole } from '@eidermast/daemon'
+import { createLogger } from '@eidermast/common'
+import {
+  backendSchema,
+  callPeer,
+  CallState,
+  CONFIGURATION_STREAM,
+  connectEntry,
+  connectSide,
+  HttpLogClient,
+  HttpVirtualMachineSource,
+  ObjectKind,
+  publishChange,
+  readConfiguration,
+  VirtualMachineRole,
+} from '@eidermast/daemon'
 import { Err, Ok } from 'ts-results-es'
-
-/** One record of the configuration's history. */
-export interface HistoryLine {
-  offset: number
-  /** Epoch milliseconds. */
-  time: number
-  kind: string
-  name: string
-  author: string
-  /** What folding made of the record. */
-  outcome: string
-}
+import { foldHistory } from './configuration-history.js'
 
 /** A process that was asked, and its status if it answered. */
 export interface AskedProcess {
   name: string
+  /** Host and port. */
   address: string
   status?: ProcessStatus
 }
 
-/** Why a backend server cannot be ordered in. */
+/** Why a backend server cannot be ordered in: each faulty field and what it must be. */
 export type BackendFault = string
 
+/** Where the processes of a system listen, as host and port. */
+interface SystemAddresses {
+  /** Undefined where the VM list does not answer. */
+  entries?: string[]
+  /** Undefined where the log does not answer. */
+  sides?: NamedAddress[]
+}
+
+interface NamedAddress {
+  name: string
+  address: string
+}
+
+/**
+ * Milliseconds for an answer of the log, the VM list or a process. Not
+ * measured: half as long calls a busy process silent; twice as long makes an
+ * operator wait longer for one that is frozen.
+ */
 const ASK_TIMEOUT_MS = 2000
 
+const log = createLogger('operator')
+
 /** Talks to the platform's log and to the system's processes for operators. */
 export class Operator {
   private readonly log: HttpLogClient
@@ -40,11 +80,7 @@
     this.log = new HttpLogClient({ url: settings.platform.log, timeoutMs: ASK_TIMEOUT_MS })
   }
 
-  close(): Promise<void> {
-    return this.log.close()
-  }
-
-  /** Publishes a change of one object. */
+  /** Publishes a change of one object, in the name of the user. */
   publish(options: PublishOptions): Promise<Publication> {
     return publishChange(this.log, { ...options, author: process.env.USER ?? '' })
   }
@@ -57,56 +93,53 @@
   /** Records of the configuration that the log still holds; undefined where it does not answer. */
   async history(): Promise<HistoryLine[] | undefined> {
     const page = await this.log.read({ stream: CONFIGURATION_STREAM, from: 0, limit: Number.MAX_SAFE_INTEGER, waitMs: 0 })
-    if (page.isErr())
-      return undefined
-    const replay = new Configuration()
-    if (hasGap(replay, page.value))
-      adoptOldestCheckpoint(replay, page.value)
-    return page.value.records.map((record) => {
-      const parsed = parseRecord(record.value)
-      const outcome = replay.fold(record.offset, record.value)
-      const change = parsed?.record === RecordKind.Change ? parsed : undefined
-      return { offset: record.offset, time: record.time, kind: change?.kind ?? parsed?.record ?? '-', name: change?.name ?? '-', author: change?.author ?? '', outcome }
-    })
+    return page.isOk() ? foldHistory(page.value) : undefined
   }
 
   /** The value that orders a backend server in: what is known of it, with what is given. */
-  resolveBackend(known: UsableObject<Backend> | undefined, given: Partial<ObjectValues[ObjectKind.Backend]>): Result<Backend, BackendFault> {
+  resolveBackend(known: UsableObject<Backend> | undefined, given: Partial<Backend>): Result<Backend, BackendFault> {
     const checked = backendSchema.safeParse({ ...known?.value, ...given })
     if (checked.success)
       return Ok(checked.data)
     return Err(checked.error.issues.map(issue => `${issue.path.join('.')}: ${issue.message}`).join('; '))
   }
 
-  /** Status of every entry and side that is listed or configured. */
+  /** Status of every entry and side that is listed or configured; undefined where neither the VM list nor the log answers. */
   async status(): Promise<AskedProcess[] | undefined> {
-    const entries = await this.entryAddresses()
-    const configuration = await this.configuration()
-    if (!entries && !configuration)
+    const { entries, sides } = await this.addresses()
+    if (!entries && !sides)
       return undefined
-    const asked = (entries ?? []).map(address => this.askEntry(address))
-    const backends = configuration?.list(ObjectKind.Backend) ?? []
-    const sides = backends.map(backend => this.askSide(backend.name, backend.value.address))
-    return Promise.all([...asked, ...sides])
+    return Promise.all([
+      ...(entries ?? []).map(address => this.askEntry(address)),
+      ...(sides ?? []).map(side => this.askSide(side)),
+    ])
   }
 
-  /** Decisions about a request, from every process that kept some, oldest first. */
+  /** Decisions about a request, from every process that kept some, oldest first; undefined where neither the VM list nor the log answers. */
   async explain(requestId: string): Promise<Decision[] | undefined> {
-    const entries = await this.entryAddresses()
-    const configuration = await this.configuration()
-    if (!entries && !configuration)
+    const { entries, sides } = await this.addresses()
+    if (!entries && !sides)
       return undefined
-    const sides = configuration?.list(ObjectKind.Backend).map(backend => backend.value.address) ?? []
     const answers = await Promise.all([
       ...(entries ?? []).map(address => this.withEntry(address, client => client.explain.query({ requestId }))),
-      ...sides.map(address => this.withSide(address, client => client.explain.query({ requestId }))),
+      ...(sides ?? []).map(({ address }) => this.withSide(address, client => client.explain.query({ requestId }))),
     ])
     return answers.flatMap(answer => answer ?? []).sort((left, right) => left.at - right.at)
   }
 
-  private async entryAddresses(): Promise<string[] | undefined> {
-    const machines = await new HttpVirtualMachineSource(this.settings.platform['virtual-machines'], ASK_TIMEOUT_MS).read()
-    return machines?.filter(machine => machine.role === VirtualMachineRole.Entry).map(machine => machine.address)
+  /** Closes the connection to the log. */
+  close(): Promise<void> {
+    return this.log.close()
+  }
+
+  private async addresses(): Promise<SystemAddresses> {
+    const source = new HttpVirtualMachineSource(this.settings.platform['virtual-machines'], ASK_TIMEOUT_MS)
+    const listed = await source.read()
+    const configuration = await this.configuration()
+    return {
+      entries: listed?.filter(({ role }) => role === VirtualMachineRole.Entry).map(({ address }) => address),
+      sides: configuration?.list(ObjectKind.Backend).map(({ name, value }) => ({ name, address: value.address })),
+    }
   }
 
   private async askEntry(address: string): Promise<AskedProcess> {
@@ -114,34 +147,36 @@
     return { name: status?.name ?? '(entry)', address, status }
   }
 
-  private async askSide(name: string, address: string): Promise<AskedProcess> {
+  private async askSide({ name, address }: NamedAddress): Promise<AskedProcess> {
     return { name, address, status: await this.withSide(address, client => client.status.query()) }
   }
 
   private withEntry<Value>(address: string, call: (client: EntryClient) => Promise<Value>): Promise<Value | undefined> {
-    return callOnce(connectEntry({ address, key: this.settings.peers.key }), call)
+    return callOnce(connectEntry, { address, key: this.settings.peers.key }, call)
   }
 
   private withSide<Value>(address: string, call: (client: SideClient) => Promise<Value>): Promise<Value | undefined> {
-    return callOnce(connectSide({ address, key: this.settings.peers.key }), call)
+    return callOnce(connectSide, { address, key: this.settings.peers.key }, call)
   }
 }
 
-/** Begins a replay at the oldest checkpoint; records that it covers count as repeated. */
-function adoptOldestCheckpoint(configuration: Configuration, page: LogPage): void {
-  for (const record of page.records) {
-    const parsed = parseRecord(record.value)
-    if (parsed?.record === RecordKind.Checkpoint)
-      return configuration.adopt(parsed)
-  }
-}
-
-/** Makes one call over a connection that is closed after it; undefined where nobody answers. */
-async function callOnce<Client, Value>(opening: Promise<Result<PeerConnection<Client>, ConnectFailure>>, call: (client: Client) => Promise<Value>): Promise<Value | undefined> {
-  const opened = await opening
-  if (opened.isErr())
+type Connect<Client> = (options: PeerConnectionOptions) => Promise<Result<PeerConnection<Client>, ConnectFailure>>
+
+/** Makes one call over a connection that is closed after it; undefined, with the reason in the log, where nobody answers. */
+async function callOnce<Client, Value>(
+  connect: Connect<Client>,
+  peer: PeerConnectionOptions,
+  call: (client: Client) => Promise<Value>,
+): Promise<Value | undefined> {
+  const opened = await connect(peer)
+  if (opened.isErr()) {
+    log('process-silent', { address: peer.address, reason: opened.error })
     return undefined
+  }
   const result = await callPeer(opened.value, call, ASK_TIMEOUT_MS)
   opened.value.close()
-  return result.state === CallState.Answered ? result.value : undefined
+  if (result.state === CallState.Answered)
+    return result.value
+  log('process-silent', { address: peer.address, reason: result.message })
+  return undefined
 }
--- a/packages/command-line/src/request-story.ts
+++ b/packages/command-line/src/request-story.ts
@@ -1,6 +1,11 @@
 /**
  * The story of one request, from the structured log lines of gateways: JSON
- * objects, one a line, whatever a collector has put before them.
+ * objects, one a line, whatever a collector has put before them. Of the lines
+ * it relies on `time`, `event` and `process`, and on `request` or `requests`
+ * (ids separated by commas) to find those of the request. Every other field is
+ * printed as it is, but the failure domain (`failureDomain`; `zone` in lines of
+ * older releases), which is the same in all lines of a process. It keeps the
+ * lines of one request in memory, no others.
  */
 import type { LogFields } from '@eidermast/common'
 import { createReadStream } from 'node:fs'
@@ -9,7 +14,7 @@
 import { z } from 'zod'
 
 /** Stands for standard input among the names of files. */
-export const STANDARD_INPUT = '-'
+const STANDARD_INPUT = '-'
 
 const valueSchema = z.union([z.string(), z.number(), z.boolean(), z.undefined()])
 const lineSchema = z.object({
@@ -47,12 +52,13 @@
     return { at: Date.parse(time), process, event, fields }
   }
   catch {
+    // Nothing is lost: collectors mix in lines of other programs, and the caller counts each as skipped.
     return undefined
   }
 }
 
 /** Whether a line speaks of a request, alone or among others of one call. */
-export function concerns(line: StoryLine, requestId: string): boolean {
+function concerns(line: StoryLine, requestId: string): boolean {
   const { request, requests } = line.fields
   return request === requestId || (typeof requests === 'string' && requests.split(',').includes(requestId))
 }
@@ -83,8 +89,13 @@
 }
 
 /** Formats a story, with times in milliseconds since its first line. */
-export function formatStory(story: RequestStory): string[] {
-  const begin = story.lines[0]?.at ?? 0
-  const width = String((story.lines.at(-1)?.at ?? 0) - begin).length
-  return story.lines.map(({ at, process, event, fields }) => `${String(at - begin).padStart(width)} ms  ${process}  ${formatLine(event, { ...fields, requests: undefined, request: undefined })}`)
+export function formatStory({ lines }: RequestStory): string[] {
+  const beginAt = lines[0]?.at ?? 0
+  const lastAt = lines.at(-1)?.at ?? 0
+  const width = String(lastAt - beginAt).length
+  return lines.map(({ at, process, event, fields }) => {
+    const elapsedMs = String(at - beginAt).padStart(width)
+    const line = formatLine(event, { ...fields, requests: undefined, request: undefined })
+    return `${elapsedMs} ms  ${process}  ${line}`
+  })
 }
--- a/packages/command-line/src/settings.ts
+++ b/packages/command-line/src/settings.ts
@@ -4,16 +4,12 @@
  */
 import type { SettingsFault } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
-import { readFileSync } from 'node:fs'
-import { describeFaults } from '@eidermast/common'
-import { parse as parseIni } from 'ini'
-import { Err, Ok } from 'ts-results-es'
 import { z } from 'zod'
+import { checkIni, commaSeparated, readText } from './ini-file.js'
 
 const URL_RULE = 'a URL such as http://10.0.0.1:8080, without a path'
 const url = z.string({ error: URL_RULE }).regex(/^https?:\/\/[^\s/]+$/, URL_RULE)
-const urls = z.string({ error: 'URLs, separated by commas' })
-  .transform(value => value.split(',').map(part => part.trim()).filter(part => part !== ''))
+const urls = commaSeparated('URLs, separated by commas')
 
 const settingsSchema = z.strictObject({
   platform: z.strictObject({ 'log': url, 'virtual-machines': url }),
@@ -26,13 +22,5 @@
 
 /** Reads and checks a settings file; names every fault. */
 export function loadCommandLineSettings(file: string): Result<CommandLineSettings, SettingsFault[]> {
-  let raw: unknown
-  try {
-    raw = parseIni(readFileSync(file, 'utf8'))
-  }
-  catch (error) {
-    return Err([{ section: 'file', key: 'path', value: file, allowed: `a readable file (${String(error)})` }])
-  }
-  const parsed = settingsSchema.safeParse(raw)
-  return parsed.success ? Ok(parsed.data) : Err(describeFaults(parsed.error, raw))
+  return readText(file).andThen(text => checkIni(settingsSchema, text))
 }
--- a/test/command-line/request-story.test.ts
+++ b/test/command-line/request-story.test.ts
@@ -25,7 +25,9 @@
 
 function explain(parameters: string[], input?: string): Promise<{ exitCode: number, output: string, errors: string }> {
   return new Promise((resolve) => {
-    const child = execFile(process.execPath, [TOOL, ...parameters], (error, output, errors) => resolve({ exitCode: error ? Number(error.code) : 0, output, errors }))
+    const child = execFile(process.execPath, [TOOL, ...parameters], (error, output, errors) => {
+      resolve({ exitCode: error ? Number(error.code) : 0, output, errors })
+    })
     child.stdin!.end(input)
   })
 }
@@ -43,13 +45,13 @@
     ['half a line', REFUSED.slice(0, 40)],
     ['another program\'s JSON', '{"level":"info"}'],
     ['JSON with a nested value', REFUSED.replace('"tookMs":2', '"tookMs":{"value":2}')],
-  ])('is none where it is %s', (_name, text) => {
+  ])('is skipped where it is %s', (_name, text) => {
     expect(parseLogLine(text)).toBeUndefined()
   })
 })
 
 describe('the story of a request', () => {
-  test('holds every line about it in order of time, those of shared calls among them, and nobody else\'s', async () => {
+  test('holds every line that names it, alone or in a shared call, in order of time, and no other', async () => {
     const story = await readStory('id-1', texts(CALL, REFUSED, OTHER, 'noise', '', ADMISSION))
     expect(story).toMatchObject({ read: 5, skipped: 1 })
     expect(formatStory(story)).toEqual([
@@ -73,7 +75,7 @@
   })
 
   test.each([
-    ['no line speaks of the request', ['id-404', '--logs', '-'], ExitCode.NotFound, 'none of the 1 lines speaks of id-404'],
+    ['no line names the request', ['id-404', '--logs', '-'], ExitCode.NotFound, 'none of the 1 lines speaks of id-404'],
     ['a file cannot be read', ['id-1', '--logs', 'no-such.log'], ExitCode.BadInput, 'no-such.log'],
   ])('says what to do where %s', async (_name, parameters, exitCode, message) => {
     const result = await explain(['explain', ...parameters], `${OTHER}\n`)
