--- a/test/pages/pages.test.ts
+++ b/test/pages/pages.test.ts
@@ -51,6 +51,10 @@
     expect(unknown(FILE_PATH, existsInRepository)).toEqual([])
   })
 
+  test('name files by their path from the root, or by their name alone', () => {
+    expect(unknown(/^[\w./-]+\/[\w.-]+\.(?:ts|mjs|md|toml|ini)$/, text => FILE_PATH.test(text))).toEqual([])
+  })
+
   test('name modules that exist where they leave their folder out', () => {
     const names = new Set(repositoryFiles().map(file => path.posix.basename(file)))
     expect(unknown(BARE_FILE, name => names.has(name))).toEqual([])
