--- a/packages/command-line/src/object-file.ts
+++ b/packages/command-line/src/object-file.ts
@@ -5,10 +5,11 @@
 import type { SettingsFault } from '@eidermast/common'
 import type { ObjectValues } from '@eidermast/daemon'
 import type { Result } from 'ts-results-es'
+import { loadSettingsFile, parseSettingsText } from '@eidermast/common'
 import { ObjectKind, objectSchemas } from '@eidermast/daemon'
 import { Err, Ok } from 'ts-results-es'
 import { z } from 'zod'
-import { checkIni, commaSeparated, describeUnreadable, readText } from './ini-file.js'
+import { commaSeparated } from './settings.js'
 
 const NUMBER_RULE = 'a number'
 const numberText = z.string({ error: NUMBER_RULE }).regex(/^\d+(?:\.\d+)?$/, NUMBER_RULE).transform(Number)
@@ -75,18 +76,11 @@
 
 /** Reads and checks an object file; names every fault. */
 export function loadObjectFile<Kind extends FileKind>(kind: Kind, file: string): Result<ObjectValues[Kind], SettingsFault[]> {
-  return readText(file)
-    .andThen(text => file.endsWith('.json') ? parseJson(text, file) : checkIni(fileSchemas[kind], text))
-    .andThen(value => checkValue(kind, value))
-}
-
-function parseJson(text: string, file: string): Result<unknown, SettingsFault[]> {
-  try {
-    return Ok(JSON.parse(text))
-  }
-  catch (error) {
-    return Err([describeUnreadable(file, error)])
-  }
+  const isJson = file.endsWith('.json')
+  return loadSettingsFile(file, (text) => {
+    const value = isJson ? Ok(JSON.parse(text) as unknown) : parseSettingsText(text, fileSchemas[kind])
+    return value.andThen(raw => checkValue(kind, raw))
+  })
 }
 
 function checkValue<Kind extends FileKind>(kind: Kind, value: unknown): Result<ObjectValues[Kind], SettingsFault[]> {
--- a/packages/command-line/src/settings.ts
+++ b/packages/command-line/src/settings.ts
@@ -4,17 +4,23 @@
  */
 import type { SettingsFault } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
+import { loadSettingsFile, optionalSection, parseSettingsText, textSetting } from '@eidermast/common'
 import { z } from 'zod'
-import { checkIni, commaSeparated, readText } from './ini-file.js'
+
+/** Values of one key, separated by commas. */
+export function commaSeparated(rule: string): z.ZodType<string[]> {
+  return z.string({ error: rule })
+    .transform(value => value.split(',').map(part => part.trim()).filter(part => part !== ''))
+}
 
 const URL_RULE = 'a URL such as http://10.0.0.1:8080, without a path'
-const url = z.string({ error: URL_RULE }).regex(/^https?:\/\/[^\s/]+$/, URL_RULE)
+const url = textSetting(URL_RULE, /^https?:\/\/[^\s/]+$/)
 const urls = commaSeparated('URLs, separated by commas')
 
 const settingsSchema = z.strictObject({
   platform: z.strictObject({ 'log': url, 'virtual-machines': url }),
   peers: z.strictObject({ key: z.string({ error: 'the key of the system\'s processes' }).min(1) }),
-  callers: z.preprocess(value => value ?? {}, z.strictObject({ entries: urls.default([]) })),
+  callers: optionalSection(z.strictObject({ entries: urls.default([]) })),
 })
 
 /** Checked settings of the command line. */
@@ -22,5 +28,5 @@
 
 /** Reads and checks a settings file; names every fault. */
 export function loadCommandLineSettings(file: string): Result<CommandLineSettings, SettingsFault[]> {
-  return readText(file).andThen(text => checkIni(settingsSchema, text))
+  return loadSettingsFile(file, text => parseSettingsText(text, settingsSchema))
 }
