--- a/packages/command-line/src/commands/load-command.ts
+++ b/packages/command-line/src/commands/load-command.ts
@@ -12,6 +12,9 @@
 import { globalOptions, requireConfiguration, requireSettings, withOperator } from './command-context.js'
 import { exampleHelp } from './examples.js'
 
+const DESCRIPTION = 'send requests of every published template and plain service, '
+  + 'at planned times whether or not earlier ones were answered, and report how they ended'
+
 interface LoadOptions {
   /** Requests a second. */
   rate: number
@@ -25,12 +28,13 @@
 /** Seconds; a first look. */
 const DEFAULT_SECONDS = 10
 
+/** Any number serves; a fixed one makes two runs send the same. */
 const DEFAULT_SEED = 1
 
 /** Adds the command `load`. */
 export function addLoadCommand(program: Command): void {
   program.command('load')
-    .description('send requests of every published template and plain service, at planned times whether or not earlier ones were answered, and report how they ended')
+    .description(DESCRIPTION)
     .option('--rate <n>', 'requests a second', parsePositive, DEFAULT_RATE)
     .option('--seconds <n>', 'how long requests are sent', parsePositive, DEFAULT_SECONDS)
     .option('--seed <n>', 'seed of arrivals and mix; the same seed sends the same requests', parsePositive, DEFAULT_SEED)
--- a/packages/command-line/src/operator.ts
+++ b/packages/command-line/src/operator.ts
@@ -115,7 +115,7 @@
     ])
   }
 
-  /** Decisions about a request, from every process that kept some, oldest first; undefined where neither the VM list nor the log answers. */
+  /** Decisions about a request, from every process that kept some, oldest first; undefined as for `status`. */
   async explain(requestId: string): Promise<Decision[] | undefined> {
     const { entries, sides } = await this.addresses()
     if (!entries && !sides)
--- a/packages/stand-ins/src/daemon-status.ts
+++ b/packages/stand-ins/src/daemon-status.ts
@@ -68,7 +68,10 @@
   }
 }
 
-async function readStatus<Client>(peer: PeerConnection<Client>, query: (client: Client) => Promise<ProcessStatus>): Promise<ProcessStatus | undefined> {
+async function readStatus<Client>(
+  peer: PeerConnection<Client>,
+  query: (client: Client) => Promise<ProcessStatus>,
+): Promise<ProcessStatus | undefined> {
   const result = await callPeer(peer, query, STATUS_TIMEOUT_MS)
   peer.close()
   return result.state === CallState.Answered ? result.value : undefined
--- a/packages/stand-ins/src/first-configuration.ts
+++ b/packages/stand-ins/src/first-configuration.ts
@@ -16,7 +16,9 @@
  */
 export function createFirstConfiguration(deployment: Deployment, addressOf: (name: string) => string): ChangeRecord[] {
   const { templates, accounts, pools } = deployment
-  const backends = pools.flatMap(pool => Array.from({ length: pool.replicas }, (_, index) => createBackend(deployment, pool, index, addressOf)))
+  const backends = pools.flatMap((pool) => {
+    return Array.from({ length: pool.replicas }, (_, index) => createBackend(deployment, pool, index, addressOf))
+  })
   return [
     ...templates.map(template => createChange(ObjectKind.Template, template.name, template.value)),
     ...accounts.map(account => createChange(ObjectKind.Account, account.name, account.value)),
--- a/packages/stand-ins/src/stand-in.ts
+++ b/packages/stand-ins/src/stand-in.ts
@@ -1,8 +1,8 @@
-import type { BackendKind } from './backend-service.js'
 /**
  * Runs one stand-in as a process of its own; prints its URL as one JSON line
  * once it listens. The launcher starts it.
  */
+import type { BackendKind } from './backend-service.js'
 import type { StandInService } from './http-service.js'
 import { wait } from '@eidermast/common'
 import { Command } from 'commander'
--- a/packages/stand-ins/src/system.ts
+++ b/packages/stand-ins/src/system.ts
@@ -7,7 +7,9 @@
 import { RunningSystem } from './running-system.js'
 
 const program = new Command('system')
-  .addOption(new Option('--deployment <name>', 'which deployment to run').choices(Object.values(DeploymentName)).default(DeploymentName.Coventry))
+  .addOption(new Option('--deployment <name>', 'which deployment to run')
+    .choices(Object.values(DeploymentName))
+    .default(DeploymentName.Coventry))
 program.parse()
 
 const { deployment } = program.opts<{ deployment: DeploymentName }>()
