--- a/test/gateway/members.test.ts
+++ b/test/gateway/members.test.ts
@@ -24,6 +24,8 @@
 
 const ALIVE: HeartbeatReply = { version: 1, stopping: false }
 
+const BOTH_ALIVE = { 'gateway-a': ALIVE, 'gateway-b': ALIVE }
+
 function createMembers(self = 'gateway-c') {
   const peers = new FakePeers()
   const versions: number[] = []
@@ -35,7 +37,7 @@
 }
 
 /** Members that have known each other for a while; `gateway-a` coordinates if it answers. */
-async function createSettledMembers(replies: Record<string, PeerBehaviour> = { 'gateway-a': ALIVE, 'gateway-b': ALIVE }, self = 'gateway-c', settledMs = 1500) {
+async function createSettledMembers(replies: Record<string, PeerBehaviour> = BOTH_ALIVE, self = 'gateway-c', settledMs = 1500) {
   const created = createMembers(self)
   for (const [name, reply] of Object.entries(replies))
     created.peers.replies.set(name, reply)
--- a/test/platform/codecs.test.ts
+++ b/test/platform/codecs.test.ts
@@ -34,13 +34,13 @@
 })
 
 describe('a client\'s head', () => {
-  test('passes on everything but what concerns one connection or is the system\'s own', () => {
+  test('passes on all headers but those of one connection and those that the system sets', () => {
     const head = clientCodec.readHead(['Host', 'h', 'Attempt-Id', 'id', 'Connection', 'keep-alive, X-Hop', 'X-Hop', '1', 'X-Other', '2', 'Tenant', 'forged', 'Expected-Replica', 'forged', 'Api-Key', 'secret', 'Deadline-Ms', '700']).unwrap()
     expect(head.headers).toEqual([['Host', 'h'], ['Attempt-Id', 'id'], ['X-Other', '2']])
     expect(head).toMatchObject({ requestId: 'id', key: 'secret', deadlineMs: 700 })
   })
 
-  test('tells the parts of the prompt and the items of each stage', () => {
+  test('gives the parts of the prompt and the items of each stage', () => {
     const head = clientCodec.readHead(['Attempt-Id', 'id', 'Prompt-Prefix', 'aa:800,bb:41', 'Chunk-Count', '2,0,6']).unwrap()
     expect(head.promptParts).toEqual([{ id: 'aa', tokens: 800 }, { id: 'bb', tokens: 41 }])
     expect(head.stageItems).toEqual([2, 0, 6])
@@ -72,7 +72,7 @@
 describe('a call to a backend server', () => {
   const call: BackendCall = { requestId: 'id', method: 'POST', path: '/a/', headers: [['Attempt-Id', 'id'], ['Host', 'h']], body: undefined, remainingMs: 640 }
 
-  test('names the backend server that is meant and the time left', () => {
+  test('names the backend server that it is for and the time left', () => {
     const headers = new Map(backendCodec.encode(new Backend(createRecord({ id: 'i-1' })), call))
     expect(headers.get('Expected-Replica')).toBe('i-1')
     expect(headers.get('Deadline-Ms')).toBe('640')
@@ -90,11 +90,11 @@
     ['a refusal', 503, { 'not-executed': '1' }, CallFailureKind.Refused],
     ['a lost input', 409, { 'not-executed': '1' }, CallFailureKind.InputGone],
     ['another backend server at the address', 421, {}, CallFailureKind.Misdirected],
-  ])('tells %s', (_name, status, headers, failure) => {
+  ])('gives the failure of %s', (_name, status, headers, failure) => {
     expect(backendCodec.decode(status, { 'attempt-id': 'id', ...headers }).failure).toBe(failure)
   })
 
-  test('reads the load, and passes over one that is none', () => {
+  test('gives the load, and none where it cannot be read', () => {
     expect(backendCodec.decode(200, { 'replica-load': '3,1,8' }).load).toEqual({ running: 3, waiting: 1, capacity: 8 })
     expect(backendCodec.decode(200, { 'replica-load': 'x' }).load).toBeUndefined()
   })
--- a/test/platform/gateways.test.ts
+++ b/test/platform/gateways.test.ts
@@ -8,14 +8,28 @@
 import { makeStageResults, STAGE_LIMITS } from './support/stand-in-stages.js'
 import { StandInStore, StoreFault } from './support/stand-in-store.js'
 
+const SERVICES = [
+  { Name: 'model', MaxConnections: 40, Engine: { Capacity: 8, KvCapacityTokens: 1000 } },
+  { Name: 'encode', MaxConnections: 40, Segments: STAGE_LIMITS },
+]
 const LIMITS = { MaxHeaderBytes: 8000, MaxBodyBytes: 1000, HeaderTimeoutMs: 3000, IdleTimeoutMs: 5000 }
-const ROUTE = { Name: 'staged', Host: 'host.example', PathPrefix: '/staged/', Type: 'streaming', Service: 'model', TimeoutMs: 8000, TargetLatencyMs: 4000, MaxAttempts: 1, Phases: [{ Service: 'encode', WatchRevision: [], SizeBytes: 1000 }] }
+const ROUTE = {
+  Name: 'staged',
+  Host: 'host.example',
+  PathPrefix: '/staged/',
+  Type: 'streaming',
+  Service: 'model',
+  TimeoutMs: 8000,
+  TargetLatencyMs: 4000,
+  MaxAttempts: 1,
+  Phases: [{ Service: 'encode', WatchRevision: [], SizeBytes: 1000 }],
+}
 
 function createConfiguration(version: number, routes: object[] = [ROUTE]) {
   return {
     Version: version,
     Routes: routes,
-    Services: [{ Name: 'model', MaxConnections: 40, Engine: { Capacity: 8, KvCapacityTokens: 1000 } }, { Name: 'encode', MaxConnections: 40, Segments: STAGE_LIMITS }],
+    Services: SERVICES,
     Limits: LIMITS,
   }
 }
@@ -54,7 +68,8 @@
 })
 
 function send(gateway: StartedGateway, id: string) {
-  return request(`${gateway.address}/staged/x`, { method: 'POST', headers: { 'host': 'host.example', 'attempt-id': id, 'deadline-ms': '7000', 'chunk-count': '2', 'chunk-key': 'key' }, body: 'body' })
+  const headers = { 'host': 'host.example', 'attempt-id': id, 'deadline-ms': '7000', 'chunk-count': '2', 'chunk-key': 'key' }
+  return request(`${gateway.address}/staged/x`, { method: 'POST', headers, body: 'body' })
 }
 
 function stageCalls(): SeenRequest[] {
--- a/test/platform/support/stand-in-store.ts
+++ b/test/platform/support/stand-in-store.ts
@@ -23,6 +23,7 @@
   Silent = 'silent',
 }
 
+/** Milliseconds for which a read is held where no record waits. */
 const HOLD_MS = 200
 
 /** Keyed topics in memory. */
@@ -52,7 +53,7 @@
   }
 
   put(topic: string, key: string, value: unknown): void {
-    this.records(topic).push({ key, value: value === undefined ? Buffer.alloc(0) : Buffer.from(typeof value === 'string' ? value : JSON.stringify(value)) })
+    this.records(topic).push({ key, value: encodeValue(value) })
   }
 
   /** Forgets the records so far; the newest of each key stay. */
@@ -61,7 +62,8 @@
   }
 
   newestOf(topic: string): Map<string, string> {
-    return new Map(this.records(topic).filter((record, index, all) => all.findLastIndex(other => other.key === record.key) === index && record.value.length > 0).map(record => [record.key, record.value.toString()]))
+    const newest = new Map(this.records(topic).map(record => [record.key, record.value.toString()]))
+    return new Map([...newest].filter(([, value]) => value !== ''))
   }
 
   private async handle(url: URL, body: Buffer, response: ServerResponse): Promise<void> {
@@ -119,6 +121,13 @@
   }
 }
 
+/** Text as it is, all else as JSON; undefined drops the key. */
+function encodeValue(value: unknown): Buffer {
+  if (value === undefined)
+    return Buffer.alloc(0)
+  return Buffer.from(typeof value === 'string' ? value : JSON.stringify(value))
+}
+
 function encode(record: StoredRecord): Buffer {
   const key = Buffer.from(record.key)
   const length = Buffer.alloc(5)
--- a/test/soak/gateway-soak.test.ts
+++ b/test/soak/gateway-soak.test.ts
@@ -67,6 +67,12 @@
   return sent.body === whole ? undefined : `${sent.id} got ${JSON.stringify(sent.body)} as whole`
 }
 
+function waitUntilReady({ gateways }: SoakDeployment): Promise<void> {
+  return vi.waitFor(async () => {
+    expect(await Promise.all(gateways.map(gateway => gateway.isReady()))).not.toContain(false)
+  }, { timeout: 30_000, interval: 100 })
+}
+
 describe('a soak of gateways as processes', () => {
   beforeAll(async () => {
     await import('../../platform/build.mjs' as string)
@@ -78,16 +84,15 @@
     await deployment.start()
     const clients = new SoakClients(deployment.gateways, draw)
     const faults: (Promise<void> | void)[] = []
-    const allReady = (): Promise<void> => vi.waitFor(async () => expect(await Promise.all(deployment.gateways.map(gateway => gateway.isReady()))).not.toContain(false), { timeout: 30_000, interval: 100 })
     try {
-      await allReady()
+      await waitUntilReady(deployment)
       clients.start()
       for (let step = 0; step < STEPS; step++) {
         faults.push(FAULTS[draw(FAULTS.length)](deployment, draw))
         await wait(STEP_MS)
       }
       await Promise.all(faults)
-      await allReady()
+      await waitUntilReady(deployment)
       await clients.stop()
       expect(clients.requests.map(sent => findFault(sent, deployment.runsOf(sent.id))).filter(Boolean)).toEqual([])
       for (const kind of Object.values(RequestKind))
--- a/test/soak/support/soak-deployment.ts
+++ b/test/soak/support/soak-deployment.ts
@@ -27,6 +27,12 @@
   { ...ROUTE, Name: 'stream', PathPrefix: `/${RequestKind.Stream}/`, Type: 'streaming', Service: 'model', MaxAttempts: 2, StreamResume: true, Phases: [{ Service: 'encode', WatchRevision: [], SizeBytes: 1000 }] },
 ]
 
+const SERVICES = [
+  { Name: 'plain', MaxConnections: 60 },
+  { Name: 'model', MaxConnections: 60, Engine: { Capacity: 8, KvCapacityTokens: 1000 } },
+  { Name: 'encode', MaxConnections: 60, Segments: STAGE_LIMITS },
+]
+
 const delayed: Respond = async (seen, response) => {
   await wait(ANSWER_MS)
   await answerWhole()(seen, response)
@@ -42,8 +48,8 @@
 
   async start(): Promise<void> {
     const address = await this.store.start()
-    const responds: Record<string, Respond> = { plain: delayed, model: streamEvents(STREAM_EVENTS), encode: makeStageResults() }
-    for (const [service, respond] of Object.entries(responds)) {
+    const services: Record<string, Respond> = { plain: delayed, model: streamEvents(STREAM_EVENTS), encode: makeStageResults() }
+    for (const [service, respond] of Object.entries(services)) {
       for (let number = 0; number < BACKENDS_EACH; number++)
         await this.addBackend(service, number, respond)
     }
@@ -63,7 +69,7 @@
     this.store.put('keyed.op', 'config', {
       Version: ++this.version,
       Routes: ROUTES,
-      Services: [{ Name: 'plain', MaxConnections: 60 }, { Name: 'model', MaxConnections: 60, Engine: { Capacity: 8, KvCapacityTokens: 1000 } }, { Name: 'encode', MaxConnections: 60, Segments: STAGE_LIMITS }],
+      Services: SERVICES,
       Limits: { MaxHeaderBytes: 8000, MaxBodyBytes: 1000, HeaderTimeoutMs: 3000, IdleTimeoutMs: 5000 },
     })
   }
@@ -75,7 +81,8 @@
 
   /** Runs of a request that backend servers began. */
   runsOf(id: string): number {
-    return this.backends.filter(backend => backend.service !== 'encode').flatMap(backend => backend.seen).filter(seen => seen.headers['attempt-id'] === id).length
+    const seen = this.backends.filter(backend => backend.service !== 'encode').flatMap(backend => backend.seen)
+    return seen.filter(request => request.headers['attempt-id'] === id).length
   }
 
   private async addBackend(service: string, number: number, respond: Respond): Promise<void> {
