--- a/test/pages/operations-page.test.ts
+++ b/test/pages/operations-page.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest'
 import { codeSpans, readFromRoot } from './support/pages.js'
-import { readSources } from './support/sources.js'
+import { readSources, sourceModules } from './support/sources.js'
 
 const PAGE = 'docs/OPERATIONS.md'
 const sources = readSources()
@@ -29,6 +29,15 @@
   expect(events.filter(name => !sources.includes(`'${name}'`))).toEqual([])
 })
 
+test('the operations page names every event of entries and sides', () => {
+  const daemon = sourceModules().filter(file => file.startsWith('packages/daemon/') || file.endsWith('/ejection.ts')).map(readFromRoot).join('\n')
+  const firstArguments = [...daemon.matchAll(/\b(?:log|record)\(([^,)]+)/g)].map(match => match[1])
+  const written = new Set(firstArguments.flatMap(text => [...text.matchAll(/'([a-z-]+)'/g)].map(match => match[1])))
+  const named = new Set(rowsUnder('namespace').flatMap(row => namesIn(row, 2)))
+  expect(written.size).toBeGreaterThan(30)
+  expect([...written].filter(event => !named.has(event))).toEqual([])
+})
+
 test('the operations page names only kinds of errors that there are, with their statuses', () => {
   const rows = rowsUnder('kind').filter(row => namesIn(row, 1).length > 0)
   expect(rows.length).toBeGreaterThan(10)
--- a/test/pages/support/sources.ts
+++ b/test/pages/support/sources.ts
@@ -55,9 +55,10 @@
 
 function askForHelp(program: string, command: readonly string[]): CommandHelp {
   const text = execFileSync(process.execPath, [path.join(ROOT, program), ...command, '--help'], { encoding: 'utf8' })
-  const [, commands = ''] = text.split('\nCommands:\n')
+  const [, afterHeading = ''] = text.split('\nCommands:\n')
+  const [list] = afterHeading.split('\n\n')
   return {
-    commands: [...commands.matchAll(/^ {2}([a-z]+)/gm)].map(match => match[1]),
+    commands: [...list.matchAll(/^ {2}([a-z]+)/gm)].map(match => match[1]),
     options: [...text.matchAll(/--[a-z]+(?:-[a-z]+)*/g)].map(match => match[0]),
   }
 }
