--- a/packages/daemon/src/request/account-load.ts
+++ b/packages/daemon/src/request/account-load.ts
@@ -1,5 +1,6 @@
 /**
- * Requests in flight by client account, with the accounts' weights.
+ * Requests in flight by client account, with the accounts' weights. One count
+ * an entry and kind of work, in memory, for as long as its requests last.
  */
 
 interface ActiveAccount {
@@ -32,6 +33,7 @@
     return share / sum
   }
 
+  /** Counts a request that begins; the newest weight of its account counts. */
   add(account: string, share: number): void {
     const active = this.accounts.get(account) ?? { inFlight: 0, share }
     active.inFlight++
@@ -40,6 +42,7 @@
     this.count++
   }
 
+  /** Counts a request that has ended. */
   remove(account: string): void {
     const active = this.accounts.get(account)
     if (!active)
--- a/packages/daemon/src/request/admission.ts
+++ b/packages/daemon/src/request/admission.ts
@@ -1,23 +1,41 @@
 /**
- * Admission at the entry: what is taken in and what is shed, early and with a
- * time to come back.
+ * Decides which requests an entry takes in and which it sheds at once, with a
+ * time after which to retry.
+ *
+ * Inputs: this entry's requests in flight, all and of the account, as of now;
+ * the account's part of the weights in flight; the deadline (ms); the expected
+ * time of the stages and of their waits (ms, from the newest load reports, see
+ * `plan-estimate.ts`).
+ * Rule (`deadline`): sheds over the limit in flight, without a backend server
+ * for a stage, and when the expected time exceeds the deadline. When waits
+ * exceed CONGESTED_SHARE of the deadline, an account that has more in flight
+ * than its share, with SHARE_SLACK and at least MIN_ACCOUNT_IN_FLIGHT, is shed.
+ * Why: a request that will miss its deadline takes time from one that would not.
+ * Shares bind only under congestion, so that a single busy account may use what
+ * nobody else asks for.
+ * Set by: commit 791300d measured the candidates together (burst of one account:
+ * attainment 0.912 to 0.998, overload 2.0: 0.717 to 0.836, one run of 7 s each);
+ * the constants apart were not measured.
+ * Log events: `admit`, `shed`.
  */
 import type { RequestError } from '@eidermast/common'
 import { createError, ErrorKind } from '@eidermast/common'
 
 /** What admission looks at. */
 export interface AdmissionView {
-  /** Requests in flight at this entry. */
+  /** Requests in flight at this entry, of this kind of work. */
   inFlight: number
+  /** Requests that may be in flight. */
   inFlightLimit: number
   /** Requests in flight of the same client account. */
   accountInFlight: number
   /** The account's part of the weights of accounts that have requests in flight, itself included. */
   accountShare: number
+  /** Milliseconds from arrival. */
   deadlineMs: number
-  /** Expected time of all stages, waits included; undefined where a stage has no backend server. */
+  /** Expected milliseconds of all stages, waits included; undefined where a stage has no backend server. */
   expectedMs: number | undefined
-  /** Expected wait in queues. */
+  /** Expected milliseconds of waits in queues. */
   expectedWaitMs: number
 }
 
@@ -30,22 +48,23 @@
 function refuseOverLimit(view: AdmissionView): RequestError | undefined {
   if (view.inFlight < view.inFlightLimit)
     return undefined
-  return createError(ErrorKind.Overloaded, 'This entry has no room for another request; come back after the given time.', { retryAfterMs: view.expectedWaitMs })
+  const message = 'This entry has no room for another request; come back after the given time.'
+  return createError(ErrorKind.Overloaded, message, { retryAfterMs: view.expectedWaitMs })
 }
 
-/** The baseline: whatever fits into memory. */
+/** The baseline, for the setting `admission = all`: whatever fits into memory. */
 export class AdmitAll implements AdmissionPolicy {
   decide(view: AdmissionView): RequestError | undefined {
     return refuseOverLimit(view)
   }
 }
 
-/** Part of the deadline that waits may take before accounts are held to their shares. */
-const CONGESTED_PART = 0.3
-/** An account may exceed its share by this factor before it is shed. */
+/** Share of the deadline that waits may take. Not measured: half binds shares before anybody is late, twice only after many are. */
+const CONGESTED_SHARE = 0.3
+/** Times its share that an account may have. Not measured: half sheds accounts within their share, twice lets one take all. */
 const SHARE_SLACK = 1.25
-/** Requests that an account may always have in flight. */
-const SHARE_FLOOR = 4
+/** Requests. Not measured: half sheds small accounts for two requests at once, twice favours many small accounts. */
+const MIN_ACCOUNT_IN_FLIGHT = 4
 
 /** Sheds what cannot meet its deadline and, when waits grow, what exceeds an account's share. */
 export class DeadlineAdmission implements AdmissionPolicy {
@@ -56,16 +75,18 @@
     if (view.expectedMs === undefined)
       return createError(ErrorKind.NoBackend, 'No backend server takes work for one of the stages; come back after the given time.')
     if (view.expectedMs > view.deadlineMs) {
-      return createError(ErrorKind.DeadlineUnreachable, 'The deadline cannot be met with the work at hand; come back after the given time or set a longer deadline.', { retryAfterMs: Math.max(view.expectedMs - view.deadlineMs, 1) })
+      const message = 'The deadline cannot be met with the work at hand; come back after the given time or set a longer deadline.'
+      return createError(ErrorKind.DeadlineUnreachable, message, { retryAfterMs: Math.max(view.expectedMs - view.deadlineMs, 1) })
     }
-    if (this.exceedsShare(view))
-      return createError(ErrorKind.AccountOverShare, 'The client account has more requests in flight than its share; come back after the given time.', { retryAfterMs: view.expectedWaitMs })
-    return undefined
+    if (!exceedsShare(view))
+      return undefined
+    const message = 'The client account has more requests in flight than its share; come back after the given time.'
+    return createError(ErrorKind.AccountOverShare, message, { retryAfterMs: view.expectedWaitMs })
   }
+}
 
-  private exceedsShare(view: AdmissionView): boolean {
-    const congested = view.expectedWaitMs > view.deadlineMs * CONGESTED_PART
-    const fairPart = Math.max(SHARE_FLOOR, (view.inFlight + 1) * view.accountShare * SHARE_SLACK)
-    return congested && view.accountInFlight + 1 > fairPart
-  }
+function exceedsShare(view: AdmissionView): boolean {
+  const congested = view.expectedWaitMs > view.deadlineMs * CONGESTED_SHARE
+  const fairInFlight = Math.max(MIN_ACCOUNT_IN_FLIGHT, (view.inFlight + 1) * view.accountShare * SHARE_SLACK)
+  return congested && view.accountInFlight + 1 > fairInFlight
 }
--- a/packages/daemon/src/request/authority/claims.ts
+++ b/packages/daemon/src/request/authority/claims.ts
@@ -1,50 +1,39 @@
 /**
- * Claims: authority to run an unrepeatable request whose id the caller made.
- * The first claim of a request in the log's order wins, and only the process
- * life that made it runs the request. A claim has no lease that could lapse;
- * its holder may release it only if it dispatched nothing and never will.
+ * Decides which process life may run an unrepeatable request whose id the
+ * caller made.
+ *
+ * Inputs: the claim stream of the platform's log in the log's order, as far as
+ * this entry has read it (at most CURRENT_MS old, or it is not used to run
+ * anything); what became of this entry's own appends.
+ * Rule: the first claim of a request in the log's order wins, and only the
+ * process life that made it runs the request. It knows that it has won when it
+ * reads its own claim back, never from the acknowledgement. A claim has no lease
+ * that could lapse; its holder may release it only if it dispatched nothing and
+ * never will.
+ * Why: with a lease, a paused holder would run a request that another took over.
+ * The read-back settles every lost acknowledgement, and the id of the claim
+ * keeps a late release from ending a newer claim of the same entry.
+ * Set by: the interplay is fuzzed in test/request/claims.test.ts; the constants
+ * were not measured apart.
+ * Log events: `claim` (decisions of a request), `release`, `append-refused`,
+ * `append-in-doubt`, `stream-unreadable`, `record-unreadable` (namespace
+ * `eidermast:claim`).
+ *
+ * State: the claims of the last `memoryMs` and this entry's claims in doubt, in
+ * memory; a restarted entry reads the stream again, and the requests of the old
+ * process life stay claimed by it, so that they never run twice.
  */
 import type { LogClient, LogPage } from '../../version/log.js'
+import type { Claim, ClaimRecord } from './claim-records.js'
 import { createLogger, formatError, wait } from '@eidermast/common'
 import { v7 as uuidv7 } from 'uuid'
-import { z } from 'zod'
 import { createRequestKey, requestIdTime } from '../../connection/identity.js'
 import { CallFailure } from '../../version/call-error.js'
+import { ClaimAppender } from './claim-appender.js'
+import { CLAIM_STREAM, ClaimRecordKind, claimRecordSchema } from './claim-records.js'
 
 const log = createLogger('claim')
 
-/** Name of the log's stream that holds claims. */
-export const CLAIM_STREAM = 'claims'
-
-/** Kinds of records on the claim stream. */
-export enum ClaimRecordKind {
-  Claim = 'claim',
-  Release = 'release',
-}
-
-const claimRecordSchema = z.object({
-  record: z.enum(ClaimRecordKind),
-  /** Identity of one claim; a release names the claim it ends. */
-  claimId: z.uuid(),
-  account: z.string(),
-  requestId: z.uuid(),
-  incarnation: z.uuid(),
-  address: z.string(),
-})
-
-/** A record of the claim stream. */
-export type ClaimRecord = z.infer<typeof claimRecordSchema>
-
-/** Who holds a request's claim. */
-export interface Claim {
-  claimId: string
-  account: string
-  requestId: string
-  incarnation: string
-  address: string
-  offset: number
-}
-
 /** How a claim ended. */
 export enum ClaimResultKind {
   /** This process life holds the claim. */
@@ -82,32 +71,37 @@
   doubtMs: number
 }
 
-interface PendingClaim {
-  record: ClaimRecord
-  settle: (result: ClaimResult) => void
-}
-
+/** Milliseconds for which the log may hold a read open. Not measured: half doubles the idle reads of the log. */
 const READ_WAIT_MS = 2000
+/** Milliseconds since the stream was last read to its end: one read that found nothing, and 500 ms for its answer. Not measured. */
+const CURRENT_MS = READ_WAIT_MS + 500
+/** Records a read. Not measured: half doubles the reads of a starting entry, twice doubles the size of each answer. */
 const READ_LIMIT = 5000
+/** Milliseconds after a read that failed. Not measured: half asks a log that is out twice as often, twice finds it back later. */
 const READ_RETRY_MS = 100
-const RATE_RETRY_MS = 15
-const RATE_RETRIES = 4
-const TOO_MANY_REQUESTS = 429
-const EXPIRY_STEP = 32
+/** Claims looked at for each page read, so that expiry never stalls the process. Not measured: fewer than arrive would leave old ones. */
+const MAX_EXPIRY_STEPS = 32
+/** Claims are kept for this many times `memoryMs`: an id may be that old when it comes, and its repeat as much older. */
+const MEMORY_FACTOR = 2
 
 /** One entry's view of the claim stream, and its own claims. */
 export class ClaimRegistry {
   private readonly claims = new Map<string, Claim>()
   /** Claims of this process life that wait to be read back, by claim id. */
-  private readonly waiting = new Map<string, PendingClaim>()
+  private readonly waiting = new Map<string, (result: ClaimResult) => void>()
   /** Claims of this process life that will never be used, by claim id. */
   private readonly abandoned = new Set<string>()
-  private batch: PendingClaim[] = []
-  private flushing = false
+  private readonly appender: ClaimAppender
   private nextOffset = 0
   private lastReadAt: number | undefined
 
-  constructor(private readonly client: LogClient, private readonly options: ClaimRegistryOptions, private readonly now: () => number = Date.now) {}
+  constructor(
+    private readonly client: LogClient,
+    private readonly options: ClaimRegistryOptions,
+    private readonly now: () => number = Date.now,
+  ) {
+    this.appender = new ClaimAppender(client, options.batchMs, (records, failure) => this.takeAppended(records, failure))
+  }
 
   /** Number of claims remembered. */
   get size(): number {
@@ -121,7 +115,7 @@
 
   /** Whether the claim stream was read to its end a short while ago. */
   get current(): boolean {
-    return this.lastReadAt !== undefined && this.now() - this.lastReadAt < READ_WAIT_MS + 500
+    return this.lastReadAt !== undefined && this.now() - this.lastReadAt < CURRENT_MS
   }
 
   /** Who holds a request's claim, as far as this entry has read. */
@@ -134,15 +128,27 @@
     return this.abandoned.has(claim.claimId)
   }
 
+  /** Tails the claim stream until the signal aborts. */
+  async run(signal: AbortSignal): Promise<void> {
+    while (!signal.aborted) {
+      const waitMs = this.lastReadAt === undefined ? 0 : READ_WAIT_MS
+      const page = await this.client.read({ stream: CLAIM_STREAM, from: this.nextOffset, limit: READ_LIMIT, waitMs }, signal)
+      if (page.isOk()) {
+        this.apply(page.value)
+        continue
+      }
+      if (!signal.aborted)
+        log('stream-unreadable', { error: formatError(page.error) })
+      await wait(READ_RETRY_MS, signal)
+    }
+  }
+
   /** Claims a request; the result comes once the log's order says who holds it. */
   claim(account: string, requestId: string): ClaimAttempt {
     const { incarnation, address } = this.options
     const claimId = uuidv7()
-    const record: ClaimRecord = { record: ClaimRecordKind.Claim, claimId, account, requestId, incarnation, address }
-    const result = new Promise<ClaimResult>((settle) => {
-      this.batch.push({ record, settle })
-      void this.flush()
-    })
+    const result = new Promise<ClaimResult>(settle => this.waiting.set(claimId, settle))
+    this.appender.add({ record: ClaimRecordKind.Claim, claimId, account, requestId, incarnation, address })
     return { claimId, result }
   }
 
@@ -156,25 +162,14 @@
     log('release', { request: requestId, result: appended.isOk() ? 'appended' : formatError(appended.error) })
   }
 
-  /** Tails the claim stream until the signal aborts. */
-  async run(signal: AbortSignal): Promise<void> {
-    while (!signal.aborted) {
-      const waitMs = this.lastReadAt === undefined ? 0 : READ_WAIT_MS
-      const page = await this.client.read({ stream: CLAIM_STREAM, from: this.nextOffset, limit: READ_LIMIT, waitMs }, signal)
-      if (page.isErr()) {
-        await wait(READ_RETRY_MS, signal)
-        continue
-      }
-      this.apply(page.value)
-    }
-  }
-
   /** Applies records in the log's order. */
   apply(page: LogPage): void {
     for (const { offset, value } of page.records) {
       const parsed = claimRecordSchema.safeParse(value)
       if (parsed.success)
         this.applyRecord(offset, parsed.data)
+      else
+        log('record-unreadable', { offset })
       this.nextOffset = offset + 1
     }
     this.nextOffset = Math.max(this.nextOffset, page.firstOffset)
@@ -200,11 +195,11 @@
   /** A claim that is read back settles the one that waits for it. */
   private settle(claimId: string, winner: Claim): void {
     const won = winner.claimId === claimId
-    const pending = this.waiting.get(claimId)
+    const settle = this.waiting.get(claimId)
     this.waiting.delete(claimId)
-    if (pending)
-      return pending.settle(this.describe(won, winner))
-    if (won && this.abandoned.has(claimId))
+    if (settle)
+      settle(this.describe(won, winner))
+    else if (won && this.abandoned.has(claimId))
       void this.release(winner)
   }
 
@@ -215,69 +210,35 @@
     return this.abandoned.has(winner.claimId) ? { kind: ClaimResultKind.InDoubt } : { kind: ClaimResultKind.Lost, winner }
   }
 
-  /** Appends gathered claims, one append under way at a time. */
-  private async flush(): Promise<void> {
-    if (this.flushing)
-      return
-    this.flushing = true
-    while (this.batch.length > 0) {
-      await wait(this.options.batchMs)
-      const batch = this.batch
-      this.batch = []
-      await this.appendBatch(batch)
-    }
-    this.flushing = false
-  }
-
-  private async appendBatch(batch: PendingClaim[]): Promise<void> {
-    for (const pending of batch)
-      this.waiting.set(pending.record.claimId, pending)
-    const failure = await this.append(batch.map(pending => pending.record))
-    if (failure === CallFailure.NotTaken) {
-      log('append-refused', { claims: batch.length })
-      for (const pending of batch)
-        this.giveUp(pending, ClaimResultKind.Unavailable)
-      return
+  /** Claims that were refused end at once; the others wait to be read back, for a time. */
+  private takeAppended(records: readonly ClaimRecord[], failure: CallFailure | undefined): void {
+    const end = (kind: ClaimResultKind.Unavailable | ClaimResultKind.InDoubt): void => {
+      for (const { claimId } of records)
+        this.stopWaiting(claimId, kind)
     }
-    if (failure === CallFailure.InDoubt)
-      log('append-in-doubt', { claims: batch.length })
-    const timer = setTimeout(() => {
-      for (const pending of batch)
-        this.giveUp(pending, ClaimResultKind.InDoubt)
-    }, this.options.doubtMs)
+    if (failure === CallFailure.NotTaken)
+      return end(ClaimResultKind.Unavailable)
+    const timer = setTimeout(() => end(ClaimResultKind.InDoubt), this.options.doubtMs)
     timer.unref()
   }
 
-  /** Appends, again where the log refused for its rate. Returns how it failed. */
-  private async append(records: ClaimRecord[]): Promise<CallFailure | undefined> {
-    for (let attempt = 0; ; attempt++) {
-      const appended = await this.client.append(CLAIM_STREAM, records)
-      if (appended.isOk())
-        return undefined
-      if (appended.error.status !== TOO_MANY_REQUESTS || attempt >= RATE_RETRIES)
-        return appended.error.failure
-      await wait(RATE_RETRY_MS * (1 + attempt))
-    }
-  }
-
-  private giveUp(pending: PendingClaim, kind: ClaimResultKind.Unavailable | ClaimResultKind.InDoubt): void {
-    const { claimId } = pending.record
-    if (!this.waiting.delete(claimId))
+  private stopWaiting(claimId: string, kind: ClaimResultKind.Unavailable | ClaimResultKind.InDoubt): void {
+    const settle = this.waiting.get(claimId)
+    if (!settle)
       return
+    this.waiting.delete(claimId)
     // Should the claim still appear on the log, it is released then.
     if (kind === ClaimResultKind.InDoubt)
       this.abandoned.add(claimId)
-    pending.settle({ kind })
+    settle({ kind })
   }
 
   /** Drops a few claims whose request ids are too old to be used again. */
   private expire(): void {
-    const oldest = this.now() - this.options.memoryMs * 2
-    let looked = 0
+    const oldest = this.now() - this.options.memoryMs * MEMORY_FACTOR
+    let steps = 0
     for (const [key, claim] of this.claims) {
-      if (++looked > EXPIRY_STEP)
-        return
-      if (requestIdTime(claim.requestId) >= oldest)
+      if (++steps > MAX_EXPIRY_STEPS || requestIdTime(claim.requestId) >= oldest)
         return
       this.claims.delete(key)
       this.abandoned.delete(claim.claimId)
--- a/packages/daemon/src/request/authority/index.ts
+++ b/packages/daemon/src/request/authority/index.ts
@@ -1,3 +1,4 @@
+export * from './claim-records.js'
 export * from './claims.js'
 export * from './not-run-proof.js'
 export * from './outcome-finder.js'
--- a/packages/daemon/src/request/authority/not-run-proof.ts
+++ b/packages/daemon/src/request/authority/not-run-proof.ts
@@ -1,13 +1,24 @@
 /**
- * Proof that nothing of an unrepeatable request ran, for when the log cannot
- * say so: no claim was read here, and every entry that was listed since the
- * log was last read answers that it knows of none either.
+ * Decides whether nothing of an unrepeatable request ran, for when the log
+ * cannot say so.
+ *
+ * Inputs: the claims that this entry has read, and since when it has read none
+ * (ms); the entries that the VM list named since then; what each of them answers
+ * now.
+ * Rule: nothing ran only if no claim was read here, and every entry that was
+ * listed since the log was last read, LIST_LAG_MS included, answers that it
+ * knows of no claim and no run. One that does not answer disproves it.
+ * Why: a majority would not do, because a single entry may hold the claim that
+ * this one has not read.
+ * Set by: not measured; see LIST_LAG_MS.
+ * Log event: `answer`, field `ran`.
  */
 import type { EntryPeers } from '../../connection/entry-peers.js'
+import type { OutcomeReply } from '../../connection/messages.js'
 import type { ClaimRegistry } from './claims.js'
 import { OutcomeState } from '../../connection/messages.js'
 
-/** Milliseconds by which the VM list may lag behind. */
+/** Milliseconds that the VM list may lag behind. Not measured: half misses an entry that is listed late, twice asks more dead ones. */
 const LIST_LAG_MS = 30_000
 
 /** The entries that the platform's VM list named. */
@@ -34,14 +45,18 @@
   /** Whether nothing of a request has run anywhere. */
   async holds(account: string, requestId: string, key: string): Promise<boolean> {
     const { claims, machines, peers, address } = this.options
-    if (claims.find(key) || claims.readAt === undefined)
+    if (claims.find(key) || claims.readAt === undefined || !machines.hasRead)
       return false
     const unreadMs = Date.now() - claims.readAt + LIST_LAG_MS
     const others = machines.entryAddressesWithin(unreadMs).filter(other => other !== address)
-    if (!machines.hasRead)
-      return false
     const replies = await Promise.all(others.map(other => peers.askOutcome(other, { account, requestId })))
-    const allDeny = replies.every(reply => reply && !reply.claimed && (reply.state === OutcomeState.Unknown || reply.state === OutcomeState.NotRun))
-    return allDeny && claims.find(key) === undefined
+    return replies.every(deniesRun) && claims.find(key) === undefined
   }
 }
+
+/** Whether an entry answered that it knows of no claim and no run. */
+function deniesRun(reply: OutcomeReply | undefined): boolean {
+  if (!reply || reply.claimed)
+    return false
+  return reply.state === OutcomeState.Unknown || reply.state === OutcomeState.NotRun
+}
--- a/packages/daemon/src/request/authority/outcome-finder.ts
+++ b/packages/daemon/src/request/authority/outcome-finder.ts
@@ -1,14 +1,21 @@
 /**
- * Finds the outcome of a request that another process life has the authority
- * to run. Never runs anything.
+ * Finds the outcome of a request that another process life has the authority to
+ * run: passes it on, or asks the holder of its claim, and where that one is gone
+ * looks for the last stage's result at the sides. Never runs anything.
+ *
+ * Relies on the outcomes and claims of this entry, its connections to other
+ * entries and its links to sides. State: none of its own.
  */
 import type { RequestAnswer } from '../../connection/answer.js'
 import type { EntryPeers } from '../../connection/entry-peers.js'
+import type { DoneReply, ForwardedRequest } from '../../connection/messages.js'
 import type { DecisionRecorder } from '../decision-recorder.js'
 import type { IncomingRequest } from '../incoming-request.js'
 import type { OutcomeTable } from '../outcomes.js'
-import type { LinkedBackends } from '../stages/linked-backends.js'
-import type { Claim, ClaimRegistry } from './claims.js'
+import type { PlannedStage } from '../plan.js'
+import type { LinkedBackend, LinkedBackends } from '../stages/linked-backends.js'
+import type { Claim } from './claim-records.js'
+import type { ClaimRegistry } from './claims.js'
 import type { Ticket } from './tickets.js'
 import { createError, ErrorKind, settleWithin, UNABORTED } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
@@ -17,6 +24,7 @@
 import { createRequestKey, digestRequest } from '../../connection/identity.js'
 import { StageReplyKind } from '../../connection/messages.js'
 import { remainingMs } from '../incoming-request.js'
+import { RequestLog } from '../request-log.js'
 
 /** Parts of an outcome finder. */
 export interface OutcomeFinderOptions {
@@ -37,9 +45,19 @@
   deadlineMs: number
 }
 
+/** A side's finished result of a request's last stage. */
+interface FoundResult {
+  backendName: string
+  reply: DoneReply
+}
+
 /** Finds outcomes for one entry. */
 export class OutcomeFinder {
-  constructor(private readonly options: OutcomeFinderOptions) {}
+  private readonly log: RequestLog
+
+  constructor(private readonly options: OutcomeFinderOptions) {
+    this.log = new RequestLog(options.decisions)
+  }
 
   /** Answers another entry that asks for a request claimed here; never runs it. */
   async answerForPeer(request: PeerQuestion): Promise<RequestAnswer> {
@@ -50,60 +68,84 @@
       return Err(createError(ErrorKind.RequestIdReused, 'This request id was used for another request; make a new id.'))
     if (known) {
       const answer = await settleWithin(known.answer, deadlineMs, UNABORTED)
-      return (known.finished ?? answer) ?? Err(createError(ErrorKind.OutcomeUnknown, 'The request still runs or its answer is no longer kept; ask for its outcome with GET /v1/requests/{id}.'))
+      const advice = 'ask for its outcome with GET /v1/requests/{id}.'
+      return known.finished ?? answer ?? unknownOutcome(`The request still runs or its answer is no longer kept; ${advice}`)
     }
     const holder = this.options.claims.find(key)
-    if (holder && this.options.claims.isAbandoned(holder))
-      return Err(createError(ErrorKind.LogUnavailable, 'An earlier claim of this request is being released; come back after the given time.'))
-    return Err(createError(ErrorKind.OutcomeUnknown, 'The entry that took this request no longer knows its outcome; look at what it did before you send another.'))
+    if (holder && this.options.claims.isAbandoned(holder)) {
+      const message = 'An earlier claim of this request is being released; come back after the given time.'
+      return Err(createError(ErrorKind.LogUnavailable, message))
+    }
+    return unknownOutcome('The entry that took this request no longer knows its outcome; look at what it did before you send another.')
   }
 
-  /** Another process life holds the claim: asks it, then the sides of the last stage, and never runs the request. */
+  /** Another process life holds the claim: asks it, then the sides of the last stage. */
   async askHolder(incoming: IncomingRequest, requestId: string, holder: Claim): Promise<RequestAnswer> {
     const { account, plan, body } = incoming
     const deadlineMs = remainingMs(incoming)
     if (holder.incarnation === this.options.incarnation)
       return this.answerForPeer({ account, requestId, digest: digestRequest(plan.target, body), deadlineMs })
-    const { state, answer } = await this.options.peers.forward(holder.address, holder.incarnation, { account, requestId, target: plan.target, body, deadlineMs })
-    this.options.decisions.record('ask-holder', requestId, { holder: holder.incarnation, address: holder.address, state })
+    const request = { account, requestId, target: plan.target, body, deadlineMs }
+    const { state, answer } = await this.options.peers.forward(holder.address, holder.incarnation, request)
+    this.log.askedHolder(requestId, holder, state)
+    if (state === ForwardState.Answered)
+      return parseAnswer(answer)
+    const advice = 'look at what it did before you send another.'
+    return await this.findResult(incoming, requestId) ?? unknownOutcome(`Another entry took this request and cannot be asked; ${advice}`)
+  }
+
+  /** Passes a request on to the process life that made its ticket. */
+  async forward(incoming: IncomingRequest, requestId: string, ticket: Ticket): Promise<RequestAnswer> {
+    const { state, answer } = await this.options.peers.forward(ticket.address, ticket.incarnation, createForwarded(incoming, requestId))
+    this.log.forwarded(requestId, ticket.address, state)
     if (state === ForwardState.Answered)
       return parseAnswer(answer)
-    return await this.findResult(incoming, requestId) ?? Err(createError(ErrorKind.OutcomeUnknown, 'Another entry took this request and cannot be asked; look at what it did before you send another.'))
+    const advice = 'look at what the request did before you send another.'
+    return await this.findResult(incoming, requestId) ?? unknownOutcome(`The entry that made this ticket is gone; ${advice}`)
   }
 
   /** Looks for the last stage's result at the sides, whoever asked for it. */
   private async findResult(incoming: IncomingRequest, requestId: string): Promise<RequestAnswer | undefined> {
     const last = incoming.plan.stages.at(-1)!
-    const members = this.options.membership.list().filter(member => member.backend.service === last.service)
-    const replies = await Promise.all(members.map(async member => ({ member, reply: await member.link.findResult({ account: incoming.account, requestId, stage: last.name, body: incoming.body }) })))
-    for (const { member, reply } of replies) {
-      if (reply?.kind !== StageReplyKind.Done)
-        continue
-      const report = { stage: last.name, backend: member.backendName, milliseconds: reply.queueMs + reply.serviceMs, cost: 0, attempts: reply.identity.attempt }
-      return Ok({ requestId, output: reply.output, stages: [report], status: reply.status, contentType: reply.contentType })
-    }
-    return undefined
+    const backends = this.options.membership.list().filter(({ backend }) => backend.service === last.service)
+    const results = await Promise.all(backends.map(backend => askSide(backend, incoming, requestId, last)))
+    const found = results.find(result => result !== undefined)
+    if (!found)
+      return undefined
+    const { backendName, reply } = found
+    const milliseconds = reply.queueMs + reply.serviceMs
+    const report = { stage: last.name, backend: backendName, milliseconds, cost: 0, attempts: reply.identity.attempt }
+    return Ok({ requestId, output: reply.output, stages: [report], status: reply.status, contentType: reply.contentType })
   }
+}
 
-  /** Passes a request on to the process life that made its ticket. */
-  async forward(incoming: IncomingRequest, requestId: string, ticket: Ticket): Promise<RequestAnswer> {
-    const { account, plan, body, ticketText } = incoming
-    const [stage] = plan.stages
-    const deadlineMs = remainingMs(incoming)
-    const { state, answer } = await this.options.peers.forward(ticket.address, ticket.incarnation, {
-      account,
-      requestId,
-      target: plan.target,
-      pipeline: stage.serviceRequest ? undefined : plan.target,
-      service: stage.serviceRequest ? stage.service : undefined,
-      serviceRequest: stage.serviceRequest,
-      body,
-      deadlineMs,
-      ticket: ticketText,
-    })
-    this.options.decisions.record('forward', requestId, { address: ticket.address, state })
-    if (state === ForwardState.Answered)
-      return parseAnswer(answer)
-    return await this.findResult(incoming, requestId) ?? Err(createError(ErrorKind.OutcomeUnknown, 'The entry that made this ticket is gone; look at what the request did before you send another.'))
+async function askSide(
+  backend: LinkedBackend,
+  incoming: IncomingRequest,
+  requestId: string,
+  stage: PlannedStage,
+): Promise<FoundResult | undefined> {
+  const { account, body } = incoming
+  const reply = await backend.link.findResult({ account, requestId, stage: stage.name, body })
+  return reply?.kind === StageReplyKind.Done ? { backendName: backend.backendName, reply } : undefined
+}
+
+function createForwarded(incoming: IncomingRequest, requestId: string): ForwardedRequest {
+  const { account, plan, body, ticketText } = incoming
+  const [{ service, serviceRequest }] = plan.stages
+  return {
+    account,
+    requestId,
+    target: plan.target,
+    pipeline: serviceRequest ? undefined : plan.target,
+    service: serviceRequest ? service : undefined,
+    serviceRequest,
+    body,
+    deadlineMs: remainingMs(incoming),
+    ticket: ticketText,
   }
 }
+
+function unknownOutcome(message: string): RequestAnswer {
+  return Err(createError(ErrorKind.OutcomeUnknown, message))
+}
--- a/packages/daemon/src/request/authority/tickets.ts
+++ b/packages/daemon/src/request/authority/tickets.ts
@@ -1,6 +1,18 @@
 /**
- * Tickets: request ids made by an entry, bound to its process life. Only that
- * process life runs a request under its ticket, so at most once needs no log.
+ * Decides whether a ticket is genuine and whose process life may run the
+ * request under it.
+ *
+ * Inputs: the ticket as the caller sent it; the key that all entries share; the
+ * time now (epoch ms).
+ * Rule: a ticket names the process life that made it, its address and its end,
+ * under a keyed hash. Only that process life runs the request; other entries
+ * pass it on.
+ * Why: a claim needs the log, which may not answer; a process life that ends
+ * takes its tickets with it, so no request under one can run twice.
+ * Set by: the setting `ticket-lifetime-ms`.
+ * Log events: `forward`; refusals show as `ticket-invalid` in `answer`.
+ *
+ * State: none but the key; a ticket outlives its process only as a refusal.
  */
 import type { Result } from 'ts-results-es'
 import type { IssuedTicket } from '../../connection/caller-service.js'
@@ -27,8 +39,11 @@
 
 /** Options of a ticket office. */
 export interface TicketOfficeOptions {
+  /** Secret that all entries share. */
   key: string
+  /** This process life. */
   incarnation: string
+  /** This entry's address between processes, as `host:port`. */
   address: string
   /** Milliseconds for which a ticket may be used. */
   lifetimeMs: number
--- a/packages/daemon/src/request/incoming-request.ts
+++ b/packages/daemon/src/request/incoming-request.ts
@@ -29,3 +29,8 @@
 export function remainingMs(incoming: IncomingRequest): number {
   return incoming.arrivedAt + incoming.plan.deadlineMs - performance.now()
 }
+
+/** Whether another entry may get the same unrepeatable request: its caller made the id, and no ticket binds it to this entry. */
+export function needsClaim(incoming: IncomingRequest): boolean {
+  return incoming.plan.unrepeatable && incoming.requestId !== undefined && incoming.ticket === undefined
+}
--- a/packages/daemon/src/request/outcomes.ts
+++ b/packages/daemon/src/request/outcomes.ts
@@ -1,8 +1,16 @@
 /**
  * An entry's memory of requests: a repeat joins the running one or gets the
- * same answer. Answers are bounded by number, size and time. The key of an
- * unrepeatable request stays for its whole time, so that it never runs again
- * in this process life.
+ * same answer.
+ *
+ * Decides what is forgotten first: repeatable requests over the limit of number,
+ * size or time; then, over the limit of size, answers of unrepeatable ones,
+ * oldest first. The key of an unrepeatable request stays for its whole time, so
+ * that it never runs again in this process life; when there are as many keys as
+ * the limit, no further unrepeatable request is admitted (event `shed`).
+ *
+ * State: in memory, limits from the settings. When the process dies, its claims
+ * and tickets keep others from running what it may have run, and the answers
+ * are lost.
  */
 import type { RequestAnswer } from '../connection/answer.js'
 import { formatAnswer } from '../connection/answer.js'
@@ -15,17 +23,22 @@
   unrepeatable: boolean
   /** Resolves with the one answer. */
   answer: Promise<RequestAnswer>
+  /** Resolves the answer. */
   settle: (answer: RequestAnswer) => void
   /** The answer, once it is there and while it is kept. */
   finished?: RequestAnswer
   state: OutcomeState
+  /** Milliseconds of the table's clock. */
   finishedAt?: number
+  /** Memory that the answer is counted with. */
   bytes: number
 }
 
 /** Limits of the memory. */
 export interface OutcomeTableOptions {
+  /** Finished requests kept, repeatable and unrepeatable counted apart. */
   entries: number
+  /** Bytes of answers kept. */
   bytes: number
   /** Milliseconds for which answers are kept. */
   lifetimeMs: number
@@ -33,7 +46,10 @@
   unrepeatableLifetimeMs: number
 }
 
+/** Bytes of an answer beside its text. Not measured: half or twice shifts how many short answers fit into the limit. */
 const ANSWER_OVERHEAD_BYTES = 300
+/** Memory of one character, as V8 holds text that is not Latin-1. */
+const BYTES_PER_CHARACTER = 2
 
 /** The memory of one entry. */
 export class OutcomeTable {
@@ -52,11 +68,12 @@
   }
 
   /** Whether another unrepeatable request can be remembered for its whole time. */
-  get hasRoom(): boolean {
+  get hasCapacity(): boolean {
     this.evict()
     return this.unrepeatable.size < this.options.entries
   }
 
+  /** What is remembered of a request. */
   find(key: string): Outcome | undefined {
     return this.outcomes.get(key)
   }
@@ -77,7 +94,7 @@
     outcome.finished = answer
     outcome.state = state
     outcome.finishedAt = this.now()
-    outcome.bytes = formatAnswer(answer).length * 2 + ANSWER_OVERHEAD_BYTES
+    outcome.bytes = formatAnswer(answer).length * BYTES_PER_CHARACTER + ANSWER_OVERHEAD_BYTES
     outcome.settle(answer)
     this.bytes += outcome.bytes
     const finished = outcome.unrepeatable ? this.unrepeatable : this.repeatable
--- a/packages/daemon/src/request/plan.ts
+++ b/packages/daemon/src/request/plan.ts
@@ -1,6 +1,16 @@
 /**
- * What a request will do: its stages with the client account's versions and
- * adapters, its deadline and priority.
+ * Decides what a request will do: its stages with the client account's versions
+ * and adapters, its deadline and priority, and whether it runs at most once.
+ *
+ * Inputs: the pipeline's template or the plain service, the client account (both
+ * of the configuration in force when the request came), what the caller asked.
+ * Rule: the account's version and adapter go before the template's; the
+ * caller's deadline before the account's before the template's. A request is
+ * unrepeatable if the caller, the template or the account says so, or if it is a
+ * service call whose HTTP method is not idempotent.
+ * Why: the plan is fixed once, so that a change of the configuration never
+ * changes a request that has begun.
+ * Log event: `admit`, fields `target` and `deadlineMs`.
  */
 import type { ServiceRequest } from '../connection/messages.js'
 import type { Account, StageTemplate, Template } from '../version/objects.js'
@@ -13,6 +23,7 @@
   model?: string
   version?: string
   adapter?: string
+  /** In the operators' own unit. */
   costPerCall: number
   costPerMillisecond: number
   maxTokens: number
@@ -39,10 +50,12 @@
   unrepeatable: boolean
 }
 
-/** Default deadline of a plain service's call, in milliseconds. */
+/** Name of a plain service's one stage, in logs, metrics and stage identities. */
+const SERVICE_STAGE = 'call'
+/** Milliseconds, where a plain service's caller set none. Not measured: half fails slow services, twice holds callers of a dead one. */
 const SERVICE_DEADLINE_MS = 1000
 
-/** Methods that may be repeated by their definition in HTTP. */
+/** Idempotent methods (RFC 9110, section 9.2.2). */
 const REPEATABLE_METHODS = new Set(['GET', 'HEAD', 'PUT', 'DELETE', 'OPTIONS'])
 
 /** Plans a pipeline request. */
@@ -67,9 +80,9 @@
   }
 }
 
-/** Plans a call of a plain service: one stage, never behind model work. */
+/** Plans a call of a plain service: one stage, at high priority, so that it never waits behind model work. */
 export function planService(name: string, serviceRequest: ServiceRequest, account: Account, request: PlanRequest): RequestPlan {
-  const stage: PlannedStage = { name: 'call', service: name, costPerCall: 0, costPerMillisecond: 0, maxTokens: 1, serviceRequest }
+  const stage: PlannedStage = { name: SERVICE_STAGE, service: name, costPerCall: 0, costPerMillisecond: 0, maxTokens: 1, serviceRequest }
   return {
     target: name,
     stages: [stage],
--- /dev/null
+++ b/packages/daemon/src/request/request-log.ts
@@ -0,0 +1,65 @@
+/**
+ * The decisions on a whole request at its entry, one function an event. The
+ * lines go to the process's memory of decisions, where `eidermast explain`
+ * reads them.
+ */
+import type { RequestError } from '@eidermast/common'
+import type { RequestAnswer } from '../connection/answer.js'
+import type { ForwardState } from '../connection/entry-peers.js'
+import type { OutcomeState } from '../connection/messages.js'
+import type { AdmissionView } from './admission.js'
+import type { ClaimResultKind } from './authority/claims.js'
+import type { DecisionRecorder } from './decision-recorder.js'
+import type { IncomingRequest } from './incoming-request.js'
+import type { RequestEnd } from './request-metrics.js'
+
+/** Logs what was decided on requests. */
+export class RequestLog {
+  constructor(private readonly recorder: DecisionRecorder) {}
+
+  /** Event `repeat`: the request was known here already. */
+  repeated(requestId: string, state: OutcomeState): void {
+    this.recorder.record('repeat', requestId, { state })
+  }
+
+  /** Event `admit`, or `shed` with the kind of error. */
+  decidedAdmission(incoming: IncomingRequest, requestId: string, view: AdmissionView, refusal: RequestError | undefined): void {
+    this.recorder.record(refusal ? 'shed' : 'admit', requestId, {
+      account: incoming.account,
+      target: incoming.plan.target,
+      kind: refusal?.kind,
+      inFlight: view.inFlight,
+      accountInFlight: view.accountInFlight,
+      expectedMs: view.expectedMs,
+      deadlineMs: view.deadlineMs,
+    })
+  }
+
+  /** Event `claim`; the result is `over` where the request ended first. */
+  claimed(incoming: IncomingRequest, requestId: string, result: ClaimResultKind | 'over'): void {
+    this.recorder.record('claim', requestId, { account: incoming.account, result })
+  }
+
+  /** Event `ask-holder`: what came of asking the process life that holds the claim. */
+  askedHolder(requestId: string, holder: { incarnation: string, address: string }, state: ForwardState): void {
+    this.recorder.record('ask-holder', requestId, { holder: holder.incarnation, address: holder.address, state })
+  }
+
+  /** Event `forward`: what came of passing the request to the process life of its ticket. */
+  forwarded(requestId: string, address: string, state: ForwardState): void {
+    this.recorder.record('forward', requestId, { address, state })
+  }
+
+  /** Event `answer`; the time runs from the request's arrival, in milliseconds. */
+  answered(incoming: IncomingRequest, requestId: string, answer: RequestAnswer, end: RequestEnd, milliseconds: number): void {
+    const error = answer.isErr() ? answer.error : undefined
+    this.recorder.record('answer', requestId, {
+      target: incoming.plan.target,
+      account: incoming.account,
+      end,
+      kind: error?.kind,
+      ran: error?.ran,
+      milliseconds,
+    })
+  }
+}
--- a/packages/daemon/src/request/request-runner.ts
+++ b/packages/daemon/src/request/request-runner.ts
@@ -1,5 +1,11 @@
 /**
- * Runs the stages of one request in order, from its plan to its one answer.
+ * Runs the stages of one request in order, from its plan to its one answer, and
+ * ends it at its deadline or when its caller has gone.
+ *
+ * Relies on `stages/stage-caller.ts` for each stage and on
+ * `stages/stage-budget.ts` for the time that a stage may use. State: recent
+ * times of each target's stages, in memory; a restarted entry reserves no time
+ * for later stages until it has run some.
  */
 import type { RequestError } from '@eidermast/common'
 import type { RequestAnswer, StageReport, WholeAnswer } from '../connection/answer.js'
@@ -34,8 +40,9 @@
   metrics: RequestMetrics
 }
 
-/** Recent time of a later stage that is kept free for it. */
+/** Quantile of a later stage's recent times that is kept free for it. Not measured: the median would leave half of them too little. */
 const RESERVED_QUANTILE = 0.9
+/** Characters of the input that stand for its prompt prefix. Not measured: half joins unlike prompts, twice parts like ones. */
 const PREFIX_LENGTH = 64
 
 /** Runs requests for one entry. */
@@ -44,11 +51,6 @@
 
   constructor(private readonly options: RequestRunnerOptions) {}
 
-  /** Recent mean time of a stage, in milliseconds; 0 where it has not run. */
-  expectedStageMs(target: string, stage: PlannedStage): number {
-    return this.times.of(timesKey(target, stage)).mean()
-  }
-
   /** Runs a request to its answer. Returns at once when its deadline passes or its caller goes. */
   async run(request: RunningRequest): Promise<RequestAnswer> {
     const over = new AbortController()
@@ -64,31 +66,36 @@
   }
 
   private async runStages(request: RunningRequest, signal: AbortSignal): Promise<RequestAnswer> {
-    const { plan } = request
+    const { plan, requestId } = request
     const progress: RequestProgress = { started: false, inDoubt: false, pending: false }
-    const reports: StageReport[] = []
+    const stages: StageReport[] = []
     let previous: WholeAnswer | undefined
     for (const [index, stage] of plan.stages.entries()) {
       const task = this.createTask(request, index, previous?.output, progress, signal)
       const result = await this.options.stageCaller.run(task)
       if (result.isErr()) {
-        this.recordCost(reports, true)
-        return Err(request.callerGone.aborted ? describeGone(progress) : result.error)
+        this.recordCost(stages, true)
+        return Err(request.callerGone.aborted ? createCancelledError(progress) : result.error)
       }
       const { reply, report } = result.value
       this.times.of(timesKey(plan.target, stage)).add(report.milliseconds)
-      reports.push(report)
-      previous = { requestId: request.requestId, output: reply.output, stages: reports, status: reply.status, contentType: reply.contentType }
+      stages.push(report)
+      previous = { requestId, output: reply.output, stages, status: reply.status, contentType: reply.contentType }
     }
-    this.recordCost(reports, false)
+    this.recordCost(stages, false)
     return previous ? Ok(previous) : Err(createError(ErrorKind.Internal, 'The pipeline has no stage; publish its template again.'))
   }
 
-  private createTask(request: RunningRequest, index: number, previous: string | undefined, progress: RequestProgress, signal: AbortSignal): StageTask {
+  private createTask(
+    request: RunningRequest,
+    index: number,
+    previous: string | undefined,
+    progress: RequestProgress,
+    signal: AbortSignal,
+  ): StageTask {
     const { account, requestId, plan, body, deadlineAt } = request
     const stage = plan.stages[index]
     const later = plan.stages.slice(index + 1)
-    const last = later.length === 0
     return {
       account,
       requestId,
@@ -100,7 +107,8 @@
       progress,
       budgetMs: () => this.options.stageBudget.budgetMs(deadlineAt - performance.now(), this.reservedFor(plan.target, later)),
       signal,
-      onToken: last ? request.onToken : undefined,
+      // Only the last stage's tokens are the caller's answer.
+      onToken: later.length === 0 ? request.onToken : undefined,
     }
   }
 
@@ -115,7 +123,7 @@
   }
 }
 
-function describeGone(progress: RequestProgress): RequestError {
+function createCancelledError(progress: RequestProgress): RequestError {
   return createError(ErrorKind.Cancelled, 'The caller closed the connection before the answer.', { ran: describeProgress(progress) })
 }
 
--- a/test/request/tickets.test.ts
+++ b/test/request/tickets.test.ts
@@ -44,14 +44,14 @@
     expect(table.size).toBeLessThanOrEqual(3)
   })
 
-  test('keeps the keys of unrepeatable requests for their whole time, and says when it has no room', () => {
+  test('keeps the keys of unrepeatable requests for their whole time, and says when it can take no more', () => {
     const table = createTable()
     for (let index = 0; index < 3; index++)
       finish(table, `unrepeatable ${index}`, true)
-    expect(table.hasRoom).toBe(false)
+    expect(table.hasCapacity).toBe(false)
     expect(table.find('unrepeatable 0')?.state).toBe(OutcomeState.Finished)
     clock += 1001
-    expect(table.hasRoom).toBe(true)
+    expect(table.hasCapacity).toBe(true)
     expect(table.size).toBe(0)
   })
 
