--- a/packages/daemon/src/request/authority/claims.ts
+++ b/packages/daemon/src/request/authority/claims.ts
@@ -13,7 +13,7 @@
  * Why: with a lease, a paused holder would run a request that another took over.
  * The read-back settles every lost acknowledgement, and the id of the claim
  * keeps a late release from ending a newer claim of the same entry.
- * Set by: the interplay is fuzzed in test/request/claims.test.ts; the constants
+ * Set by: the interplay is fuzzed in test/request/authority/claims.test.ts; the constants
  * were not measured apart.
  * Log events: `claim` (decisions of a request), `release`, `append-refused`,
  * `append-in-doubt`, `stream-unreadable`, `record-unreadable` (namespace
--- a/packages/daemon/src/request/stages/stage-failure.ts
+++ b/packages/daemon/src/request/stages/stage-failure.ts
@@ -7,7 +7,7 @@
  * over; what is known of work that ran; calls made for this stage so far.
  * Rule: a call that provably did not run may be made again. One that may have
  * run is not, if the request is unrepeatable or its caller has seen tokens. What
- * may be made again still needs time left and leave from the retry policy.
+ * may be made again still needs time left and the retry policy's permission.
  * Why: an unrepeatable stage that runs twice does its harm twice, and a second
  * stream would not continue the first. Every other failure is cheaper to retry
  * here, with the earlier stages' results at hand, than by the caller.
@@ -48,7 +48,7 @@
 /** The decision on a failed call. */
 export type FailureDecision = { step: FailureStep.CallAgain } | { step: FailureStep.Fail, error: RequestError }
 
-/** Decides what follows a failed call; takes leave from the retry policy only where all else permits a retry. */
+/** Decides what follows a failed call; asks the retry policy only where all else permits a retry. */
 export function decideOnFailure(failed: FailedCall, retry: RetryPolicy): FailureDecision {
   const mayHaveRun = !isProvablyNotRun(failed.result)
   if (mayHaveRun && failed.unrepeatable)
--- a/test/request/claims.test.ts
+++ b/test/request/authority/claims.test.ts
@@ -60,7 +60,7 @@
   }
 }
 
-/** Time after which a claim that is not read back is given up, for tests that wait for that. */
+/** Milliseconds after which a claim that is not read back is in doubt, for tests that wait for that. */
 const SHORT_DOUBT_MS = 1
 
 function createRegistry(log: LogClient, doubtMs = 600_000): ClaimRegistry {
@@ -114,7 +114,7 @@
     expect((await createRegistry(log).claim(ACCOUNT, uuidv7()).result).kind).toBe(ClaimResultKind.Unavailable)
   })
 
-  test('are released when they land after they were given up, and another may win then', async () => {
+  test('are released when they land after they were in doubt, and another may win then', async () => {
     const log = new FaultyLog()
     log.nextFault = AppendFault.Delayed
     const [first, second] = [createRegistry(log, SHORT_DOUBT_MS), createRegistry(log)]
--- /dev/null
+++ b/test/request/side/stage-queue.test.ts
@@ -0,0 +1,35 @@
+import { DeadlineQueue, Priority, RefusalReason } from '@eidermast/daemon'
+import { describe, expect, test } from 'vitest'
+import { createStageCall } from '../../support/fixtures.js'
+
+describe('the deadline queue', () => {
+  const server = { now: 0, running: 1, slots: 1 }
+
+  function createWaiting(priority: Priority, finishBy: number, expectedServiceMs = 0) {
+    return { call: createStageCall({ priority }), arrivedAt: 0, finishBy, expectedServiceMs }
+  }
+
+  test('serves priority first, then the earliest deadline', () => {
+    const queue = new DeadlineQueue({ limit: 10, bytes: 1000 })
+    const waiting = [createWaiting(Priority.Low, 10), createWaiting(Priority.High, 900), createWaiting(Priority.Normal, 500), createWaiting(Priority.High, 100)]
+    waiting.forEach(call => queue.offer(call, server))
+    const order = [1, 2, 3, 4].map(() => queue.take(0).next)
+    expect(order).toEqual([waiting[3], waiting[1], waiting[2], waiting[0]])
+  })
+
+  test('refuses at once what cannot finish in time behind the others', () => {
+    const queue = new DeadlineQueue({ limit: 10, bytes: 1000 })
+    queue.offer(createWaiting(Priority.High, 1000, 100), server)
+    expect(queue.offer(createWaiting(Priority.Normal, 240, 100), server)).toBe(RefusalReason.Late)
+    expect(queue.offer(createWaiting(Priority.Normal, 300, 100), server)).toBeUndefined()
+  })
+
+  test('refuses what can no longer finish when its turn comes', () => {
+    const queue = new DeadlineQueue({ limit: 10, bytes: 1000 })
+    const late = createWaiting(Priority.High, 300, 100)
+    const good = createWaiting(Priority.Low, 1000, 100)
+    queue.offer(late, server)
+    queue.offer(good, server)
+    expect(queue.take(250)).toEqual({ next: good, late: [late] })
+  })
+})
--- a/test/request/stage-runner.test.ts
+++ b/test/request/side/stage-runner.test.ts
@@ -1,9 +1,9 @@
-import type { StageCall, StageReply } from '@eidermast/daemon'
+import type { StageCall, StageQueue, StageReply } from '@eidermast/daemon'
 import { BackendOutcome, DeadlineQueue, DecisionLog, FailureReason, FifoQueue, formatStageInput, RefusalReason, SideMetrics, stageKey, StageReplyKind, StageRunner, StageTable } from '@eidermast/daemon'
 import fc from 'fast-check'
 import { v7 as uuidv7 } from 'uuid'
 import { describe, expect, test } from 'vitest'
-import { createStageCall, FakeBackend, SIDE_INCARNATION } from '../support/fixtures.js'
+import { createStageCall, FakeBackend, SIDE_INCARNATION } from '../../support/fixtures.js'
 
 class SideBench {
   readonly backend = new FakeBackend()
@@ -11,7 +11,7 @@
   readonly runner: StageRunner
   draining = false
 
-  constructor(slots = 1, queue = new DeadlineQueue({ limit: 4, bytes: 10_000 })) {
+  constructor(slots = 1, queue: StageQueue = new DeadlineQueue({ limit: 4, bytes: 10_000 })) {
     this.runner = new StageRunner({
       side: {
         incarnation: SIDE_INCARNATION,
@@ -139,7 +139,7 @@
   })
 
   test('are never refused by the baseline queue', async () => {
-    const bench = new SideBench(1, new FifoQueue() as unknown as DeadlineQueue)
+    const bench = new SideBench(1, new FifoQueue())
     const calls = Array.from({ length: 20 }, () => createStageCall({ budgetMs: 1 }))
     calls.forEach(call => void bench.run(call))
     await settle()
@@ -159,12 +159,12 @@
     await fc.assert(fc.asyncProperty(fc.array(stepArbitrary, { maxLength: 40 }), async (steps) => {
       const bench = new SideBench(2)
       const calls: StageCall[] = []
-      const told = new Map<string, Set<string>>()
+      const repliedKinds = new Map<string, Set<string>>()
       const refusedByBackend = new Set<string>()
       const send = (call: StageCall): void => {
         void bench.run(call).then((reply) => {
-          const kinds = told.get(call.identity.requestId) ?? new Set()
-          told.set(call.identity.requestId, kinds.add(reply.kind))
+          const kinds = repliedKinds.get(call.identity.requestId) ?? new Set()
+          repliedKinds.set(call.identity.requestId, kinds.add(reply.kind))
         })
       }
       for (const { step, pick, outcome } of steps) {
@@ -196,8 +196,8 @@
         await settle()
       }
       expect(new Set(bench.backend.started).size).toBe(bench.backend.started.length)
-      expect(told.size, 'every call is answered').toBe(calls.length)
-      for (const [requestId, kinds] of told) {
+      expect(repliedKinds.size, 'every call is answered').toBe(calls.length)
+      for (const [requestId, kinds] of repliedKinds) {
         const ran = bench.backend.started.includes(`${requestId}/1`) && !refusedByBackend.has(requestId)
         if (kinds.has(StageReplyKind.Refused))
           expect(ran, 'a refused call did not run').toBe(false)
--- /dev/null
+++ b/test/request/stages/retry.test.ts
@@ -0,0 +1,16 @@
+import { BudgetRetry, FixedRetry } from '@eidermast/daemon'
+import { describe, expect, test } from 'vitest'
+
+describe('retries', () => {
+  test('are a share of recent calls', () => {
+    const retry = new BudgetRetry()
+    while (retry.take(1));
+    for (let index = 0; index < 11; index++)
+      retry.recordCall()
+    expect([retry.take(1), retry.take(1), retry.take(1)]).toEqual([true, true, false])
+  })
+
+  test('are a fixed number in the baseline', () => {
+    expect([1, 2, 3].map(attempt => new FixedRetry().take(attempt))).toEqual([true, true, false])
+  })
+})
--- /dev/null
+++ b/test/request/stages/stage-failure.test.ts
@@ -0,0 +1,67 @@
+import type { FailedCall, LinkResult } from '@eidermast/daemon'
+import { ErrorKind, Ran } from '@eidermast/common'
+import { decideOnFailure, FailureReason, FailureStep, FixedRetry, LinkOutcome, NO_OFFSET, RefusalReason, StageReplyKind } from '@eidermast/daemon'
+import { describe, expect, test } from 'vitest'
+import { createLoad, createStageCall } from '../../support/fixtures.js'
+
+const REPLY = { identity: createStageCall().identity, offset: NO_OFFSET, load: createLoad() }
+const NOT_SENT: LinkResult = { outcome: LinkOutcome.NotSent, message: 'not sent' }
+const LOST: LinkResult = { outcome: LinkOutcome.Lost, message: 'lost' }
+const FAILED: LinkResult = {
+  outcome: LinkOutcome.Replied,
+  reply: { ...REPLY, kind: StageReplyKind.Failed, reason: FailureReason.BackendFailed, message: 'failed', serviceMs: 1 },
+}
+
+function refused(reason: RefusalReason): LinkResult {
+  return { outcome: LinkOutcome.Replied, reply: { ...REPLY, kind: StageReplyKind.Refused, reason, retryAfterMs: 70 } }
+}
+
+function decide(change: Partial<FailedCall>) {
+  const failed: FailedCall = {
+    stageName: 'encode',
+    attempt: 1,
+    result: LOST,
+    unrepeatable: false,
+    streamed: false,
+    over: false,
+    ran: Ran.None,
+    ...change,
+  }
+  return decideOnFailure(failed, new FixedRetry())
+}
+
+/** Calls of one stage that the fixed retry policy permits. */
+const LAST_ATTEMPT = 3
+
+describe('a stage call that gave no result', () => {
+  test.each<[string, Partial<FailedCall>]>([
+    ['that was never sent', { result: NOT_SENT }],
+    ['that was never sent, of an unrepeatable request', { result: NOT_SENT, unrepeatable: true }],
+    ['that was refused, of an unrepeatable request', { result: refused(RefusalReason.Draining), unrepeatable: true }],
+    ['that was refused, of a streamed stage', { result: refused(RefusalReason.Full), streamed: true }],
+    ['whose reply was lost, of a repeatable request', { result: LOST }],
+    ['that failed, of a repeatable request', { result: FAILED, ran: Ran.Part }],
+  ])('is made again: one %s', (_name, change) => {
+    expect(decide(change)).toEqual({ step: FailureStep.CallAgain })
+  })
+
+  test.each<[string, Partial<FailedCall>, ErrorKind, Ran]>([
+    ['an unrepeatable one whose reply was lost', { unrepeatable: true, ran: Ran.Unknown }, ErrorKind.OutcomeUnknown, Ran.Unknown],
+    ['an unrepeatable one that failed', { result: FAILED, unrepeatable: true, ran: Ran.Part }, ErrorKind.StageFailed, Ran.Part],
+    ['a streamed one whose reply was lost', { streamed: true, ran: Ran.Unknown }, ErrorKind.StageFailed, Ran.Unknown],
+    ['one whose time is over', { over: true, ran: Ran.Unknown }, ErrorKind.DeadlineExceeded, Ran.Unknown],
+    ['the last one permitted', { attempt: LAST_ATTEMPT, result: FAILED, ran: Ran.Part }, ErrorKind.StageFailed, Ran.Part],
+    ['the last one permitted, refused as full', { attempt: LAST_ATTEMPT, result: refused(RefusalReason.Full) }, ErrorKind.DeadlineUnreachable, Ran.None],
+    ['the last one permitted, refused by a leaving server', { attempt: LAST_ATTEMPT, result: refused(RefusalReason.Draining) }, ErrorKind.NoBackend, Ran.None],
+  ])('fails the request: %s', (_name, change, kind, ran) => {
+    expect(decide(change)).toMatchObject({ step: FailureStep.Fail, error: { kind, ran } })
+  })
+
+  test('asks the retry policy nothing where the call may not be made again anyway', () => {
+    const taken: number[] = []
+    const retry = { recordCall: () => {}, take: (attempt: number) => taken.push(attempt) > 0 }
+    decideOnFailure({ stageName: 'encode', attempt: 1, result: LOST, unrepeatable: true, streamed: false, over: false, ran: Ran.Unknown }, retry)
+    decideOnFailure({ stageName: 'encode', attempt: 1, result: NOT_SENT, unrepeatable: false, streamed: false, over: true, ran: Ran.None }, retry)
+    expect(taken).toEqual([])
+  })
+})
