--- /dev/null
+++ b/test/request/outcomes.test.ts
@@ -0,0 +1,39 @@
+import { OutcomeState, OutcomeTable } from '@eidermast/daemon'
+import { Ok } from 'ts-results-es'
+import { describe, expect, test } from 'vitest'
+
+describe('an entry\'s memory of requests', () => {
+  const answer = Ok({ requestId: 'r', output: 'x'.repeat(100), stages: [] })
+  let clock = 0
+  const createTable = (): OutcomeTable => new OutcomeTable({ entries: 3, bytes: 2000, lifetimeMs: 100, unrepeatableLifetimeMs: 1000 }, () => clock)
+
+  function finish(table: OutcomeTable, key: string, unrepeatable: boolean): void {
+    table.finish(table.open(key, 'digest', unrepeatable), answer)
+  }
+
+  test('is bounded by number for repeatable requests', () => {
+    const table = createTable()
+    for (let index = 0; index < 10; index++)
+      finish(table, `repeatable ${index}`, false)
+    expect(table.size).toBeLessThanOrEqual(3)
+  })
+
+  test('keeps the keys of unrepeatable requests for their whole time, and says when it can take no more', () => {
+    const table = createTable()
+    for (let index = 0; index < 3; index++)
+      finish(table, `unrepeatable ${index}`, true)
+    expect(table.hasCapacity).toBe(false)
+    expect(table.find('unrepeatable 0')?.state).toBe(OutcomeState.Finished)
+    clock += 1001
+    expect(table.hasCapacity).toBe(true)
+    expect(table.size).toBe(0)
+  })
+
+  test('drops answers before keys when it has too many bytes', () => {
+    const table = new OutcomeTable({ entries: 100, bytes: 1500, lifetimeMs: 100, unrepeatableLifetimeMs: 1000 }, () => 0)
+    for (let index = 0; index < 5; index++)
+      finish(table, `unrepeatable ${index}`, true)
+    expect(table.find('unrepeatable 0')).toMatchObject({ state: OutcomeState.Finished, finished: undefined })
+    expect(table.find('unrepeatable 4')?.finished).toBe(answer)
+  })
+})
