--- a/packages/gateway/src/connection/client-server.ts
+++ b/packages/gateway/src/connection/client-server.ts
@@ -64,10 +64,6 @@
     })
   }
 
-  address(): ReturnType<Server['address']> {
-    return this.server.address()
-  }
-
   /** Serves on; each answer asks its client to close the connection. */
   beginDrain(): void {
     this.draining = true
--- a/packages/gateway/src/request/attempts/backend-choice.ts
+++ b/packages/gateway/src/request/attempts/backend-choice.ts
@@ -43,7 +43,7 @@
 const LOAD_LIFETIME_MS = 1500
 
 /** Requests that a backend server works on or holds, as far as this process knows. */
-export function knownLoad(backend: Backend, now = performance.now()): number {
+function knownLoad(backend: Backend, now: number): number {
   const isRecent = now - backend.loadAt < LOAD_LIFETIME_MS
   const reported = backend.load && isRecent ? backend.load.running + backend.load.waiting : 0
   return Math.max(backend.outstanding, reported)
--- a/packages/gateway/src/version/route-table.ts
+++ b/packages/gateway/src/version/route-table.ts
@@ -45,10 +45,6 @@
     this.mostUrgentAccount = Math.min(...configuration.accounts.map(account => account.priority ?? 0))
   }
 
-  get version(): number {
-    return this.configuration.version
-  }
-
   /** Whether requests on routes that are not public need a key. */
   get needsKeys(): boolean {
     return this.configuration.accounts.length > 0
