--- a/packages/gateway/src/request/attempts/backend-run.ts
+++ b/packages/gateway/src/request/attempts/backend-run.ts
@@ -66,11 +66,11 @@
   /** Answers the request, or says why there is no answer. */
   async run(): Promise<RunEnd> {
     const { request, inputs, signal } = this.subject
-    let decision = signal.aborted ? RetryDecision.Cancelled : RetryDecision.Retry
-    while (decision === RetryDecision.Retry) {
+    let decision = signal.aborted ? RetryDecision.Cancelled : RetryDecision.Proceed
+    while (decision === RetryDecision.Proceed) {
       const backend = this.choose(request, inputs, this.tried)
       decision = await this.prepareAttempt(backend)
-      if (!backend || decision !== RetryDecision.Retry)
+      if (!backend || decision !== RetryDecision.Proceed)
         break
       const result = await this.attempt(backend)
       if (result.end === AttemptEnd.Answered)
@@ -84,11 +84,11 @@
   /** Decides whether the next attempt is made, and provides what it needs. */
   private async prepareAttempt(backend: Backend | undefined): Promise<RetryDecision> {
     const decision = decideBeforeAttempt({ history: this.history, hasBackend: backend !== undefined, remainingMs: this.remainingMs() })
-    if (decision !== RetryDecision.Retry)
+    if (decision !== RetryDecision.Proceed)
       return decision
     if (needsBudget(this.history) && !this.parts.budget.takeRetry(this.subject.request.service))
       return RetryDecision.BudgetUsed
-    return await this.hasInputs() ? RetryDecision.Retry : RetryDecision.InputsGone
+    return await this.hasInputs() ? RetryDecision.Proceed : RetryDecision.InputsGone
   }
 
   /** Makes the stage results again where an earlier attempt read or lost them. */
--- a/packages/gateway/src/request/attempts/retry-rule.ts
+++ b/packages/gateway/src/request/attempts/retry-rule.ts
@@ -56,7 +56,7 @@
 
 /** Whether there is another attempt, and if not, why. */
 export enum RetryDecision {
-  Retry = 'retry',
+  Proceed = 'proceed',
   /** It ran or may have, and the route doesn't allow a second run. */
   NotRepeatable = 'not-repeatable',
   /** It ran, or may have, as often as the route allows. */
@@ -92,7 +92,7 @@
     return RetryDecision.NotRepeatable
   if (history.lastEnd !== AttemptEnd.NotRun && history.runs >= route.maxAttempts)
     return RetryDecision.RunsUsed
-  return history.attempts >= MAX_ATTEMPTS ? RetryDecision.AttemptsUsed : RetryDecision.Retry
+  return history.attempts >= MAX_ATTEMPTS ? RetryDecision.AttemptsUsed : RetryDecision.Proceed
 }
 
 /** What the decision before an attempt follows from. */
@@ -110,7 +110,7 @@
     return RetryDecision.NoBackend
   if (history.attempts > 0 && remainingMs < MIN_USEFUL_MS)
     return RetryDecision.NoTime
-  return RetryDecision.Retry
+  return RetryDecision.Proceed
 }
 
 /** Whether the next attempt is a retry that the budget counts. */
--- a/test/gateway/retry-rule.test.ts
+++ b/test/gateway/retry-rule.test.ts
@@ -37,9 +37,9 @@
 
 describe('another attempt', () => {
   test.each<[string, Route, Partial<AttemptHistory>, RetryDecision]>([
-    ['follows one that did not run, whatever the route', ONCE, {}, RetryDecision.Retry],
-    ['follows one that may have run where the route allows it', REPEATABLE, MAY_HAVE_RUN, RetryDecision.Retry],
-    ['follows a broken stream that may be resumed', RESUMABLE, MAY_HAVE_RUN, RetryDecision.Retry],
+    ['follows one that did not run, whatever the route', ONCE, {}, RetryDecision.Proceed],
+    ['follows one that may have run where the route allows it', REPEATABLE, MAY_HAVE_RUN, RetryDecision.Proceed],
+    ['follows a broken stream that may be resumed', RESUMABLE, MAY_HAVE_RUN, RetryDecision.Proceed],
     ['never follows one that may have run where the route forbids it', ONCE, MAY_HAVE_RUN, RetryDecision.NotRepeatable],
     ['never follows a broken stream that may not be resumed', STREAM, MAY_HAVE_RUN, RetryDecision.NotRepeatable],
     ['ends with the runs that the route allows', REPEATABLE, { runs: 2, lastEnd: AttemptEnd.ServerError }, RetryDecision.RunsUsed],
@@ -54,7 +54,7 @@
 
   test('needs a backend server that was not tried, and time for an answer', () => {
     const inputs = { history: createHistory(), hasBackend: true, remainingMs: 30 }
-    expect(decideBeforeAttempt(inputs)).toBe(RetryDecision.Retry)
+    expect(decideBeforeAttempt(inputs)).toBe(RetryDecision.Proceed)
     expect(decideBeforeAttempt({ ...inputs, hasBackend: false })).toBe(RetryDecision.NoBackend)
     expect(decideBeforeAttempt({ ...inputs, remainingMs: 29 })).toBe(RetryDecision.NoTime)
   })
@@ -74,5 +74,5 @@
 
 test('the first attempt is made however late the request is', () => {
   const history = createHistory({ attempts: 0, lastEnd: undefined, reachedBackend: false })
-  expect(decideBeforeAttempt({ history, hasBackend: true, remainingMs: -5 })).toBe(RetryDecision.Retry)
+  expect(decideBeforeAttempt({ history, hasBackend: true, remainingMs: -5 })).toBe(RetryDecision.Proceed)
 })
