--- a/packages/gateway/src/process/backend-registry.ts
+++ b/packages/gateway/src/process/backend-registry.ts
@@ -6,6 +6,7 @@
  */
 import type { EventLog } from '@eidermast/common'
 import type { BackendRecord } from '../connection/backend.js'
+import type { BackendSink } from './platform-adapter.js'
 import { Backend } from '../connection/backend.js'
 import { BackendLog } from './backend-log.js'
 import { LapseGrace } from './lapse-grace.js'
@@ -19,7 +20,7 @@
 }
 
 /** Holds backend servers; a source upserts and removes them. */
-export class BackendRegistry {
+export class BackendRegistry implements BackendSink {
   private readonly byId = new Map<string, Backend>()
   private readonly byService = new Map<string, Set<Backend>>()
   private readonly listeners: BackendListener[] = []
--- a/packages/gateway/src/process/platform-adapter.ts
+++ b/packages/gateway/src/process/platform-adapter.ts
@@ -6,11 +6,11 @@
  */
 import type { BackendCodec } from '../connection/backend-client.js'
 import type { BackendConnections } from '../connection/backend-connections.js'
+import type { BackendRecord } from '../connection/backend.js'
 import type { ClientCodec } from '../connection/client-codec.js'
 import type { Member } from '../connection/member.js'
 import type { StageClient } from '../connection/stage-client.js'
 import type { ConfigurationDecoder } from '../version/configuration-holder.js'
-import type { BackendRegistry } from './backend-registry.js'
 
 /** Follows the platform's configuration. */
 export interface ConfigurationSource {
@@ -18,10 +18,22 @@
   follow: (offer: (text: string) => void, signal: AbortSignal) => Promise<void>
 }
 
+/** Takes the changes of the platform's list of backend servers. */
+export interface BackendSink {
+  /** The source answers again after failures: entries may have lapsed meanwhile. */
+  noteSourceReturned: () => void
+  /** The whole list. */
+  replaceAll: (records: readonly BackendRecord[]) => void
+  /** One entry that is new or has changed. */
+  upsert: (record: BackendRecord) => void
+  /** One entry that has gone. */
+  unlist: (id: string) => void
+}
+
 /** Follows the platform's list of backend servers. */
 export interface BackendSource {
-  /** Keeps the registry up to date until the signal aborts; retries failures by itself. */
-  follow: (registry: BackendRegistry, signal: AbortSignal) => Promise<void>
+  /** Reports backend servers until the signal aborts; retries failures by itself. */
+  follow: (sink: BackendSink, signal: AbortSignal) => Promise<void>
 }
 
 /** A gateway as the directory lists it. */
--- a/test/platform/gateway.test.ts
+++ b/test/platform/gateway.test.ts
@@ -1,7 +1,7 @@
 import type { Gateway } from '@eidermast/gateway'
 import { request } from 'undici'
 import { afterEach, beforeEach, describe, expect, test, vi } from 'vitest'
-import { startGateway } from './support/gateway-process.js'
+import { startGateway } from './support/in-process-gateway.js'
 import { answerUnframed, answerWhole, hang, StandInBackend, streamEvents } from './support/stand-in-backend.js'
 import { StandInStore } from './support/stand-in-store.js'
 
--- a/test/platform/operations-page.test.ts
+++ b/test/platform/operations-page.test.ts
@@ -2,7 +2,7 @@
 import { readdirSync, readFileSync } from 'node:fs'
 import path from 'node:path'
 import { afterAll, beforeAll, describe, expect, test } from 'vitest'
-import { startGateway } from './support/gateway-process.js'
+import { startGateway } from './support/in-process-gateway.js'
 import { StandInStore } from './support/stand-in-store.js'
 
 const PAGE = readFileSync(path.resolve('docs/OPERATIONS.md'), 'utf8')
--- a/test/platform/support/gateway-process.ts
+++ b/test/platform/support/in-process-gateway.ts
@@ -1,5 +1,5 @@
 /**
- * Starts gateways in this process, against a stand-in store.
+ * Starts gateways in the process of the test, against a stand-in store.
  */
 import { Gateway, parseGatewaySettings } from '@eidermast/gateway'
 import { createAdapter } from '@eidermast/platform'
