--- a/packages/daemon/src/process/entry/request-services.ts
+++ b/packages/daemon/src/process/entry/request-services.ts
@@ -123,7 +123,7 @@
     runner: new RequestRunner({ stageCaller, stageBudget: createStageBudget(entry['stage-budget']), metrics }),
     claims,
     outcomes,
-    proof: new NotRunProof({ claims, peers, machines, address }),
+    proof: new NotRunProof({ claims, peers, listedEntries: machines, address }),
     finder,
     membership,
     decisions,
--- a/packages/daemon/src/request/authority/not-run-proof.ts
+++ b/packages/daemon/src/request/authority/not-run-proof.ts
@@ -33,7 +33,7 @@
 export interface NotRunProofOptions {
   claims: ClaimRegistry
   peers: EntryPeers
-  machines: ListedEntries
+  listedEntries: ListedEntries
   /** This entry's own address between processes. */
   address: string
 }
@@ -44,11 +44,11 @@
 
   /** Whether nothing of a request has run anywhere. */
   async holds(account: string, requestId: string, key: string): Promise<boolean> {
-    const { claims, machines, peers, address } = this.options
-    if (claims.find(key) || claims.readAt === undefined || !machines.hasRead)
+    const { claims, listedEntries, peers, address } = this.options
+    if (claims.find(key) || claims.readAt === undefined || !listedEntries.hasRead)
       return false
     const unreadMs = Date.now() - claims.readAt + LIST_LAG_MS
-    const others = machines.entryAddressesWithin(unreadMs).filter(other => other !== address)
+    const others = listedEntries.entryAddressesWithin(unreadMs).filter(other => other !== address)
     const replies = await Promise.all(others.map(other => peers.askOutcome(other, { account, requestId })))
     return replies.every(deniesRun) && claims.find(key) === undefined
   }
--- a/packages/daemon/src/request/outcomes.ts
+++ b/packages/daemon/src/request/outcomes.ts
@@ -15,6 +15,7 @@
 import type { RequestAnswer } from '../connection/answer.js'
 import { formatAnswer } from '../connection/answer.js'
 import { OutcomeState } from '../connection/messages.js'
+import { textBytes } from './text-bytes.js'
 
 /** What is remembered of a request. */
 export interface Outcome {
@@ -48,8 +49,6 @@
 
 /** Bytes of an answer beside its text. Not measured: half or twice shifts how many short answers fit into the limit. */
 const ANSWER_OVERHEAD_BYTES = 300
-/** Memory of one character, as V8 holds text that is not Latin-1. */
-const BYTES_PER_CHARACTER = 2
 
 /** The memory of one entry. */
 export class OutcomeTable {
@@ -94,7 +93,7 @@
     outcome.finished = answer
     outcome.state = state
     outcome.finishedAt = this.now()
-    outcome.bytes = formatAnswer(answer).length * BYTES_PER_CHARACTER + ANSWER_OVERHEAD_BYTES
+    outcome.bytes = textBytes(formatAnswer(answer)) + ANSWER_OVERHEAD_BYTES
     outcome.settle(answer)
     this.bytes += outcome.bytes
     const finished = outcome.unrepeatable ? this.unrepeatable : this.repeatable
--- a/packages/daemon/src/request/request-log.ts
+++ b/packages/daemon/src/request/request-log.ts
@@ -13,6 +13,12 @@
 import type { IncomingRequest } from './incoming-request.js'
 import type { RequestEnd } from './request-metrics.js'
 
+/** What is logged and counted for a claim whose request ended before the log's answer. */
+export const REQUEST_OVER = 'over'
+
+/** How a claim ended for its request. */
+export type ClaimEnd = ClaimResultKind | typeof REQUEST_OVER
+
 /** Logs what was decided on requests. */
 export class RequestLog {
   constructor(private readonly recorder: DecisionRecorder) {}
@@ -35,8 +41,8 @@
     })
   }
 
-  /** Event `claim`; the result is `over` where the request ended first. */
-  claimed(incoming: IncomingRequest, requestId: string, result: ClaimResultKind | 'over'): void {
+  /** Event `claim`. */
+  claimed(incoming: IncomingRequest, requestId: string, result: ClaimEnd): void {
     this.recorder.record('claim', requestId, { account: incoming.account, result })
   }
 
--- a/packages/daemon/src/request/side/stage-run.ts
+++ b/packages/daemon/src/request/side/stage-run.ts
@@ -4,6 +4,7 @@
  */
 import type { StageCall, StageReply } from '../../connection/messages.js'
 import { stageKey, StageReplyKind } from '../../connection/messages.js'
+import { textBytes } from '../text-bytes.js'
 
 /** Receives the tokens of a running call, each with its index from 0. */
 export type TokenListener = (index: number, text: string) => void
@@ -26,9 +27,6 @@
   abort: AbortController
 }
 
-/** Memory of one character, as V8 holds text that is not Latin-1. */
-const BYTES_PER_CHARACTER = 2
-
 /** Creates the run of a call that has just come. */
 export function createRun(call: StageCall): StageRun {
   let settle!: (reply: StageReply) => void
@@ -66,6 +64,6 @@
 
 /** Memory that a finished run is counted with, in bytes. */
 export function sizeOf(run: StageRun): number {
-  const output = run.finished?.kind === StageReplyKind.Done ? run.finished.output.length : 0
-  return run.call.input.length + output * BYTES_PER_CHARACTER
+  const output = run.finished?.kind === StageReplyKind.Done ? textBytes(run.finished.output) : 0
+  return run.call.input.length + output
 }
