--- a/packages/common/src/errors.ts
+++ b/packages/common/src/errors.ts
@@ -104,7 +104,7 @@
 }
 
 /** Milliseconds, where no estimate is known. Not measured: half doubles the retries at a full entry, twice delays what would fit. */
-export const DEFAULT_RETRY_AFTER_MS = 1000
+const DEFAULT_RETRY_AFTER_MS = 1000
 
 /** Parts of an error that its kind does not fix. */
 export interface ErrorDetails {
