--- a/packages/daemon/src/request/authority/claims.ts
+++ b/packages/daemon/src/request/authority/claims.ts
@@ -16,7 +16,7 @@
  * Set by: the interplay is fuzzed in test/request/authority/claims.test.ts; the constants
  * were not measured apart.
  * Log events: `claim` (decisions of a request), `release`, `append-refused`,
- * `append-in-doubt`, `stream-unreadable`, `record-unreadable` (namespace
+ * `append-in-doubt`, `log-unreadable`, `record-unreadable` (namespace
  * `eidermast:claim`).
  *
  * State: the claims of the last `memoryMs` and this entry's claims in doubt, in
@@ -138,7 +138,7 @@
         continue
       }
       if (!signal.aborted)
-        log('stream-unreadable', { error: formatError(page.error) })
+        log('log-unreadable', { error: formatError(page.error) })
       await wait(READ_RETRY_MS, signal)
     }
   }
