--- a/test/common/errors.test.ts
+++ b/test/common/errors.test.ts
@@ -15,7 +15,8 @@
     expect(answer.ran.length).toBeGreaterThan(0)
   })
 
-  test.each(KINDS.flatMap(kind => Object.values(Ran).map(ran => [kind, ran] as const)))('never lets %s say more than its row when asked to say %s', (kind, ran) => {
+  const pairs = KINDS.flatMap(kind => Object.values(Ran).map(ran => [kind, ran] as const))
+  test.each(pairs)('never lets %s say more than its row when asked to say %s', (kind, ran) => {
     const error = createError(kind, 'message', { ran })
     const permitted = ERROR_ANSWERS[kind].ran.includes(ran)
     expect(error.ran).toBe(permitted ? ran : Ran.Unknown)
--- a/test/request/admission.test.ts
+++ b/test/request/admission.test.ts
@@ -4,7 +4,15 @@
 import { describe, expect, test } from 'vitest'
 
 describe('admission', () => {
-  const view: AdmissionView = { inFlight: 10, inFlightLimit: 100, accountInFlight: 2, accountShare: 0.5, deadlineMs: 1000, expectedMs: 100, expectedWaitMs: 0 }
+  const view: AdmissionView = {
+    inFlight: 10,
+    inFlightLimit: 100,
+    accountInFlight: 2,
+    accountShare: 0.5,
+    deadlineMs: 1000,
+    expectedMs: 100,
+    expectedWaitMs: 0,
+  }
 
   test.each([
     ['takes in what can meet its deadline', {}, undefined],
--- a/test/request/authority/tickets.test.ts
+++ b/test/request/authority/tickets.test.ts
@@ -12,7 +12,8 @@
   test('name the process life that made them, to any holder of the key', () => {
     const maker = createOffice('key')
     const issued = maker.issue('medidores-sur')
-    expect(createOffice('key').verify(issued.ticket).unwrap()).toMatchObject({ requestId: issued.requestId, account: 'medidores-sur', address: '127.0.0.1:1' })
+    const content = { requestId: issued.requestId, account: 'medidores-sur', address: '127.0.0.1:1' }
+    expect(createOffice('key').verify(issued.ticket).unwrap()).toMatchObject(content)
   })
 
   test.each([
--- a/test/request/outcomes.test.ts
+++ b/test/request/outcomes.test.ts
@@ -5,7 +5,8 @@
 describe('an entry\'s memory of requests', () => {
   const answer = Ok({ requestId: 'r', output: 'x'.repeat(100), stages: [] })
   let clock = 0
-  const createTable = (): OutcomeTable => new OutcomeTable({ entries: 3, bytes: 2000, lifetimeMs: 100, unrepeatableLifetimeMs: 1000 }, () => clock)
+  const limits = { entries: 3, bytes: 2000, lifetimeMs: 100, unrepeatableLifetimeMs: 1000 }
+  const createTable = (): OutcomeTable => new OutcomeTable(limits, () => clock)
 
   function finish(table: OutcomeTable, key: string, unrepeatable: boolean): void {
     table.finish(table.open(key, 'digest', unrepeatable), answer)
--- a/test/request/side/stage-queue.test.ts
+++ b/test/request/side/stage-queue.test.ts
@@ -11,7 +11,12 @@
 
   test('serves priority first, then the earliest deadline', () => {
     const queue = new DeadlineQueue({ limit: 10, bytes: 1000 })
-    const waiting = [createWaiting(Priority.Low, 10), createWaiting(Priority.High, 900), createWaiting(Priority.Normal, 500), createWaiting(Priority.High, 100)]
+    const waiting = [
+      createWaiting(Priority.Low, 10),
+      createWaiting(Priority.High, 900),
+      createWaiting(Priority.Normal, 500),
+      createWaiting(Priority.High, 100),
+    ]
     waiting.forEach(call => queue.offer(call, server))
     const order = [1, 2, 3, 4].map(() => queue.take(0).next)
     expect(order).toEqual([waiting[3], waiting[1], waiting[2], waiting[0]])
--- a/test/request/side/stage-runner.test.ts
+++ b/test/request/side/stage-runner.test.ts
@@ -1,5 +1,18 @@
 import type { StageCall, StageQueue, StageReply } from '@eidermast/daemon'
-import { BackendOutcome, DeadlineQueue, DecisionLog, FailureReason, FifoQueue, formatStageInput, RefusalReason, SideMetrics, stageKey, StageReplyKind, StageRunner, StageTable } from '@eidermast/daemon'
+import {
+  BackendOutcome,
+  DeadlineQueue,
+  DecisionLog,
+  FailureReason,
+  FifoQueue,
+  formatStageInput,
+  RefusalReason,
+  SideMetrics,
+  stageKey,
+  StageReplyKind,
+  StageRunner,
+  StageTable,
+} from '@eidermast/daemon'
 import fc from 'fast-check'
 import { v7 as uuidv7 } from 'uuid'
 import { describe, expect, test } from 'vitest'
--- a/test/request/stages/choice.test.ts
+++ b/test/request/stages/choice.test.ts
@@ -1,4 +1,4 @@
-import type { ChoiceCandidate, ChoiceContext } from '@eidermast/daemon'
+import type { ChoiceCandidate, ChoiceContext, Load } from '@eidermast/daemon'
 import { PredictedChoice, predictFinishMs, predictWaitMs, preferByHash, Priority, RoundRobinChoice } from '@eidermast/daemon'
 import { describe, expect, test } from 'vitest'
 import { createLoad } from '../../support/fixtures.js'
@@ -7,6 +7,11 @@
   return { backendName: 'a', failureDomain: 'domain-a', load: createLoad({ slots: 4 }), outstanding: 0, sentSinceReport: 0, ...overrides }
 }
 
+/** The load of a backend server whose one slot is taken. */
+function createBusyLoad(queued: Load['queued']): Load {
+  return createLoad({ slots: 1, running: 1, queued })
+}
+
 const CONTEXT: ChoiceContext = { priority: Priority.Normal, failureDomain: 'domain-a', prefixKey: 'prefix' }
 
 describe('the predicted wait', () => {
@@ -15,7 +20,7 @@
     ['one service time by slots when all are taken', createCandidate({ load: createLoad({ slots: 4, running: 4 }) }), 2.5],
     ['what this entry sent since the report', createCandidate({ load: createLoad({ slots: 1, running: 0 }), sentSinceReport: 2 }), 20],
     ['at least what this entry has under way', createCandidate({ load: createLoad({ slots: 1, running: 0 }), outstanding: 3 }), 30],
-    ['only work that goes before', createCandidate({ load: createLoad({ slots: 1, running: 1, queued: { high: 1, normal: 0, low: 9 } }) }), 20],
+    ['only work that goes before', createCandidate({ load: createBusyLoad({ high: 1, normal: 0, low: 9 }) }), 20],
   ])('counts %s', (_name, candidate, milliseconds) => {
     expect(predictWaitMs(candidate, Priority.Normal)).toBe(milliseconds)
   })
@@ -36,7 +41,8 @@
 
   test('prefers a cold cache to a warm one whose queue is long', () => {
     const warm = preferByHash(candidates, CONTEXT.prefixKey)
-    const busy = candidates.map(candidate => candidate === warm ? { ...candidate, load: createLoad({ slots: 1, running: 1, queued: { high: 9, normal: 0, low: 0 } }) } : candidate)
+    const load = createBusyLoad({ high: 9, normal: 0, low: 0 })
+    const busy = candidates.map(candidate => candidate === warm ? { ...candidate, load } : candidate)
     const cold = busy.findIndex(candidate => candidate.backendName !== warm.backendName)
     expect(new PredictedChoice(() => cold / 4).choose(busy, CONTEXT).backendName).not.toBe(warm.backendName)
   })
--- a/test/request/stages/stage-failure.test.ts
+++ b/test/request/stages/stage-failure.test.ts
@@ -1,6 +1,15 @@
-import type { FailedCall, LinkResult } from '@eidermast/daemon'
+import type { FailedCall, FailureDecision, LinkResult, RetryPolicy } from '@eidermast/daemon'
 import { ErrorKind, Ran } from '@eidermast/common'
-import { decideOnFailure, FailureReason, FailureStep, FixedRetry, LinkOutcome, NO_OFFSET, RefusalReason, StageReplyKind } from '@eidermast/daemon'
+import {
+  decideOnFailure,
+  FailureReason,
+  FailureStep,
+  FixedRetry,
+  LinkOutcome,
+  NO_OFFSET,
+  RefusalReason,
+  StageReplyKind,
+} from '@eidermast/daemon'
 import { describe, expect, test } from 'vitest'
 import { createLoad, createStageCall } from '../../support/fixtures.js'
 
@@ -16,7 +25,12 @@
   return { outcome: LinkOutcome.Replied, reply: { ...REPLY, kind: StageReplyKind.Refused, reason, retryAfterMs: 70 } }
 }
 
-function decide(change: Partial<FailedCall>) {
+/** The last call of one stage that the fixed retry policy permits. */
+const LAST_ATTEMPT = 3
+const LAST_REFUSED_AS_FULL = { attempt: LAST_ATTEMPT, result: refused(RefusalReason.Full) }
+const LAST_REFUSED_AS_LEAVING = { attempt: LAST_ATTEMPT, result: refused(RefusalReason.Draining) }
+
+function decide(change: Partial<FailedCall>, retry: RetryPolicy = new FixedRetry()): FailureDecision {
   const failed: FailedCall = {
     stageName: 'encode',
     attempt: 1,
@@ -27,12 +41,9 @@
     ran: Ran.None,
     ...change,
   }
-  return decideOnFailure(failed, new FixedRetry())
+  return decideOnFailure(failed, retry)
 }
 
-/** Calls of one stage that the fixed retry policy permits. */
-const LAST_ATTEMPT = 3
-
 describe('a stage call that gave no result', () => {
   test.each<[string, Partial<FailedCall>]>([
     ['that was never sent', { result: NOT_SENT }],
@@ -51,8 +62,8 @@
     ['a streamed one whose reply was lost', { streamed: true, ran: Ran.Unknown }, ErrorKind.StageFailed, Ran.Unknown],
     ['one whose time is over', { over: true, ran: Ran.Unknown }, ErrorKind.DeadlineExceeded, Ran.Unknown],
     ['the last one permitted', { attempt: LAST_ATTEMPT, result: FAILED, ran: Ran.Part }, ErrorKind.StageFailed, Ran.Part],
-    ['the last one permitted, refused as full', { attempt: LAST_ATTEMPT, result: refused(RefusalReason.Full) }, ErrorKind.DeadlineUnreachable, Ran.None],
-    ['the last one permitted, refused by a leaving server', { attempt: LAST_ATTEMPT, result: refused(RefusalReason.Draining) }, ErrorKind.NoBackend, Ran.None],
+    ['the last one permitted, refused as full', LAST_REFUSED_AS_FULL, ErrorKind.DeadlineUnreachable, Ran.None],
+    ['the last one permitted, refused by a leaving server', LAST_REFUSED_AS_LEAVING, ErrorKind.NoBackend, Ran.None],
   ])('fails the request: %s', (_name, change, kind, ran) => {
     expect(decide(change)).toMatchObject({ step: FailureStep.Fail, error: { kind, ran } })
   })
@@ -60,8 +71,8 @@
   test('asks the retry policy nothing where the call may not be made again anyway', () => {
     const taken: number[] = []
     const retry = { recordCall: () => {}, take: (attempt: number) => taken.push(attempt) > 0 }
-    decideOnFailure({ stageName: 'encode', attempt: 1, result: LOST, unrepeatable: true, streamed: false, over: false, ran: Ran.Unknown }, retry)
-    decideOnFailure({ stageName: 'encode', attempt: 1, result: NOT_SENT, unrepeatable: false, streamed: false, over: true, ran: Ran.None }, retry)
+    decide({ unrepeatable: true, ran: Ran.Unknown }, retry)
+    decide({ result: NOT_SENT, over: true }, retry)
     expect(taken).toEqual([])
   })
 })
