--- a/packages/common/src/event-log.ts
+++ b/packages/common/src/event-log.ts
@@ -69,13 +69,18 @@
       if (!error && written < bytes.length)
         return this.writeRest(bytes.subarray(written))
       this.writing = false
-      // Nobody reads any more where this fails; there is no other place to say so.
+      // Lines whose write failed are lost: there is no other place to say so. The next line tries again.
       if (this.pending !== '' && !error)
         this.flush()
     })
   }
 }
 
+/** Milliseconds of the process clock. */
+function readProcessClock(): number {
+  return performance.now()
+}
+
 interface EventRate {
   windowStart: number
   lines: number
@@ -92,7 +97,7 @@
     private readonly writer: LineWriter,
     private readonly common: EventFields,
     namespaces = 'eidermast:*',
-    private readonly now: () => number = () => performance.now(),
+    private readonly now = readProcessClock,
   ) {
     createDebug.enable(namespaces)
   }
