--- a/packages/gateway/src/process/gateway.ts
+++ b/packages/gateway/src/process/gateway.ts
@@ -122,8 +122,7 @@
   private createStageCoordinator(): StageCoordinator {
     const client = this.platform.stageClient(this.connections)
     const budget = new RetryBudget({ ...this.retryAllowance(), ratio: 0 }, () => countSharingGateways(COORDINATORS))
-    const repeats = { takeRepeats: (service: string) => budget.takeRetry(service) }
-    return new StageCoordinator(this.registry, client, repeats, this.log)
+    return new StageCoordinator(this.registry, client, budget, this.log)
   }
 
   private createBackendRunner(): BackendRunner {
--- a/packages/gateway/src/process/stages/pool/item-retry.ts
+++ b/packages/gateway/src/process/stages/pool/item-retry.ts
@@ -3,11 +3,12 @@
  *
  * Inputs: what happened, failed calls of the item including this one, and the
  * retry budget of the service (this coordinator's part).
- * Rule: a call that reached nobody is repeated without a count. An item that
+ * Rule: a call that reached nobody is retried without a count. An item that
  * is late or lacks an input fails its task. Anything else is sent again, up to
  * MAX_ITEM_FAILURES calls, as long as the budget allows.
- * Why: items are safe to repeat, but a repeat takes a place from other
- * requests, and the users count repeats. A lost input is not found by a repeat.
+ * Why: items are safe to run again, but a retry takes a place from other
+ * requests and counts in the service's retry budget. A lost input is not found
+ * by a retry.
  * Set by: not measured, see the constant.
  * Log event: `stage-call` (failures, end).
  */
--- a/packages/gateway/src/process/stages/pool/stage-calls.ts
+++ b/packages/gateway/src/process/stages/pool/stage-calls.ts
@@ -20,9 +20,10 @@
 import { countsAsFailure, decideItemRetry } from './item-retry.js'
 import { describeItem, inputBytesOf, resultBytesOf } from './pool-task.js'
 
-/** Says whether items may be sent again, and counts them. */
-export interface RepeatAllowance {
-  takeRepeats: (service: string, count: number) => boolean
+/** Limits how many items of a service are sent again. */
+export interface ItemRetryBudget {
+  /** Takes one item from the budget; false where it is used up. */
+  takeRetry: (service: string) => boolean
 }
 
 /** What calls work with. */
@@ -31,7 +32,7 @@
   client: StageClient
   queue: TaskQueue
   frees: ResultFrees
-  repeats: RepeatAllowance
+  retryBudget: ItemRetryBudget
   log: EventLog
   /** Starts what can be started, after a call or a pause has ended. */
   dispatch: () => void
@@ -116,12 +117,12 @@
 
   /** Lets items wait for another call, or fails their tasks. */
   private retry(items: readonly PoolItem[], cause: ItemFailureCause): void {
-    const { service, queue, repeats } = this.parts
+    const { service, queue, retryBudget } = this.parts
     const live = items.filter(item => !item.task.ended)
     for (const item of live) {
       if (countsAsFailure(cause))
         item.failures++
-      const decision = decideItemRetry(cause, item.failures, () => repeats.takeRepeats(service, 1))
+      const decision = decideItemRetry(cause, item.failures, () => retryBudget.takeRetry(service))
       if (!decision.isRetried)
         queue.fail(item.task, decision.failure)
     }
--- a/packages/gateway/src/process/stages/pool/stage-pool.ts
+++ b/packages/gateway/src/process/stages/pool/stage-pool.ts
@@ -13,7 +13,7 @@
 import type { StageLimits } from '../../../version/configuration.js'
 import type { ServicePace } from '../stage-admission.js'
 import type { PoolItem } from './pool-task.js'
-import type { RepeatAllowance } from './stage-calls.js'
+import type { ItemRetryBudget } from './stage-calls.js'
 import { ItemFailure } from '../../../connection/stage-client.js'
 import { ResultFrees } from '../backend/result-frees.js'
 import { StageBackend } from '../backend/stage-backend.js'
@@ -36,13 +36,13 @@
     service: string,
     private limits: StageLimits,
     private readonly client: StageClient,
-    repeats: RepeatAllowance,
+    retryBudget: ItemRetryBudget,
     log: EventLog,
   ) {
     const dispatch = (): void => this.dispatch()
     this.frees = new ResultFrees(client, dispatch)
     this.queue = new TaskQueue(result => this.free(result))
-    this.calls = new StageCalls({ service, client, queue: this.queue, frees: this.frees, repeats, log, dispatch })
+    this.calls = new StageCalls({ service, client, queue: this.queue, frees: this.frees, retryBudget, log, dispatch })
   }
 
   setLimits(limits: StageLimits): void {
--- a/packages/gateway/src/process/stages/stage-coordinator.ts
+++ b/packages/gateway/src/process/stages/stage-coordinator.ts
@@ -17,7 +17,7 @@
 import type { Service } from '../../version/configuration.js'
 import type { RouteTable } from '../../version/route-table.js'
 import type { BackendRegistry } from '../backend-registry.js'
-import type { RepeatAllowance } from './pool/stage-calls.js'
+import type { ItemRetryBudget } from './pool/stage-calls.js'
 import { Err } from 'ts-results-es'
 import { PreparationFailureKind } from '../../connection/preparation.js'
 import { RequestStages } from '../../request/stages/request-stages.js'
@@ -50,7 +50,7 @@
   constructor(
     private readonly registry: BackendRegistry,
     private readonly client: StageClient,
-    private readonly repeats: RepeatAllowance,
+    private readonly retryBudget: ItemRetryBudget,
     private readonly log: EventLog,
   ) {
     const refresh = (backend: Backend): void => this.refresh(backend.service)
@@ -151,7 +151,7 @@
       pool.setLimits(service.stage!)
       return
     }
-    this.pools.set(service.name, new StagePool(service.name, service.stage!, this.client, this.repeats, this.log))
+    this.pools.set(service.name, new StagePool(service.name, service.stage!, this.client, this.retryBudget, this.log))
     this.refresh(service.name)
   }
 
--- a/test/gateway/stage-coordinator.test.ts
+++ b/test/gateway/stage-coordinator.test.ts
@@ -86,9 +86,9 @@
     expect(service.calls.filter(call => call.backendId === 'encode-a')).toHaveLength(2)
   })
 
-  test('stops repeating items when the budget is used up', async () => {
-    const { stageCoordinator, service, repeats } = createCoordinator([{ id: 'encode-a' }])
-    repeats.allowed = 0
+  test('stops retrying items when the budget is used up', async () => {
+    const { stageCoordinator, service, retries } = createCoordinator([{ id: 'encode-a' }])
+    retries.allowed = 0
     service.behaviour = () => StageCallEnd.Refused
     const prepared = stageCoordinator.prepare(createStageRequest(), NEVER)
     await vi.advanceTimersByTimeAsync(4000)
--- a/test/gateway/support/stage-coordinator.ts
+++ b/test/gateway/support/stage-coordinator.ts
@@ -12,15 +12,15 @@
   const { log, lines } = createLog()
   const registry = new BackendRegistry(log)
   const service = new FakeStageService(LIMITS)
-  const repeats = { allowed: 10 }
-  const stageCoordinator = new StageCoordinator(registry, service, { takeRepeats: () => repeats.allowed-- > 0 }, log)
+  const retries = { allowed: 10 }
+  const stageCoordinator = new StageCoordinator(registry, service, { takeRetry: () => retries.allowed-- > 0 }, log)
   stageCoordinator.applyConfiguration(new RouteTable(createConfiguration({ services: [
     { name: 'encode', maxConnections: 9, stage: LIMITS },
     { name: 'rerank', maxConnections: 9, stage: LIMITS },
   ] })))
   for (const backend of backends)
     registry.upsert(createRecord({ service: 'encode', failureDomain: 'zone-a', ...backend }))
-  return { stageCoordinator, registry, service, lines, repeats }
+  return { stageCoordinator, registry, service, lines, retries }
 }
 
 /** A request for two items of `encode`. */
