--- a/packages/gateway/src/process/stages/pool/pool-task.ts
+++ b/packages/gateway/src/process/stages/pool/pool-task.ts
@@ -17,7 +17,7 @@
 
 /** A task in its pool. */
 export interface PoolTask {
-  task: StageTask
+  stageTask: StageTask
   /** Items that are in no call and have no result. */
   waiting: PoolItem[]
   /** By the number of the item. */
@@ -29,7 +29,7 @@
 
 /** Creates a task all of whose items wait. */
 export function createPoolTask(task: StageTask): PoolTask {
-  const created: PoolTask = { task, waiting: [], results: Array.from({ length: task.items }), fetched: 0, ended: false }
+  const created: PoolTask = { stageTask: task, waiting: [], results: Array.from({ length: task.items }), fetched: 0, ended: false }
   for (let index = 0; index < task.items; index++)
     created.waiting.push({ task: created, index, failures: 0 })
   return created
@@ -37,17 +37,17 @@
 
 /** Bytes that the results of items will use. */
 export function resultBytesOf(items: readonly PoolItem[]): number {
-  return items.reduce((sum, item) => sum + item.task.task.resultBytes, 0)
+  return items.reduce((sum, item) => sum + item.task.stageTask.resultBytes, 0)
 }
 
 /** Bytes that a backend server fetches for items. */
 export function inputBytesOf(items: readonly PoolItem[]): number {
-  return items.reduce((sum, item) => sum + item.task.task.inputs.reduce((total, input) => total + input.bytes, 0), 0)
+  return items.reduce((sum, item) => sum + item.task.stageTask.inputs.reduce((total, input) => total + input.bytes, 0), 0)
 }
 
 /** Describes an item for its backend server. */
 export function describeItem(item: PoolItem, now: number): StageItem {
-  const { task } = item.task
+  const { stageTask: task } = item.task
   return {
     requestId: task.requestId,
     stage: task.stage,
--- a/packages/gateway/src/process/stages/pool/stage-batch.ts
+++ b/packages/gateway/src/process/stages/pool/stage-batch.ts
@@ -67,12 +67,12 @@
     if (places <= 0)
       return
     const waiting = task.waiting.length - countItems(parts.filter(part => part.task === task))
-    const withinMemory = Math.floor((freeBytes - reservedBytes(parts)) / task.task.resultBytes)
+    const withinMemory = Math.floor((freeBytes - reservedBytes(parts)) / task.stageTask.resultBytes)
     const items = Math.min(places, withinMemory, waiting)
     const maySplit = parts.length === 0
     if (items <= 0 || (items < waiting && !maySplit))
       continue
-    if (reason === BatchReason.FillsCall || suits(task.task))
+    if (reason === BatchReason.FillsCall || suits(task.stageTask))
       parts.push({ task, items, reason })
   }
 }
@@ -83,5 +83,5 @@
 
 /** Bytes that the results of the chosen items will use. */
 function reservedBytes(parts: readonly BatchPart[]): number {
-  return parts.reduce((sum, { task, items }) => sum + items * task.task.resultBytes, 0)
+  return parts.reduce((sum, { task, items }) => sum + items * task.stageTask.resultBytes, 0)
 }
--- a/packages/gateway/src/process/stages/pool/stage-calls.ts
+++ b/packages/gateway/src/process/stages/pool/stage-calls.ts
@@ -82,7 +82,7 @@
     backend.succeed(items.length, tookMs, outcomes.every(outcome => 'handle' in outcome))
     items.forEach((item, position) => {
       if ('failure' in outcomes[position])
-        backend.memory.release(item.task.task.resultBytes)
+        backend.memory.release(item.task.stageTask.resultBytes)
     })
     if (outcomes.some(outcome => 'failure' in outcome && outcome.failure === ItemFailure.NoMemory))
       backend.pauseForMemory(now)
@@ -93,7 +93,7 @@
     if ('failure' in outcome)
       return this.retry([item], outcome.failure)
     const { queue, frees } = this.parts
-    const { resultBytes } = item.task.task
+    const { resultBytes } = item.task.stageTask
     backend.memory.hold(outcome.handle, resultBytes, now)
     const result = { handle: outcome.handle, holder: backend.memory, bytes: resultBytes }
     if (item.task.ended)
@@ -134,7 +134,7 @@
 function reportFetched(items: readonly PoolItem[]): void {
   for (const { task } of items) {
     task.fetched++
-    if (task.fetched === task.task.items && !task.ended)
-      task.task.listener.inputsFetched()
+    if (task.fetched === task.stageTask.items && !task.ended)
+      task.stageTask.listener.inputsFetched()
   }
 }
--- a/packages/gateway/src/process/stages/pool/stage-pool.ts
+++ b/packages/gateway/src/process/stages/pool/stage-pool.ts
@@ -147,13 +147,13 @@
   }
 
   private failLateTasks(now: number): void {
-    const late = this.queue.tasks.filter(({ task, waiting }) => waiting.length > 0 && isTooLate(task, this.limits.callMs, now))
+    const late = this.queue.tasks.filter(({ stageTask, waiting }) => waiting.length > 0 && isTooLate(stageTask, this.limits.callMs, now))
     for (const task of late)
       this.queue.fail(task, ItemFailure.Late)
   }
 
   private failTasksWithoutInputs(now: number): void {
-    const lacking = this.queue.tasks.filter(({ task, waiting }) => waiting.length > 0 && lacksInput(task, now))
+    const lacking = this.queue.tasks.filter(({ stageTask, waiting }) => waiting.length > 0 && lacksInput(stageTask, now))
     for (const task of lacking)
       this.queue.fail(task, ItemFailure.InputGone)
   }
--- a/packages/gateway/src/process/stages/pool/task-queue.ts
+++ b/packages/gateway/src/process/stages/pool/task-queue.ts
@@ -33,7 +33,7 @@
   }
 
   sort(): void {
-    this.queued.sort((left, right) => compareTasks(left.task, right.task))
+    this.queued.sort((left, right) => compareTasks(left.stageTask, right.stageTask))
   }
 
   /** Takes the chosen items out. */
@@ -63,12 +63,12 @@
     if (task.results.includes(undefined))
       return
     task.ended = true
-    task.task.listener.completed(task.results as StageResult[])
+    task.stageTask.listener.completed(task.results as StageResult[])
   }
 
   fail(task: PoolTask, failure: ItemFailure): void {
     this.end(task)
-    task.task.listener.failed(failure)
+    task.stageTask.listener.failed(failure)
   }
 
   /** Ends a task without a report. */
--- a/packages/gateway/src/process/stages/stage-log.ts
+++ b/packages/gateway/src/process/stages/stage-log.ts
@@ -33,7 +33,7 @@
     end: result.end,
     failures: describeFailures(result),
     resultMemoryBytes: backend.memory.freeBytes(),
-    requests: [...new Set(items.map(item => item.task.task.requestId))].join(','),
+    requests: [...new Set(items.map(item => item.task.stageTask.requestId))].join(','),
   })
 }
 
