--- a/packages/gateway/src/process/stages/pool/stage-calls.ts
+++ b/packages/gateway/src/process/stages/pool/stage-calls.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the calls of one stage service and deals out what they bring: results,
- * items that are sent again, tasks that fail. Owns the calls under way; relies
+ * Runs the calls of one stage service and applies their outcomes: results to
+ * their tasks, failed items back to the queue or to the failure of their task. Owns the calls under way; relies
  * on the client to answer or abort each. When the process dies, results of its
  * calls expire at their backend servers.
  */
@@ -49,7 +49,7 @@
     this.otherCoordinatorUntil = performance.now() + OTHER_COORDINATOR_MS
   }
 
-  /** Runs items at a backend server; ends when their outcomes are dealt out. */
+  /** Runs items at a backend server; ends when their outcomes are applied. */
   async run(backend: StageBackend, items: readonly PoolItem[], limits: StageLimits, startedAt: number): Promise<void> {
     const { service, client, log, dispatch } = this.parts
     backend.startCall(items.length, resultBytesOf(items), startedAt)
--- a/packages/gateway/src/process/stages/shared-preparer.ts
+++ b/packages/gateway/src/process/stages/shared-preparer.ts
@@ -1,7 +1,7 @@
 /**
  * Stage work of this gateway's requests at the coordinator, be that this
  * process or another. When the coordinator fails, the next one restarts the
- * work, and the failed one, if it is still alive, frees what it made once it
+ * work, and the failed one, if it is still alive, frees its results once it
  * sees its caller gone; a coordinator that stops hands its results to the next
  * one through here. Owns which coordinator holds each request's results until
  * they are released; relies on the members' view of the coordinator. When the
@@ -21,8 +21,8 @@
 
 /**
  * Calls to coordinators for one request. Not measured; half of them fail
- * requests when two coordinators die in turn, twice as many wait longer for
- * nothing.
+ * requests when two coordinators die in turn, twice as many keep a client waiting
+ * that no coordinator serves.
  */
 const MAX_COORDINATOR_CALLS = 4
 /**
--- a/test/gateway/stage-coordinator.test.ts
+++ b/test/gateway/stage-coordinator.test.ts
@@ -101,9 +101,11 @@
     ['is a retry, whatever time its client has left', true],
   ])('refuses at once what cannot be in time, with a time to retry, where it %s', async (_name, isRetry) => {
     const { stageCoordinator } = createCoordinator([{ id: 'encode-a' }])
+    const earlier = createStageRequest({ targetMs: 60_000, deadlineMs: 60_000, priority: 0 })
     for (let index = 0; index < 30; index++)
-      void stageCoordinator.prepare(createStageRequest({ requestId: `busy ${index}`, targetMs: 60_000, deadlineMs: 60_000, priority: 0 }), NEVER)
-    const prepared = stageCoordinator.prepare(createStageRequest({ requestId: 'late', targetMs: 500, deadlineMs: 60_000, isRetry, priority: 200 }), NEVER)
+      void stageCoordinator.prepare({ ...earlier, requestId: `busy ${index}` }, NEVER)
+    const late = createStageRequest({ requestId: 'late', targetMs: 500, deadlineMs: 60_000, isRetry, priority: 200 })
+    const prepared = stageCoordinator.prepare(late, NEVER)
     await vi.advanceTimersByTimeAsync(10)
     const refusal = (await prepared).unwrapErr()
     expect(refusal.kind).toBe(PreparationFailureKind.Overloaded)
--- a/test/gateway/stage-rules.test.ts
+++ b/test/gateway/stage-rules.test.ts
@@ -59,28 +59,28 @@
 })
 
 describe('the wait for a better failure domain', () => {
-  const HERE = createForecast('domain-a')
+  const HERE = forecast('domain-a')
 
-  function createForecast(failureDomain: string, startsInMs = 0, isUsable = true): BackendForecast {
+  function forecast(failureDomain: string, startsInMs = 0, isUsable = true): BackendForecast {
     return { failureDomain, isUsable: () => isUsable, startsIn: () => startsInMs, callTime: () => 100 }
   }
 
   /** A task with one input of this size in `domain-b`. */
-  function createReader(bytes: number, targetAt = 10_000): StageTask {
+  function reader(bytes: number, targetAt = 10_000): StageTask {
     const holder = { failureDomain: 'domain-b' } as ResultHolder
     return createTask({ items: 1, inputs: [{ handle: 'handle', holder, bytes }], targetAt })
   }
 
   test.each([
-    ['runs here where next to no bytes cross', createReader(100), [createForecast('domain-b')], DomainDecision.NoCrossing],
-    ['waits where the bytes saved are worth more than the delay', createReader(800_000), [createForecast('domain-b', 150)], DomainDecision.Wait],
-    ['runs here where the delay costs more than the bytes', createReader(400_000), [createForecast('domain-b', 150)], DomainDecision.NothingBetter],
-    ['never waits longer than 400 ms', createReader(8_000_000), [createForecast('domain-b', 400)], DomainDecision.NothingBetter],
-    ['never waits into the time before its target', createReader(8_000_000, 600), [createForecast('domain-b', 100)], DomainDecision.NothingBetter],
-    ['does not wait for a backend server that gets no calls', createReader(8_000_000), [createForecast('domain-b', 0, false)], DomainDecision.NothingBetter],
-    ['does not wait for one in a failure domain that is no better', createReader(8_000_000), [createForecast('domain-c')], DomainDecision.NothingBetter],
-  ])('%s', (_name, task, others, decision) => {
-    expect(decideDomainWait(task, HERE, [HERE, ...others], 0)).toBe(decision)
+    ['runs here where next to no bytes cross', reader(100), forecast('domain-b'), DomainDecision.NoCrossing],
+    ['waits where the bytes saved are worth more than the delay', reader(800_000), forecast('domain-b', 150), DomainDecision.Wait],
+    ['runs here where the delay costs more than the bytes', reader(400_000), forecast('domain-b', 150), DomainDecision.NothingBetter],
+    ['never waits longer than 400 ms', reader(8_000_000), forecast('domain-b', 400), DomainDecision.NothingBetter],
+    ['never waits into the time before its target', reader(8_000_000, 600), forecast('domain-b', 100), DomainDecision.NothingBetter],
+    ['does not wait for a backend server that gets no calls', reader(8_000_000), forecast('domain-b', 0, false), DomainDecision.NothingBetter],
+    ['does not wait for one in a failure domain that is no better', reader(8_000_000), forecast('domain-c'), DomainDecision.NothingBetter],
+  ])('%s', (_name, task, other, decision) => {
+    expect(decideDomainWait(task, HERE, [HERE, other], 0)).toBe(decision)
   })
 })
 
--- a/test/gateway/support/fakes.ts
+++ b/test/gateway/support/fakes.ts
@@ -88,7 +88,8 @@
     const failureOf = typeof behaviour === 'function' ? behaviour : () => undefined
     const missing = items.map(item => item.inputs?.some(handle => !this.live.has(handle)) ?? false)
     await new Promise(resolve => setTimeout(resolve, this.limits.callMs + this.limits.itemMs * items.length))
-    return { end: StageCallEnd.Done, outcomes: items.map((item, index) => missing[index] ? { failure: ItemFailure.InputGone } : this.make(backend, failureOf(item))) }
+    const outcomes = items.map((item, index) => this.make(backend, missing[index] ? ItemFailure.InputGone : failureOf(item)))
+    return { end: StageCallEnd.Done, outcomes }
   }
 
   async free(_backend: Backend, handles: readonly string[]): Promise<boolean> {
