--- a/packages/gateway/src/process/stages/pool/stage-calls.ts
+++ b/packages/gateway/src/process/stages/pool/stage-calls.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the calls of one stage service and deals out what they bring: results,
- * items that are sent again, tasks that fail. Owns the calls under way; relies
+ * Runs the calls of one stage service and applies their outcomes: results to
+ * their tasks, failed items back to the queue or to the failure of their task. Owns the calls under way; relies
  * on the client to answer or abort each. When the process dies, results of its
  * calls expire at their backend servers.
  */
@@ -20,9 +20,10 @@
 import { countsAsFailure, decideItemRetry } from './item-retry.js'
 import { describeItem, inputBytesOf, resultBytesOf } from './pool-task.js'
 
-/** Says whether items may be sent again, and counts them. */
-export interface RepeatAllowance {
-  takeRepeats: (service: string, count: number) => boolean
+/** Limits how many items of a service are sent again. */
+export interface ItemRetryBudget {
+  /** Takes one item from the budget; false where it is used up. */
+  takeRetry: (service: string) => boolean
 }
 
 /** What calls work with. */
@@ -31,7 +32,7 @@
   client: StageClient
   queue: TaskQueue
   frees: ResultFrees
-  repeats: RepeatAllowance
+  retryBudget: ItemRetryBudget
   log: EventLog
   /** Starts what can be started, after a call or a pause has ended. */
   dispatch: () => void
@@ -48,7 +49,7 @@
     this.otherCoordinatorUntil = performance.now() + OTHER_COORDINATOR_MS
   }
 
-  /** Runs items at a backend server; ends when their outcomes are dealt out. */
+  /** Runs items at a backend server; ends when their outcomes are applied. */
   async run(backend: StageBackend, items: readonly PoolItem[], limits: StageLimits, startedAt: number): Promise<void> {
     const { service, client, log, dispatch } = this.parts
     backend.startCall(items.length, resultBytesOf(items), startedAt)
@@ -81,7 +82,7 @@
     backend.succeed(items.length, tookMs, outcomes.every(outcome => 'handle' in outcome))
     items.forEach((item, position) => {
       if ('failure' in outcomes[position])
-        backend.memory.release(item.task.task.resultBytes)
+        backend.memory.release(item.task.stageTask.resultBytes)
     })
     if (outcomes.some(outcome => 'failure' in outcome && outcome.failure === ItemFailure.NoMemory))
       backend.pauseForMemory(now)
@@ -92,7 +93,7 @@
     if ('failure' in outcome)
       return this.retry([item], outcome.failure)
     const { queue, frees } = this.parts
-    const { resultBytes } = item.task.task
+    const { resultBytes } = item.task.stageTask
     backend.memory.hold(outcome.handle, resultBytes, now)
     const result = { handle: outcome.handle, holder: backend.memory, bytes: resultBytes }
     if (item.task.ended)
@@ -116,12 +117,12 @@
 
   /** Lets items wait for another call, or fails their tasks. */
   private retry(items: readonly PoolItem[], cause: ItemFailureCause): void {
-    const { service, queue, repeats } = this.parts
+    const { service, queue, retryBudget } = this.parts
     const live = items.filter(item => !item.task.ended)
     for (const item of live) {
       if (countsAsFailure(cause))
         item.failures++
-      const decision = decideItemRetry(cause, item.failures, () => repeats.takeRepeats(service, 1))
+      const decision = decideItemRetry(cause, item.failures, () => retryBudget.takeRetry(service))
       if (!decision.isRetried)
         queue.fail(item.task, decision.failure)
     }
@@ -133,7 +134,7 @@
 function reportFetched(items: readonly PoolItem[]): void {
   for (const { task } of items) {
     task.fetched++
-    if (task.fetched === task.task.items && !task.ended)
-      task.task.listener.inputsFetched()
+    if (task.fetched === task.stageTask.items && !task.ended)
+      task.stageTask.listener.inputsFetched()
   }
 }
