--- a/packages/daemon/src/connection/messages.ts
+++ b/packages/daemon/src/connection/messages.ts
@@ -1,13 +1,14 @@
 /**
  * Messages between the system's processes. Each is checked by its schema where
- * it arrives.
+ * it arrives. Two releases talk to each other during a rolling restart: fields
+ * keep their names, and new ones need a default.
  */
 import { z } from 'zod'
 import { ObjectKind, Priority } from '../version/objects.js'
 import { NO_OFFSET, versionedObjectSchema } from '../version/record.js'
 
 /** Largest stage input between processes, in characters. Not measured: 15 times the largest body that entries accept by default. */
-export const MAX_STAGE_INPUT_LENGTH = 4_000_000
+const MAX_STAGE_INPUT_LENGTH = 4_000_000
 
 /**
  * Stage results that one heartbeat can acknowledge. Not measured: 20 times what
@@ -171,9 +172,6 @@
   kinds: z.array(z.enum(ObjectKind)),
 })
 
-/** What came of a cancel: whether the stage had started. */
-export const cancelReplySchema = z.object({ started: z.boolean() })
-
 /** A request passed on to the entry that made its ticket or holds its claim. */
 export const forwardedRequestSchema = z.object({
   account: z.string(),
@@ -229,12 +227,17 @@
 export type FailedReply = Extract<StageReply, { kind: StageReplyKind.Failed }>
 export type StreamMessage = z.infer<typeof streamMessageSchema>
 export type DifferenceRequest = z.infer<typeof differenceRequestSchema>
-export type CancelReply = z.infer<typeof cancelReplySchema>
 export type ForwardedRequest = z.infer<typeof forwardedRequestSchema>
 export type OutcomeQuestion = z.infer<typeof outcomeQuestionSchema>
 export type ResultQuestion = z.infer<typeof resultQuestionSchema>
 export type OutcomeReply = z.infer<typeof outcomeReplySchema>
 
+/** What came of a cancel. */
+export interface CancelReply {
+  /** Whether the stage had started. */
+  started: boolean
+}
+
 /** The key under which a side knows a stage call. */
 export function stageKey(identity: StageIdentity): string {
   return [identity.entryIncarnation, identity.account, identity.requestId, identity.stage, identity.attempt].join('/')
--- a/packages/daemon/src/connection/peer-key.ts
+++ b/packages/daemon/src/connection/peer-key.ts
@@ -1,10 +1,11 @@
 /**
- * The key that the system's processes share. Strangers are refused before any
- * message of theirs is read.
+ * The key that the system's processes share. A connection that does not show it
+ * is refused before any of its messages is read.
  */
 import type { IncomingMessage } from 'node:http'
 import { createHash, timingSafeEqual } from 'node:crypto'
 
+/** Scheme of the header `authorization`, on the wire between two releases. */
 const SCHEME = 'Eidermast '
 
 /** Header value that shows the key. */
--- a/packages/daemon/src/connection/peer-server.ts
+++ b/packages/daemon/src/connection/peer-server.ts
@@ -32,13 +32,6 @@
   port: number
 }
 
-/** Options of a peer server. */
-export interface PeerServerOptions extends PeerServerAddress {
-  router: AnyTRPCRouter
-  /** Answers plain HTTP, such as metrics. */
-  onRequest: RequestListener
-}
-
 /** A listening peer server. */
 export class PeerServer {
   private readonly sockets = new WebSocketServer({ noServer: true, maxPayload: MAX_PEER_MESSAGE_BYTES, perMessageDeflate: false })
@@ -50,13 +43,16 @@
     readonly address: string,
   ) {}
 
-  /** Starts listening, for a process whose parts need to know the address; `serve` has to follow at once. */
+  /**
+   * Starts listening; `serve` has to follow at once. They are two steps since parts that answer peers need the
+   * address. Rejects where the port cannot be listened on.
+   */
   static async listen({ key, host, port }: PeerServerAddress): Promise<PeerServer> {
     const server = createServer()
     return new PeerServer(server, key, await listen(server, host, port))
   }
 
-  /** Answers peers from now on. */
+  /** Answers peers by the router, and plain HTTP, such as metrics, by the listener. */
   serve(router: AnyTRPCRouter, onRequest: RequestListener): void {
     applyWSSHandler({ wss: this.sockets, router })
     this.server.on('request', onRequest)
@@ -80,13 +76,6 @@
   }
 }
 
-/** Listens and answers peers. Rejects where the port cannot be listened on. */
-export async function startPeerServer(options: PeerServerOptions): Promise<PeerServer> {
-  const server = await PeerServer.listen(options)
-  server.serve(options.router, options.onRequest)
-  return server
-}
-
 /** Listens and returns the address as `host:port`. Rejects where the port cannot be listened on. */
 export async function listen(server: Server, host: string, port: number): Promise<string> {
   await new Promise<void>((resolve, reject) => {
--- a/packages/daemon/src/process/settings.ts
+++ b/packages/daemon/src/process/settings.ts
@@ -154,7 +154,6 @@
 
 /** The checked settings of a daemon. */
 export type Settings = z.infer<typeof settingsSchema>
-export type EntrySettings = Settings['entry']
 export type SideSettings = NonNullable<Settings['side']>
 
 /** Reads and checks a settings file. */
--- a/packages/daemon/src/process/side/backend-watch.ts
+++ b/packages/daemon/src/process/side/backend-watch.ts
@@ -6,7 +6,7 @@
  * its answers to load requests, one each `load-interval-ms`. Rule: down after
  * MAX_MISSED_READINGS in a row without an answer, up at the next answer;
  * restarted when it reports another process life than before. While it does
- * not answer, its last word on draining stays in force. Why not one miss: one
+ * not answer, its last report on draining stays in force. Why not one miss: one
  * late answer on a loaded VM is no sign that it is gone.
  * Log events: `backend-down` (error), `backend-up`, `backend-restarted` (instance).
  */
--- a/packages/daemon/src/process/side/order-decision.ts
+++ b/packages/daemon/src/process/side/order-decision.ts
@@ -11,8 +11,9 @@
  * server that does not check fences itself, when the log has confirmed within
  * MAX_CONFIRMATION_AGE_MS that this configuration is the newest.
  * Why not a lease for the side: it lapses while its holder is paused, and the
- * paused side would send an old order when it resumes. Why not the entries'
- * word: it may have waited in the paused side's socket (commit 437c9c4).
+ * paused side would send an old order when it resumes. Why not ask
+ * the entries: their answer may have waited in the paused side's socket (commit
+ * 437c9c4).
  * Set by: RETRY_MS and MAX_CONFIRMATION_AGE_MS are not measured.
  * Log event: `order` (fence, model, version, adapters, result).
  */
