--- a/packages/daemon/src/process/run-daemon.ts
+++ b/packages/daemon/src/process/run-daemon.ts
@@ -11,7 +11,7 @@
 const log = createLogger('process')
 
 /** Starts the role that the settings name. */
-export function startDaemon(settings: Settings): Promise<Daemon> {
+function startDaemon(settings: Settings): Promise<Daemon> {
   return settings.process.role === ProcessRole.Entry ? Entry.start(settings) : Side.start(settings)
 }
 
--- a/packages/daemon/src/version/checkpoint-timing.ts
+++ b/packages/daemon/src/version/checkpoint-timing.ts
@@ -28,7 +28,7 @@
 const MIN_JITTER = 0.5
 
 /** Milliseconds after which a checkpoint is due. */
-export function checkpointDueMs(retentionMs: number): number {
+function checkpointDueMs(retentionMs: number): number {
   return retentionMs * DUE_SHARE
 }
 
--- a/packages/daemon/src/version/publisher.ts
+++ b/packages/daemon/src/version/publisher.ts
@@ -2,8 +2,8 @@
  * Publishes one change of the configuration and finds out what became of it by
  * reading its own record back. Of two operators who change the same version of
  * an object, the first in the log's order succeeds and the second gets a
- * conflict. Keeps no state: an operator who loses the answer asks by the
- * record's id.
+ * conflict. Keeps no state: an operator who loses the answer finds the record
+ * with `eidermast config history`.
  */
 import type { LogClient } from './log.js'
 import type { ObjectKind } from './objects.js'
@@ -116,7 +116,7 @@
 }
 
 /** Looks for a record on the log and for what folding made of it; undefined where the log cannot say so now. */
-export async function findPublication(client: LogClient, recordId: string): Promise<Publication | undefined> {
+async function findPublication(client: LogClient, recordId: string): Promise<Publication | undefined> {
   const page = await readConfigurationStream(client, 0)
   if (page.isErr()) {
     log('log-unreadable', { error: formatError(page.error) })
--- a/test/promises/cut-connections.test.ts
+++ b/test/promises/cut-connections.test.ts
@@ -1,8 +1,9 @@
-import { HttpLogClient, ObjectKind, publishChange, readConfiguration } from '@eidermast/daemon'
+import { BackendOrder, HttpLogClient } from '@eidermast/daemon'
 import { DeploymentName, resolveDeployment, RunningSystem } from '@eidermast/stand-ins'
 import { afterAll, beforeAll, describe, expect, test, vi } from 'vitest'
 import { runsOf, smallAnswer } from '../support/caller.js'
 import { CutMoment, CuttingProxy, LARGE_INPUT_LENGTH } from '../support/cutting-proxy.js'
+import { changeBackend } from '../support/operator.js'
 import { CallerRecord } from '../support/oracle.js'
 
 const ENCODER = 'encoder-1'
@@ -15,10 +16,8 @@
   proxy = new CuttingProxy(system.find(ENCODER).peer!)
   const address = await proxy.listen()
   const client = new HttpLogClient({ url: system.logServiceUrl })
-  const { value, offset } = (await readConfiguration(client))!.get(ObjectKind.Backend, ENCODER)!
-  await publishChange(client, { kind: ObjectKind.Backend, name: ENCODER, value: { ...value, address }, base: offset })
-  const other = (await readConfiguration(client))!.get(ObjectKind.Backend, 'encoder-2')!
-  await publishChange(client, { kind: ObjectKind.Backend, name: 'encoder-2', value: { ...other.value, order: 'out' }, base: other.offset })
+  await changeBackend(client, ENCODER, { address })
+  await changeBackend(client, 'encoder-2', { order: BackendOrder.Out })
   await client.close()
   const inForce = async (): Promise<boolean> => {
     const detail = (await system.entryStatus('entry-1'))?.detail ?? []
@@ -34,20 +33,20 @@
 })
 
 describe('a connection between entry and side that is cut', () => {
-  test.each(Object.values(CutMoment).flatMap(moment => [[moment, 'departure-alert', true], [moment, 'rider-answer', false]] as const))('%s: a request to %s runs at most once if it must, and is never told that nothing ran', async (moment, pipeline, unrepeatable) => {
+  test.each(Object.values(CutMoment).flatMap(moment => [[moment, 'departure-alert', true], [moment, 'rider-answer', false]] as const))('%s: a request to %s runs at most once if it must, and is never answered that nothing ran', async (moment, pipeline, unrepeatable) => {
     const record = new CallerRecord()
     const sent = record.begin(pipeline, `cut ${moment} `.padEnd(LARGE_INPUT_LENGTH, 'x'), unrepeatable)
     const cutsBefore = proxy.cuts
     proxy.cutAt(moment)
-    const told = await record.send(sent, system.entryUrls[0], { 'eidermast-deadline-ms': '20000' })
+    const answer = await record.send(sent, system.entryUrls[0], { 'eidermast-deadline-ms': '20000' })
     expect(proxy.cuts, 'the connection was cut').toBe(cutsBefore + 1)
     expect(record.violations(system)).toEqual([])
     if (unrepeatable) {
-      expect(told?.output).toBe(smallAnswer(pipeline, sent.input))
+      expect(answer?.output).toBe(smallAnswer(pipeline, sent.input))
       expect(runsOf(system, sent.requestId)).toEqual([1, 1, 1, 1])
     }
     else {
-      expect(told?.ran ?? 'whole').not.toBe('none')
+      expect(answer?.ran ?? 'whole').not.toBe('none')
     }
     await expect.poll(async () => (await system.entryStatus('entry-1'))?.detail.find(line => line.subject === ENCODER)?.text, { timeout: 10_000 }).toBe('in-force')
   })
--- a/test/promises/leaving.test.ts
+++ b/test/promises/leaving.test.ts
@@ -1,9 +1,11 @@
-import { HttpLogClient, ObjectKind, publishChange, PublishOutcome, readConfiguration } from '@eidermast/daemon'
+import { wait } from '@eidermast/common'
+import { BackendOrder, HttpLogClient, ObjectKind, PublishOutcome, readConfiguration } from '@eidermast/daemon'
 import { DeploymentName, LogOutage, resolveDeployment, RunningSystem } from '@eidermast/stand-ins'
 import { afterAll, afterEach, beforeAll, describe, expect, test } from 'vitest'
+import { changeBackend } from '../support/operator.js'
 import { CallerRecord } from '../support/oracle.js'
 
-/** The users' "a few seconds". */
+/** Milliseconds: what "a few seconds" is held to. */
 const FEW_SECONDS_MS = 5000
 const WATCHED_MS = 2000
 const SEND_EVERY_MS = 15
@@ -19,7 +21,7 @@
 })
 
 afterEach(() => system.recover(async () => {
-  await order('in')
+  await order(BackendOrder.In)
   await system.setVirtualMachines(system.listedVirtualMachines.map(machine => ({ ...machine, state: 'live' as const })))
 }), 30_000)
 
@@ -28,12 +30,11 @@
   await system.stop()
 })
 
-async function order(wanted: 'in' | 'out'): Promise<void> {
+async function order(wanted: BackendOrder): Promise<void> {
   const configuration = await readConfiguration(client)
-  const { value, offset } = configuration!.get(ObjectKind.Backend, LEAVING)!
-  if (value.order === wanted)
+  if (configuration!.get(ObjectKind.Backend, LEAVING)!.value.order === wanted)
     return
-  const publication = await publishChange(client, { kind: ObjectKind.Backend, name: LEAVING, value: { ...value, order: wanted }, base: offset })
+  const publication = await changeBackend(client, LEAVING, { order: wanted })
   expect(publication.outcome).toBe(PublishOutcome.Accepted)
 }
 
@@ -48,24 +49,24 @@
   await expect.poll(() => system.runTimes(LEAVING).length, { timeout: 10_000 }).toBeGreaterThan(5)
   await leave()
   const leftAt = Date.now()
-  await new Promise(resolve => setTimeout(resolve, WATCHED_MS + FEW_SECONDS_MS / 2))
+  await wait(WATCHED_MS + FEW_SECONDS_MS / 2)
   clearInterval(timer)
   await Promise.all(sends)
   expect(record.violations(system)).toEqual([])
   const lastRunMs = Math.max(0, system.runTimes(LEAVING).at(-1)! - leftAt)
   if (process.env.EIDERMAST_SHOW_FAULTS)
-    console.log(`last run ${lastRunMs} ms after the leave; told ${JSON.stringify(record.summarize())}`)
+    console.log(`last run ${lastRunMs} ms after the leave; answers ${JSON.stringify(record.summarize())}`)
   return lastRunMs
 }
 
 describe('a leaving backend server gets no new work after a few seconds', () => {
   test('by the operators\' order', async () => {
-    expect(await measureLastRun(() => order('out'))).toBeLessThan(FEW_SECONDS_MS)
+    expect(await measureLastRun(() => order(BackendOrder.Out))).toBeLessThan(FEW_SECONDS_MS)
   })
 
   test('by the operators\' order, with the log out straight after', async () => {
     const leave = async (): Promise<void> => {
-      await order('out')
+      await order(BackendOrder.Out)
       await system.setFaults(system.logServiceUrl, { outage: LogOutage.Refuse })
     }
     expect(await measureLastRun(leave)).toBeLessThan(FEW_SECONDS_MS)
@@ -74,8 +75,8 @@
   test('by the operators\' order, whatever an entry believes that was frozen meanwhile', async () => {
     const leave = async (): Promise<void> => {
       system.signal('entry-1', 'SIGSTOP')
-      await order('out')
-      await new Promise(resolve => setTimeout(resolve, 1000))
+      await order(BackendOrder.Out)
+      await wait(1000)
       system.signal('entry-1', 'SIGCONT')
     }
     expect(await measureLastRun(leave)).toBeLessThan(FEW_SECONDS_MS)
@@ -86,11 +87,11 @@
     expect(await measureLastRun(leave)).toBeLessThan(FEW_SECONDS_MS)
   })
 
-  test('by the side\'s own word', async () => {
+  test('by its side\'s report', async () => {
     expect(await measureLastRun(async () => system.signal(LEAVING, 'SIGTERM'))).toBeLessThan(FEW_SECONDS_MS)
   })
 
-  test('by the backend server\'s own word, with the log and the list out', async () => {
+  test('by its own report, with the log and the list out', async () => {
     await system.setFaults(system.logServiceUrl, { outage: LogOutage.Refuse })
     await system.setFaults(system.virtualMachineListUrl, { out: true })
     expect(await measureLastRun(async () => system.signal(`${LEAVING}.backend`, 'SIGTERM'))).toBeLessThan(FEW_SECONDS_MS)
--- a/test/promises/mixed-faults.test.ts
+++ b/test/promises/mixed-faults.test.ts
@@ -1,5 +1,5 @@
 import type { RecordedRequest } from '../support/oracle.js'
-import { Ran } from '@eidermast/common'
+import { Ran, wait } from '@eidermast/common'
 import { DeploymentName, LogOutage, ProcessKind, resolveDeployment, RunningSystem } from '@eidermast/stand-ins'
 import { unsafeUniformIntDistribution, xoroshiro128plus } from 'pure-rand'
 import { afterAll, afterEach, beforeAll, describe, expect, test } from 'vitest'
@@ -58,7 +58,7 @@
     for (let step = 0; step < STEPS; step++) {
       this.sendSome()
       await this.place(this.pick(Object.values(Fault)))
-      await new Promise(resolve => setTimeout(resolve, STEP_MS))
+      await wait(STEP_MS)
     }
     // What is frozen must wake before its callers hear from it.
     for (const { name, child } of system.processes.values()) {
@@ -69,7 +69,7 @@
   }
 
   describe(): string {
-    return `seed ${this.seed}, faults ${this.placed.join(', ')}, told ${JSON.stringify(this.record.summarize())}`
+    return `seed ${this.seed}, faults ${this.placed.join(', ')}, answers ${JSON.stringify(this.record.summarize())}`
   }
 
   /** New requests, and old ones once more under their ids. */
@@ -153,10 +153,10 @@
     await run.run()
     await system.recover()
     expect(run.record.violations(system), run.describe()).toEqual([])
-    const silent = run.record.requests.filter(({ told, broken }) => told.length + broken === 0)
+    const silent = run.record.requests.filter(({ answers, broken }) => answers.length + broken === 0)
     expect(silent, 'every send is answered or its connection broken').toEqual([])
-    const promised = run.record.requests.flatMap(request => request.told).filter(told => told.status !== 200)
-    expect(promised.every(told => told.ran !== undefined && Object.values(Ran).includes(told.ran))).toBe(true)
+    const promised = run.record.requests.flatMap(request => request.answers).filter(answer => answer.status !== 200)
+    expect(promised.every(answer => answer.ran !== undefined && Object.values(Ran).includes(answer.ran))).toBe(true)
     if (process.env.EIDERMAST_SHOW_FAULTS)
       console.log(run.describe())
   }, 60_000)
--- a/test/promises/orders.test.ts
+++ b/test/promises/orders.test.ts
@@ -1,10 +1,12 @@
 import type { WeightStore } from '@eidermast/daemon'
-import { Configuration, HttpLogClient, NO_OFFSET, ObjectKind, OrderKeeper, OrderResult, publishChange, readConfiguration, SideMetrics, WeightState } from '@eidermast/daemon'
+import { wait } from '@eidermast/common'
+import { Configuration, HttpLogClient, NO_OFFSET, ObjectKind, OrderKeeper, OrderResult, SideMetrics, WeightState } from '@eidermast/daemon'
 import { DeploymentName, resolveDeployment, RunningSystem } from '@eidermast/stand-ins'
 import { request } from 'undici'
 import { afterAll, afterEach, beforeAll, describe, expect, test } from 'vitest'
 import { callPipeline } from '../support/caller.js'
 import { createBackend, createChange, FakeBackend } from '../support/fixtures.js'
+import { changeBackend } from '../support/operator.js'
 
 /** A language model whose engine checks fences, and one whose engine does not. */
 const CHECKING = 'language-model-1'
@@ -35,9 +37,7 @@
 }
 
 async function publishVersion(name: string, version: string): Promise<void> {
-  const configuration = await readConfiguration(client)
-  const { value, offset } = configuration!.get(ObjectKind.Backend, name)!
-  await publishChange(client, { kind: ObjectKind.Backend, name, value: { ...value, version }, base: offset })
+  await changeBackend(client, name, { version })
 }
 
 async function holdsVersion(name: string, version: string): Promise<void> {
@@ -57,7 +57,7 @@
   test.each([CHECKING, NOT_CHECKING])('of a paused side whose place another has taken have no effect (%s)', async (name) => {
     await system.setFaults(system.weightStoreUrl, { delayMs: 600 })
     await publishVersion(name, 'v2')
-    await new Promise(resolve => setTimeout(resolve, 300))
+    await wait(300)
     const paused = system.find(name)
     system.signal(name, 'SIGSTOP')
     await system.setFaults(system.weightStoreUrl, {})
@@ -66,7 +66,7 @@
     await publishVersion(name, 'v3')
     await holdsVersion(name, 'v3')
     process.kill(paused.pid, 'SIGCONT')
-    await new Promise(resolve => setTimeout(resolve, 1500))
+    await wait(1500)
     const { current } = await readOrders(name)
     process.kill(paused.pid, 'SIGKILL')
     await publishVersion(name, 'v1')
@@ -86,7 +86,7 @@
 
   test('for weights that the store does not have leave the engine as it is', async () => {
     await publishVersion(CHECKING, 'absent-1')
-    await new Promise(resolve => setTimeout(resolve, 700))
+    await wait(700)
     const { current } = await readOrders(CHECKING)
     await publishVersion(CHECKING, 'v1')
     await holdsVersion(CHECKING, 'v1')
--- a/test/promises/planned-stop.test.ts
+++ b/test/promises/planned-stop.test.ts
@@ -1,7 +1,7 @@
 import { DeploymentName, ProcessKind, resolveDeployment, RunningSystem } from '@eidermast/stand-ins'
 import { request } from 'undici'
 import { afterAll, beforeAll, describe, expect, test } from 'vitest'
-import { DEFAULT_ACCOUNT, smallAnswer } from '../support/caller.js'
+import { DEFAULT_ACCOUNT, smallAnswer, streamPipeline } from '../support/caller.js'
 import { CallerRecord } from '../support/oracle.js'
 
 const PROBE_MS = 100
@@ -47,7 +47,7 @@
   }
 }
 
-/** Callers that send one request after another, streams and stop lookups included. */
+/** Callers that send one request after another: pipelines, streams and lookups at a plain service. */
 class Callers {
   readonly record = new CallerRecord()
   readonly faults: string[] = []
@@ -71,19 +71,15 @@
 
   private async call(pipeline: string, unrepeatable: boolean): Promise<void> {
     const sent = this.record.begin(pipeline, `${pipeline} ${this.record.requests.length}`, unrepeatable)
-    const told = await this.record.send(sent, this.balancer.pick(), DEADLINE)
-    if (told?.status !== 200)
-      this.faults.push(`${pipeline}: ${JSON.stringify(told)}`)
+    const answer = await this.record.send(sent, this.balancer.pick(), DEADLINE)
+    if (answer?.status !== 200)
+      this.faults.push(`${pipeline}: ${JSON.stringify(answer)}`)
   }
 
   private async stream(): Promise<void> {
     const input = `stream ${this.record.requests.length}`
     try {
-      const response = await request(`${this.balancer.pick()}/v1/pipelines/rider-answer/requests`, {
-        method: 'POST',
-        headers: { 'eidermast-account': DEFAULT_ACCOUNT, 'accept': 'text/event-stream', ...DEADLINE },
-        body: JSON.stringify({ input }),
-      })
+      const response = await streamPipeline({ entryUrl: this.balancer.pick(), pipeline: 'rider-answer', input, headers: DEADLINE })
       const text = await response.body.text()
       if (!text.includes('"whole":true') || !text.includes(smallAnswer('rider-answer', input)))
         this.faults.push(`stream: ${text.slice(-300)}`)
--- a/test/promises/results.test.ts
+++ b/test/promises/results.test.ts
@@ -1,11 +1,11 @@
-import type { Told } from '../support/caller.js'
+import type { CallerAnswer } from '../support/caller.js'
 import { ErrorKind, Ran } from '@eidermast/common'
 import { answersCall, MemberState } from '@eidermast/daemon'
 import { DeploymentName, ProcessKind, resolveDeployment, RunningSystem } from '@eidermast/stand-ins'
 import { request } from 'undici'
 import { v7 as uuidv7 } from 'uuid'
 import { afterAll, afterEach, beforeAll, describe, expect, test } from 'vitest'
-import { DEFAULT_ACCOUNT, runsOf } from '../support/caller.js'
+import { DEFAULT_ACCOUNT, runsOf, streamPipeline } from '../support/caller.js'
 import { createStageCall } from '../support/fixtures.js'
 import { CallerRecord } from '../support/oracle.js'
 
@@ -30,11 +30,7 @@
 
 /** Sends a streamed request and returns the whole text that came. */
 async function stream(input: string, onText: (text: string) => void = () => {}): Promise<string> {
-  const response = await request(`${system.entryUrls[0]}/v1/pipelines/${PIPELINE}/requests`, {
-    method: 'POST',
-    headers: { 'eidermast-account': DEFAULT_ACCOUNT, 'accept': 'text/event-stream', ...LONG_DEADLINE },
-    body: JSON.stringify({ input }),
-  })
+  const response = await streamPipeline({ entryUrl: system.entryUrls[0], pipeline: PIPELINE, input, headers: LONG_DEADLINE })
   let text = ''
   try {
     for await (const chunk of response.body) {
@@ -43,7 +39,7 @@
     }
   }
   catch {
-    // A connection that breaks tells that the answer is not whole.
+    // A connection that breaks shows that the answer is not whole.
   }
   return text
 }
@@ -138,15 +134,15 @@
     return status?.detail.filter(line => line.text === MemberState.Silent).length
   }
 
-  function told(record: CallerRecord): Told[] {
-    return record.requests.flatMap(sent => sent.told)
+  function answersOf(record: CallerRecord): CallerAnswer[] {
+    return record.requests.flatMap(sent => sent.answers)
   }
 
   test.each([PIPELINE, 'departure-alert'])('for what is shed in an overload (%s)', async (pipeline) => {
-    // While the first ones are held at the encoders, the others find no room.
+    // While the first ones are held at the encoders, the others find the entry at its limit.
     await system.setServiceFaults('encoder', { slowFactor: 500 })
     const record = await sendMany(IN_FLIGHT_LIMIT * 5, { 'eidermast-deadline-ms': '4000' }, pipeline)
-    expect(told(record).some(answer => answer.ran === Ran.None)).toBe(true)
+    expect(answersOf(record).some(answer => answer.ran === Ran.None)).toBe(true)
     expect(record.violations(system)).toEqual([])
   })
 
@@ -157,10 +153,10 @@
     encoders.forEach(name => system.signal(name, 'SIGCONT'))
     await system.recover()
     expect(record.violations(system)).toEqual([])
-    expect(told(record).every(answer => answer.ran !== undefined)).toBe(true)
+    expect(answersOf(record).every(answer => answer.ran !== undefined)).toBe(true)
   })
 
-  test('and a repeatable request whose last backend server is killed while it runs is not told so', async () => {
+  test('and a repeatable request whose last backend server is killed while it runs is not answered so', async () => {
     await system.setServiceFaults('encoder', { slowFactor: 500 })
     await system.end('encoder-2', 'SIGKILL')
     const record = new CallerRecord()
@@ -172,7 +168,7 @@
     expect(record.violations(system)).toEqual([])
   })
 
-  test('for what comes while no backend server is in force, and the answer comes at once with a time to come back', async () => {
+  test('for what comes while no backend server is in force, and the answer comes at once with a time to retry', async () => {
     const encoders = ['encoder-1', 'encoder-2']
     await Promise.all(encoders.map(name => system.end(name, 'SIGKILL')))
     for (const entry of ['entry-1', 'entry-2'])
@@ -180,7 +176,7 @@
     const startedAt = performance.now()
     const record = await sendMany(20, LONG_DEADLINE)
     expect(performance.now() - startedAt, 'never held towards the deadline').toBeLessThan(10_000)
-    for (const answer of told(record)) {
+    for (const answer of answersOf(record)) {
       expect(answer).toMatchObject({ kind: ErrorKind.NoBackend, ran: Ran.None })
       expect(answer.retryAfterMs).toBeGreaterThan(0)
     }
--- a/test/promises/unrepeatable.test.ts
+++ b/test/promises/unrepeatable.test.ts
@@ -1,5 +1,5 @@
 import type { RecordedRequest } from '../support/oracle.js'
-import { ErrorKind, Ran } from '@eidermast/common'
+import { ErrorKind, Ran, wait } from '@eidermast/common'
 import { callPeer, CallState, connectEntry } from '@eidermast/daemon'
 import { DeploymentName, LogOutage, resolveDeployment, RunningSystem } from '@eidermast/stand-ins'
 import { request } from 'undici'
@@ -53,19 +53,19 @@
 }
 
 describe('an unrepeatable request under its caller\'s id', () => {
-  test('runs once when two and three entries get it at once, and all tell the one answer', async () => {
+  test('runs once when two and three entries get it at once, and all give the one answer', async () => {
     const requests = Array.from({ length: 12 }, begin)
     await Promise.all(requests.flatMap((sent, index) => system.entryUrls.slice(0, 2 + index % 2).map(url => record.send(sent, url, LONG_DEADLINE))))
     expect(record.violations(system)).toEqual([])
-    for (const { told, input } of requests)
-      expect(told.map(answer => answer.output)).toEqual(told.map(() => smallAnswer(PIPELINE, input)))
+    for (const { answers, input } of requests)
+      expect(answers.map(answer => answer.output)).toEqual(answers.map(() => smallAnswer(PIPELINE, input)))
   })
 
   test('gets the same answer when it is sent again, to the same entry or another', async () => {
     const sent = begin()
     for (const url of [...system.entryUrls, ...system.entryUrls])
       await record.send(sent, url)
-    expect(sent.told.map(answer => answer.output)).toEqual(sent.told.map(() => smallAnswer(PIPELINE, sent.input)))
+    expect(sent.answers.map(answer => answer.output)).toEqual(sent.answers.map(() => smallAnswer(PIPELINE, sent.input)))
     expect(record.violations(system)).toEqual([])
   })
 
@@ -96,8 +96,8 @@
     await waitForRun(sent.requestId, 'generate')
     await system.end('entry-1', 'SIGKILL')
     await first
-    const told = async () => (await record.send(sent, system.entryUrls[1], LONG_DEADLINE))?.output
-    await expect.poll(told, { timeout: 10_000 }).toBe(smallAnswer(PIPELINE, sent.input))
+    const output = async () => (await record.send(sent, system.entryUrls[1], LONG_DEADLINE))?.output
+    await expect.poll(output, { timeout: 10_000 }).toBe(smallAnswer(PIPELINE, sent.input))
     expect(record.violations(system)).toEqual([])
   })
 
@@ -118,10 +118,10 @@
     await system.setFaults(system.logServiceUrl, { delayMs: 400 })
     const sent = begin()
     const first = record.send(sent, system.entryUrls[0], LONG_DEADLINE)
-    await new Promise(resolve => setTimeout(resolve, 100))
+    await wait(100)
     system.signal('entry-1', 'SIGSTOP')
     const second = record.send(sent, system.entryUrls[1], LONG_DEADLINE)
-    await new Promise(resolve => setTimeout(resolve, 1200))
+    await wait(1200)
     system.signal('entry-1', 'SIGCONT')
     await Promise.all([first, second])
     expect(record.violations(system)).toEqual([])
@@ -149,12 +149,12 @@
     ['refuses', { outage: LogOutage.Refuse }],
     ['hangs', { outage: LogOutage.Hang }],
     ['refuses for its rate', { refuseAppends: true }],
-  ])('is told at once that nothing ran, and when to come back, while the log %s', async (_name, faults) => {
+  ])('is answered at once that nothing ran, with a time to retry, while the log %s', async (_name, faults) => {
     await system.setFaults(system.logServiceUrl, faults)
     const sent = begin()
-    const told = await record.send(sent, system.entryUrls[0], LONG_DEADLINE)
-    expect(told).toMatchObject({ kind: ErrorKind.LogUnavailable, ran: Ran.None })
-    expect(told?.retryAfterMs).toBeGreaterThan(0)
+    const answer = await record.send(sent, system.entryUrls[0], LONG_DEADLINE)
+    expect(answer).toMatchObject({ kind: ErrorKind.LogUnavailable, ran: Ran.None })
+    expect(answer?.retryAfterMs).toBeGreaterThan(0)
     expect(record.violations(system)).toEqual([])
     await system.setFaults(system.logServiceUrl, {})
     const retry = async () => (await record.send(sent, system.entryUrls[1], LONG_DEADLINE))?.status
@@ -162,7 +162,7 @@
     expect(record.violations(system)).toEqual([])
   })
 
-  test('is never told that nothing ran while the log is out, when its entry ran it and was killed', async () => {
+  test('is never answered that nothing ran while the log is out, when its entry ran it and was killed', async () => {
     const sent = begin()
     await record.send(sent, system.entryUrls[0], LONG_DEADLINE)
     await system.end('entry-1', 'SIGKILL')
@@ -172,11 +172,11 @@
     expect(record.violations(system)).toEqual([])
   })
 
-  test('is never told that nothing ran while the log is out and an entry cannot be asked', async () => {
+  test('is never answered that nothing ran while the log is out and an entry cannot be asked', async () => {
     system.signal('entry-1', 'SIGSTOP')
     await system.setFaults(system.logServiceUrl, { outage: LogOutage.Refuse })
-    const told = await record.send(begin(), system.entryUrls[1], LONG_DEADLINE)
-    expect(told).toMatchObject({ kind: ErrorKind.LogUnavailable, ran: Ran.Unknown })
+    const answer = await record.send(begin(), system.entryUrls[1], LONG_DEADLINE)
+    expect(answer).toMatchObject({ kind: ErrorKind.LogUnavailable, ran: Ran.Unknown })
     system.signal('entry-1', 'SIGCONT')
   })
 })
@@ -217,7 +217,7 @@
     await waitForRun(sent.requestId, stage)
     const side = await findSide(sent.requestId, stage)
     system.signal(side, 'SIGSTOP')
-    await new Promise(resolve => setTimeout(resolve, 2500))
+    await wait(2500)
     system.signal(side, 'SIGCONT')
     expect(await first).toMatchObject({ status: 200, output: smallAnswer(PIPELINE, sent.input) })
     expect(runsOf(system, sent.requestId)).toEqual([1, 1, 1, 1])
@@ -232,8 +232,8 @@
   test('runs once wherever and however often it is sent, with the log out', async () => {
     await system.setFaults(system.logServiceUrl, { outage: LogOutage.Hang })
     const { requestId, ticket } = await issueTicket(system.entryUrls[0])
-    const told = await Promise.all([...system.entryUrls, ...system.entryUrls].map(url => sendTicket(url, ticket)))
-    expect(told.map(answer => answer.output)).toEqual(told.map(() => smallAnswer(PIPELINE, 'ticketed')))
+    const answers = await Promise.all([...system.entryUrls, ...system.entryUrls].map(url => sendTicket(url, ticket)))
+    expect(answers.map(answer => answer.output)).toEqual(answers.map(() => smallAnswer(PIPELINE, 'ticketed')))
     expect(runsOf(system, requestId)).toEqual([1, 1, 1, 1])
   })
 
@@ -243,8 +243,8 @@
       await system.end('entry-1', signal)
     else
       system.signal('entry-1', signal)
-    const told = await callPipeline({ entryUrl: system.entryUrls[1], pipeline: PIPELINE, input: 'ticketed', headers: { 'eidermast-deadline-ms': '1500', 'eidermast-ticket': ticket } })
-    expect(told).toMatchObject({ kind: ErrorKind.OutcomeUnknown, ran: Ran.Unknown })
+    const answer = await callPipeline({ entryUrl: system.entryUrls[1], pipeline: PIPELINE, input: 'ticketed', headers: { 'eidermast-deadline-ms': '1500', 'eidermast-ticket': ticket } })
+    expect(answer).toMatchObject({ kind: ErrorKind.OutcomeUnknown, ran: Ran.Unknown })
     if (signal === 'SIGSTOP')
       system.signal('entry-1', 'SIGCONT')
     expect(runsOf(system, requestId).every(count => count === 1)).toBe(true)
@@ -252,8 +252,8 @@
 
   test('is refused for another account, and nothing runs', async () => {
     const { requestId, ticket } = await issueTicket(system.entryUrls[0])
-    const told = await callPipeline({ entryUrl: system.entryUrls[1], pipeline: PIPELINE, input: 'x', account: 'depot-control', headers: { 'eidermast-ticket': ticket } })
-    expect(told).toMatchObject({ kind: ErrorKind.TicketInvalid, ran: Ran.None })
+    const answer = await callPipeline({ entryUrl: system.entryUrls[1], pipeline: PIPELINE, input: 'x', account: 'depot-control', headers: { 'eidermast-ticket': ticket } })
+    expect(answer).toMatchObject({ kind: ErrorKind.TicketInvalid, ran: Ran.None })
     expect(runsOf(system, requestId)).toEqual([])
   })
 })
--- a/test/support/caller.ts
+++ b/test/support/caller.ts
@@ -1,9 +1,10 @@
-import type { RequestError } from '@eidermast/common'
 /**
- * A caller for tests: sends requests to an entry and keeps what it was told.
+ * A caller for tests: sends requests to an entry and returns its answers.
  */
+import type { RequestError } from '@eidermast/common'
 import type { StageReport } from '@eidermast/daemon'
 import type { RunningSystem } from '@eidermast/stand-ins'
+import type { Dispatcher } from 'undici'
 import { DeploymentName, expectedAnswer, resolveDeployment } from '@eidermast/stand-ins'
 import { request } from 'undici'
 
@@ -18,8 +19,8 @@
   signal?: AbortSignal
 }
 
-/** What a caller was told. */
-export interface Told {
+/** The answer that a caller got. */
+export interface CallerAnswer {
   status: number
   output?: string
   requestId?: string
@@ -32,8 +33,8 @@
 
 export const DEFAULT_ACCOUNT = 'rider-app'
 
-/** Sends a request and returns what was told. */
-export async function callPipeline(call: PipelineCall): Promise<Told> {
+/** Sends a request and returns its answer. */
+export async function callPipeline(call: PipelineCall): Promise<CallerAnswer> {
   const headers: Record<string, string> = { 'eidermast-account': call.account ?? DEFAULT_ACCOUNT, ...call.headers }
   if (call.requestId !== undefined)
     headers['eidermast-request-id'] = call.requestId
@@ -43,10 +44,19 @@
     body: JSON.stringify({ input: call.input }),
     signal: call.signal,
   })
-  const body = await response.body.json() as Omit<Told, 'status'>
+  const body = await response.body.json() as Omit<CallerAnswer, 'status'>
   return { ...body, status: response.statusCode }
 }
 
+/** Sends a request whose answer is to be streamed; the body holds server-sent events. */
+export function streamPipeline({ entryUrl, pipeline, input, headers }: PipelineCall): Promise<Dispatcher.ResponseData> {
+  return request(`${entryUrl}/v1/pipelines/${pipeline}/requests`, {
+    method: 'POST',
+    headers: { 'eidermast-account': DEFAULT_ACCOUNT, 'accept': 'text/event-stream', ...headers },
+    body: JSON.stringify({ input }),
+  })
+}
+
 /** The answer that the small deployment must give. */
 export function smallAnswer(pipeline: string, input: string): string {
   const { templates } = resolveDeployment(DeploymentName.Small)
@@ -54,12 +64,17 @@
   return expectedAnswer(stages.map(stage => ({ name: stage.name, tokens: stage.model ? stage.maxTokens : 0 })), input)
 }
 
-/** How often the stages of a request ran, as the backend servers counted. */
-export function runsOf(system: RunningSystem, requestId: string): number[] {
-  const counts: number[] = []
+/** How often the stages of each request ran, as the backend servers counted. */
+export function countRunsByRequest(system: RunningSystem): Map<string, number[]> {
+  const byRequest = new Map<string, number[]>()
   for (const [key, count] of system.countRuns()) {
-    if (key.split('/')[1] === requestId)
-      counts.push(count)
+    const [, requestId] = key.split('/')
+    byRequest.set(requestId, [...byRequest.get(requestId) ?? [], count])
   }
-  return counts
+  return byRequest
+}
+
+/** How often the stages of a request ran, as the backend servers counted. */
+export function runsOf(system: RunningSystem, requestId: string): number[] {
+  return countRunsByRequest(system).get(requestId) ?? []
 }
--- a/test/support/cutting-proxy.ts
+++ b/test/support/cutting-proxy.ts
@@ -15,9 +15,9 @@
   BeforeReply = 'before-reply',
 }
 
-/** Callers' text is masked on the wire, so calls are told from heartbeats by their size. */
-const SMALLEST_CALL_BYTES = 1500
-/** An input that makes a call large enough to be told. */
+/** Bytes. Messages are masked on the wire, so calls are distinguished from heartbeats by their size. */
+const MIN_CALL_BYTES = 1500
+/** Characters of an input that makes a call large enough to be distinguished. */
 export const LARGE_INPUT_LENGTH = 2000
 const DONE_REPLY = '"kind":"done"'
 
@@ -65,7 +65,7 @@
     client.on('close', () => side.destroy())
     side.on('close', () => client.destroy())
     client.on('data', (chunk) => {
-      const isCall = chunk.length >= SMALLEST_CALL_BYTES
+      const isCall = chunk.length >= MIN_CALL_BYTES
       if (isCall && this.moment === CutMoment.BeforeCall)
         return cut()
       side.write(chunk)
--- a/test/support/fixtures.ts
+++ b/test/support/fixtures.ts
@@ -22,7 +22,7 @@
 }
 
 export const SIDE_INCARNATION = uuidv7()
-export const ENTRY_INCARNATION = uuidv7()
+const ENTRY_INCARNATION = uuidv7()
 
 /** A stage call. */
 export function createStageCall(overrides: Partial<StageCall> = {}, attempt = 1, requestId = uuidv7()): StageCall {
--- a/test/system/callers-interface.test.ts
+++ b/test/system/callers-interface.test.ts
@@ -45,8 +45,8 @@
     headers: { 'eidermast-account': DEFAULT_ACCOUNT, ...headers },
     body: method === 'GET' ? null : body ?? GOOD_BODY,
   })
-  const told = await response.body.json() as { kind: ErrorKind, ran: Ran, message: string }
-  return { status: response.statusCode, ...told }
+  const answer = await response.body.json() as { kind: ErrorKind, ran: Ran, message: string }
+  return { status: response.statusCode, ...answer }
 }
 
 /** Opens a connection to an entry and writes text on it. */
@@ -75,7 +75,7 @@
     ['a deadline beyond the limit', { headers: { 'eidermast-deadline-ms': '600001' } }, 400, ErrorKind.InvalidRequest],
     ['a request id that is no UUID', { headers: { 'eidermast-request-id': 'mine' } }, 400, ErrorKind.InvalidRequest],
     ['a request id of another UUID version', { headers: { 'eidermast-request-id': '6fa459ea-ee8a-4ca4-894e-db77e160355e' } }, 400, ErrorKind.InvalidRequest],
-    ['a word for unrepeatable that is none', { headers: { 'eidermast-unrepeatable': 'yes' } }, 400, ErrorKind.InvalidRequest],
+    ['an unknown value for unrepeatable', { headers: { 'eidermast-unrepeatable': 'yes' } }, 400, ErrorKind.InvalidRequest],
     ['a ticket and a request id together', { headers: { 'eidermast-ticket': 'x.y', 'eidermast-request-id': uuidv7() } }, 400, ErrorKind.InvalidRequest],
     ['a forged ticket', { headers: { 'eidermast-ticket': 'x.y' } }, 400, ErrorKind.TicketInvalid],
     ['a body that is no JSON', { body: '{' }, 400, ErrorKind.InvalidRequest],
@@ -85,9 +85,9 @@
     ['a body that is not UTF-8', { body: Buffer.from([0x22, 0xFF, 0xFE, 0x22]) }, 400, ErrorKind.InvalidRequest],
     ['a body that is too large', { body: 'x'.repeat(MAX_BODY_BYTES + 1) }, 413, ErrorKind.BodyTooLarge],
   ])('%s', async (_name, call, status, kind) => {
-    const told = await send(call)
-    expect(told).toMatchObject({ status, kind, ran: Ran.None })
-    expect(told.message.length).toBeGreaterThan(10)
+    const answer = await send(call)
+    expect(answer).toMatchObject({ status, kind, ran: Ran.None })
+    expect(answer.message.length).toBeGreaterThan(10)
   })
 
   test('dot segments in a service path', async () => {
@@ -100,15 +100,15 @@
 
   test('an unrepeatable request whose id is in the future', async () => {
     const future = uuidv7({ msecs: Date.now() + 3_600_000 })
-    const told = await callPipeline({ entryUrl: system.entryUrls[0], pipeline: 'departure-alert', input: 'x', requestId: future })
-    expect(told).toMatchObject({ status: 400, kind: ErrorKind.InvalidRequest, ran: Ran.None })
+    const answer = await callPipeline({ entryUrl: system.entryUrls[0], pipeline: 'departure-alert', input: 'x', requestId: future })
+    expect(answer).toMatchObject({ status: 400, kind: ErrorKind.InvalidRequest, ran: Ran.None })
     expect(runsOf(system, future)).toEqual([])
   })
 
-  test('an unrepeatable request whose id is too old to tell whether it ran', async () => {
+  test('an unrepeatable request whose id is too old to know whether it ran', async () => {
     const old = uuidv7({ msecs: Date.now() - 3_600_000 })
-    const told = await callPipeline({ entryUrl: system.entryUrls[0], pipeline: 'departure-alert', input: 'x', requestId: old })
-    expect(told).toMatchObject({ status: 410, kind: ErrorKind.RequestIdExpired, ran: Ran.Unknown })
+    const answer = await callPipeline({ entryUrl: system.entryUrls[0], pipeline: 'departure-alert', input: 'x', requestId: old })
+    expect(answer).toMatchObject({ status: 410, kind: ErrorKind.RequestIdExpired, ran: Ran.Unknown })
     expect(runsOf(system, old)).toEqual([])
   })
 
@@ -121,8 +121,8 @@
   })
 
   test('a right token is taken', async () => {
-    const told = await callPipeline({ entryUrl: system.entryUrls[0], pipeline: 'rider-answer', input: 'x', account: 'council-warwick', headers: { authorization: `Bearer ${TOKEN}` } })
-    expect(told.status).toBe(200)
+    const answer = await callPipeline({ entryUrl: system.entryUrls[0], pipeline: 'rider-answer', input: 'x', account: 'council-warwick', headers: { authorization: `Bearer ${TOKEN}` } })
+    expect(answer.status).toBe(200)
   })
 })
 
@@ -154,7 +154,7 @@
     ['without a key', undefined],
     ['with a wrong key', 'Eidermast wrong-key-of-some-length'],
     ['with the key\'s beginning', 'Eidermast '],
-  ])('refuse strangers %s', async (_name, authorization) => {
+  ])('refuse connections %s', async (_name, authorization) => {
     for (const kind of [ProcessKind.Entry, ProcessKind.Side]) {
       const socket = new WebSocket(`ws://${system.list(kind)[0].peer}`, { headers: authorization ? { authorization } : {} })
       const [error] = await once(socket, 'error') as [Error]
--- a/test/system/command-line.test.ts
+++ b/test/system/command-line.test.ts
@@ -74,7 +74,7 @@
     await expect.poll(async () => (await callPipeline({ entryUrl: system.entryUrls[0], pipeline: 'short', input: 'x' })).status, { timeout: 10_000 }).toBe(200)
   })
 
-  test('tells the second of two racing operators of the conflict', async () => {
+  test('reports the conflict to the second of two racing operators', async () => {
     const file = writeFile('race.ini', TEMPLATE)
     await operate('template', 'publish', 'race', file)
     const { offset } = await operateJson<{ offset: number }>('template', 'show', 'race')
@@ -114,8 +114,8 @@
   })
 
   test('explains where a request went and why', async () => {
-    const told = await callPipeline({ entryUrl: system.entryUrls[0], pipeline: 'rider-answer', input: 'x', account: DEFAULT_ACCOUNT })
-    const explained = await operate('explain', told.requestId!)
+    const answer = await callPipeline({ entryUrl: system.entryUrls[0], pipeline: 'rider-answer', input: 'x', account: DEFAULT_ACCOUNT })
+    const explained = await operate('explain', answer.requestId!)
     expect(explained.exitCode).toBe(ExitCode.Accepted)
     for (const part of ['event=admit', 'event=choose stage=encode', 'event=choose stage=generate', 'event=answer'])
       expect(explained.output).toContain(part)
--- a/test/system/whole-path.test.ts
+++ b/test/system/whole-path.test.ts
@@ -1,7 +1,7 @@
 import { DeploymentName, ProcessKind, resolveDeployment, RunningSystem } from '@eidermast/stand-ins'
 import { request } from 'undici'
 import { afterAll, beforeAll, describe, expect, test } from 'vitest'
-import { callPipeline, DEFAULT_ACCOUNT, runsOf, smallAnswer } from '../support/caller.js'
+import { callPipeline, DEFAULT_ACCOUNT, runsOf, smallAnswer, streamPipeline } from '../support/caller.js'
 
 let system: RunningSystem
 
@@ -18,24 +18,20 @@
   })
 
   test('serves a request through four stages and answers it whole', async () => {
-    const told = await callPipeline({ entryUrl: system.entryUrls[0], pipeline: 'rider-answer', input: 'When is the next 12X?' })
-    expect(told).toMatchObject({ status: 200, output: smallAnswer('rider-answer', 'When is the next 12X?') })
-    expect(told.stages?.map(stage => stage.stage)).toEqual(['encode', 'retrieve', 'rerank', 'generate'])
-    expect(runsOf(system, told.requestId!)).toEqual([1, 1, 1, 1])
+    const answer = await callPipeline({ entryUrl: system.entryUrls[0], pipeline: 'rider-answer', input: 'When is the next 12X?' })
+    expect(answer).toMatchObject({ status: 200, output: smallAnswer('rider-answer', 'When is the next 12X?') })
+    expect(answer.stages?.map(stage => stage.stage)).toEqual(['encode', 'retrieve', 'rerank', 'generate'])
+    expect(runsOf(system, answer.requestId!)).toEqual([1, 1, 1, 1])
   })
 
   test('answers many requests at once, each caller with its own answer', async () => {
     const inputs = Array.from({ length: 60 }, (_, index) => `question ${index}`)
-    const told = await Promise.all(inputs.map((input, index) => callPipeline({ entryUrl: system.entryUrls[index % 2], pipeline: 'rider-answer', input, headers: { 'eidermast-deadline-ms': '20000' } })))
-    expect(told.map(answer => answer.output)).toEqual(inputs.map(input => smallAnswer('rider-answer', input)))
+    const answers = await Promise.all(inputs.map((input, index) => callPipeline({ entryUrl: system.entryUrls[index % 2], pipeline: 'rider-answer', input, headers: { 'eidermast-deadline-ms': '20000' } })))
+    expect(answers.map(answer => answer.output)).toEqual(inputs.map(input => smallAnswer('rider-answer', input)))
   })
 
   test('streams the last stage as server-sent events and ends with the whole answer', async () => {
-    const response = await request(`${system.entryUrls[0]}/v1/pipelines/rider-answer/requests`, {
-      method: 'POST',
-      headers: { 'eidermast-account': DEFAULT_ACCOUNT, 'accept': 'text/event-stream' },
-      body: JSON.stringify({ input: 'streamed' }),
-    })
+    const response = await streamPipeline({ entryUrl: system.entryUrls[0], pipeline: 'rider-answer', input: 'streamed' })
     const events = parseEvents(await response.body.text())
     const tokens = events.filter(event => event.name === 'token').map(event => event.data.text)
     expect(tokens.join('')).toBe(smallAnswer('rider-answer', 'streamed'))
@@ -48,10 +44,10 @@
     expect(await response.body.json()).toMatchObject({ method: 'GET', path: '/stops/7?fields=name' })
   })
 
-  test('tells the outcome of a request at any entry, to its own account alone', async () => {
-    const told = await callPipeline({ entryUrl: system.entryUrls[0], pipeline: 'departure-alert', input: 'stand C' })
-    const ask = (account: string) => request(`${system.entryUrls[1]}/v1/requests/${told.requestId}`, { headers: { 'eidermast-account': account } })
-    expect(await (await ask(DEFAULT_ACCOUNT)).body.json()).toMatchObject({ output: told.output })
+  test('gives the outcome of a request at any entry, to its own account alone', async () => {
+    const answer = await callPipeline({ entryUrl: system.entryUrls[0], pipeline: 'departure-alert', input: 'stand C' })
+    const ask = (account: string) => request(`${system.entryUrls[1]}/v1/requests/${answer.requestId}`, { headers: { 'eidermast-account': account } })
+    expect(await (await ask(DEFAULT_ACCOUNT)).body.json()).toMatchObject({ output: answer.output })
     expect((await ask('depot-control')).statusCode).toBe(404)
   })
 
--- a/test/version/configuration.test.ts
+++ b/test/version/configuration.test.ts
@@ -47,7 +47,7 @@
     ['a number', 7],
     ['a record of another kind', { record: 'other' }],
     ['a change without an id', { record: RecordKind.Change, kind: 'template', name: 'a', base: -1, value: {} }],
-  ])('passes over %s and goes on', (_name, value) => {
+  ])('skips %s and goes on', (_name, value) => {
     const configuration = new Configuration()
     expect(configuration.fold(0, value)).toBe(FoldOutcome.Malformed)
     expect(configuration.offset).toBe(0)
@@ -91,7 +91,7 @@
     expect(configuration.get(ObjectKind.Template, 'a')?.value.deadlineMs).toBe(300)
   })
 
-  test('waits rather than fold past records that are gone without a checkpoint', () => {
+  test('waits rather than fold past records that the log dropped without a checkpoint', () => {
     const configuration = new Configuration()
     foldPage(configuration, { records: [record(2, changes[2])], firstOffset: 2, nextOffset: 3 })
     expect(configuration.offset).toBe(NO_OFFSET)
--- a/test/version/publisher.test.ts
+++ b/test/version/publisher.test.ts
@@ -1,6 +1,7 @@
 import type { LogClient } from '@eidermast/daemon'
 import type { StandInService } from '@eidermast/stand-ins'
 import { PUBLISH_EXIT_CODES } from '@eidermast/command-line'
+import { wait } from '@eidermast/common'
 import { CallFailure, Checkpointer, Configuration, CONFIGURATION_STREAM, foldPage, HttpLogClient, NO_OFFSET, ObjectKind, publishChange, PublishOutcome, readConfiguration, resolvePlacement } from '@eidermast/daemon'
 import { LogOutage, LogService } from '@eidermast/stand-ins'
 import { Err, Ok } from 'ts-results-es'
@@ -32,11 +33,11 @@
 }
 
 describe('publishing', () => {
-  test('tells that a change is accepted, and where', async () => {
+  test('reports that a change is accepted, and its offset', async () => {
     expect(await publish(100)).toMatchObject({ outcome: PublishOutcome.Accepted, offset: 0 })
   })
 
-  test('lets the first of two racing operators win and tells the second', async () => {
+  test('accepts the first of two racing changes and reports a conflict for the second', async () => {
     await publish(100)
     const outcomes = await Promise.all([publish(200, 0), publish(300, 0)])
     expect(outcomes.map(publication => publication.outcome).sort()).toEqual([PublishOutcome.Accepted, PublishOutcome.Conflict])
@@ -49,29 +50,29 @@
     expect(page.unwrap().records).toHaveLength(1)
   })
 
-  test('is accepted once when the log takes the append twice', async () => {
+  test('takes effect once when the log takes the append twice', async () => {
     log.setFaults({ repeatAppends: 1 })
     await publish(100)
     const second = await publish(200, 0)
-    await new Promise(resolve => setTimeout(resolve, 400))
+    await wait(400)
     const configuration = await readConfiguration(client)
     expect(second.outcome).toBe(PublishOutcome.Accepted)
     expect(configuration?.get(ObjectKind.Template, 'a')?.value.deadlineMs).toBe(200)
   })
 
-  test.each([LogOutage.Refuse, LogOutage.Hang])('tells that nothing was changed while the log is out (%s)', async (outage) => {
+  test.each([LogOutage.Refuse, LogOutage.Hang])('reports that nothing was changed while the log is out (%s)', async (outage) => {
     log.setFaults({ outage })
     expect((await publish(100)).outcome).toBe(PublishOutcome.Unreachable)
   })
 
-  test('tells that nothing was changed while the log refuses for its rate', async () => {
+  test('reports that nothing was changed while the log is over its rate', async () => {
     log.setFaults({ refuseAppends: true })
     expect((await publish(100)).outcome).toBe(PublishOutcome.Unreachable)
   })
 })
 
 describe('a change whose acknowledgement and reading back are lost', () => {
-  test('is told to be unknown, with an exit code of its own', async () => {
+  test('is reported as unknown, with an exit code of its own', async () => {
     const appended: unknown[] = []
     const lostAfterAppend: LogClient = {
       append: async (_stream, values) => {
