--- a/packages/daemon/src/connection/side-heartbeats.ts
+++ b/packages/daemon/src/connection/side-heartbeats.ts
@@ -20,6 +20,12 @@
 /** Heartbeat intervals that an answer may take. Not measured: at one, a late answer overlaps the next heartbeat. */
 const ANSWER_TIMEOUT_INTERVALS = 2
 
+/** Who knows whether a configuration may be vouched for. */
+export interface ConfigurationFreshness {
+  /** Whether the log confirmed the configuration a short while ago. */
+  readonly isFresh: boolean
+}
+
 /** Options of the heartbeats. */
 export interface SideHeartbeatsOptions {
   backendName: string
@@ -27,8 +33,7 @@
   entryIncarnation: string
   configuration: Configuration
   heartbeatIntervalMs: number
-  /** Whether the log confirmed the configuration a short while ago. */
-  isFresh: () => boolean
+  freshness: ConfigurationFreshness
   /** Receives the load that a side reports with its answer. */
   onLoad: (load: Load) => void
 }
@@ -95,10 +100,10 @@
   }
 
   private createHeartbeat(): Heartbeat {
-    const { configuration, entryIncarnation, entryName, isFresh } = this.options
+    const { configuration, entryIncarnation, entryName, freshness } = this.options
     const acknowledged = this.acknowledgements
     this.acknowledgements = []
-    return { incarnation: entryIncarnation, name: entryName, offset: configuration.offset, fresh: isFresh(), acknowledged }
+    return { incarnation: entryIncarnation, name: entryName, offset: configuration.offset, fresh: freshness.isFresh, acknowledged }
   }
 
   private noteMissed(message: string): false {
--- a/packages/daemon/src/connection/side-link.ts
+++ b/packages/daemon/src/connection/side-link.ts
@@ -8,6 +8,7 @@
 import type { LinkResult, LinkTokenListener } from './link-call.js'
 import type { CancelReply, Load, ResultQuestion, StageCall, StageReply } from './messages.js'
 import type { PeerConnection, SideClient } from './peer-connection.js'
+import type { ConfigurationFreshness } from './side-heartbeats.js'
 import { createLogger, wait } from '@eidermast/common'
 import { judgeSide, SideHealth } from './heartbeat-timing.js'
 import { callStage, LinkOutcome } from './link-call.js'
@@ -28,8 +29,7 @@
   entryIncarnation: string
   configuration: Configuration
   heartbeatIntervalMs: number
-  /** Whether the log confirmed the configuration a short while ago. */
-  isFresh: () => boolean
+  freshness: ConfigurationFreshness
   /** Called when the side begins or ceases to answer, or to drain. */
   onChange: () => void
 }
--- a/packages/daemon/src/process/entry/configuration-watch.ts
+++ b/packages/daemon/src/process/entry/configuration-watch.ts
@@ -17,6 +17,7 @@
  * `eidermast_configuration_age_seconds` shows the age.
  */
 import type { EntryPeers } from '../../connection/entry-peers.js'
+import type { ConfigurationFreshness } from '../../connection/side-heartbeats.js'
 import type { Configuration } from '../../version/configuration.js'
 import type { ConfigurationFollower } from '../../version/follower.js'
 import type { VirtualMachineList } from '../membership/virtual-machine-list.js'
@@ -51,7 +52,7 @@
 }
 
 /** One entry's watch over the age of its configuration. */
-export class ConfigurationWatch {
+export class ConfigurationWatch implements ConfigurationFreshness {
   constructor(private readonly options: ConfigurationWatchOptions) {}
 
   /** Offset of the configuration held. */
--- a/packages/daemon/src/process/entry/entry.ts
+++ b/packages/daemon/src/process/entry/entry.ts
@@ -127,7 +127,7 @@
       key: identity.key,
       heartbeatIntervalMs: peers['greet-interval-ms'],
       watchLimit: peers['watch-limit'],
-      isFresh: () => this.watch.isFresh,
+      freshness: this.watch,
     })
   }
 
--- a/packages/daemon/src/process/membership/membership.ts
+++ b/packages/daemon/src/process/membership/membership.ts
@@ -5,6 +5,7 @@
  * the configuration after a restart. Which backend servers are watched is
  * decided in `watched-backends`, which of them take work in `member-state`.
  */
+import type { ConfigurationFreshness } from '../../connection/side-heartbeats.js'
 import type { PlannedStage } from '../../request/plan.js'
 import type { LinkedBackends } from '../../request/stages/linked-backends.js'
 import type { Configuration, UsableObject } from '../../version/configuration.js'
@@ -32,8 +33,7 @@
   heartbeatIntervalMs: number
   /** Backend servers of one service that this entry keeps links to. */
   watchLimit: number
-  /** Whether the log confirmed the configuration a short while ago. */
-  isFresh: () => boolean
+  freshness: ConfigurationFreshness
 }
 
 /** The backend servers of one entry. */
@@ -123,7 +123,7 @@
   }
 
   private createLink(name: string, backend: Backend): SideLink {
-    const { entryName, entryIncarnation, key, heartbeatIntervalMs, isFresh } = this.options
+    const { entryName, entryIncarnation, key, heartbeatIntervalMs, freshness } = this.options
     return new SideLink({
       backendName: name,
       address: backend.address,
@@ -132,7 +132,7 @@
       entryIncarnation,
       configuration: this.configuration,
       heartbeatIntervalMs,
-      isFresh,
+      freshness,
       onChange: () => this.members.get(name)?.logState(),
     })
   }
