--- a/test/platform/support/gateway-settings.ts
+++ b/test/platform/support/gateway-settings.ts
@@ -1,7 +1,6 @@
 /**
- * Settings of gateways under test, with ports from the system.
+ * Settings of gateways under test, with ports that are free.
  */
-import type { AddressInfo } from 'node:net'
 import { createServer } from 'node:net'
 
 /** Ports of one gateway. */
@@ -12,15 +11,30 @@
   metrics: number
 }
 
+/**
+ * Below the range from which systems take ports for outgoing connections
+ * (32768 to 60999 on Linux): a port from there may be taken again between the
+ * probe and the gateway's start.
+ */
+const PORT_RANGE = { first: 10_000, count: 20_000 }
+
 async function freePort(): Promise<number> {
+  for (;;) {
+    const port = PORT_RANGE.first + Math.floor(Math.random() * PORT_RANGE.count)
+    if (await canListen(port))
+      return port
+  }
+}
+
+function canListen(port: number): Promise<boolean> {
   const server = createServer()
-  await new Promise<void>(resolve => server.listen(0, '127.0.0.1', () => resolve()))
-  const { port } = server.address() as AddressInfo
-  await new Promise(resolve => server.close(resolve))
-  return port
+  return new Promise((resolve) => {
+    server.once('error', () => resolve(false))
+    server.listen(port, '127.0.0.1', () => server.close(() => resolve(true)))
+  })
 }
 
-/** Asks the system for ports. */
+/** Ports that nobody listens on. */
 export async function freePorts(): Promise<GatewayPorts> {
   const [clients, readiness, peers, metrics] = await Promise.all([freePort(), freePort(), freePort(), freePort()])
   return { clients, readiness, peers, metrics }
