--- a/test/pages/commands.test.ts
+++ b/test/pages/commands.test.ts
@@ -75,7 +75,8 @@
 
   test('give the daemon options that it knows', () => {
     const { options } = readHelp(DAEMON, [])
-    const named = commands.filter(text => text.startsWith('eidermastd ')).flatMap(text => text.split(/\s+/).filter(word => word.startsWith('--')))
+    const words = commands.filter(text => text.startsWith('eidermastd ')).flatMap(text => text.split(/\s+/))
+    const named = words.filter(word => word.startsWith('--'))
     expect(named).toContain('--check')
     expect(named.filter(option => !options.includes(option))).toEqual([])
   })
@@ -101,8 +102,11 @@
     }
   })
 
-  test('are settings of a gateway with every key of the template', () => {
-    const filled = readFromRoot('platform/settings.ini').replace(/^clients = .*$/m, 'clients = 127.0.0.1:1').replace(/^readiness = .*$/m, 'readiness = 127.0.0.1:2').replaceAll(/\{\{[^}]*\}\}/g, '3')
+  test('are a settings template that a gateway takes once it is filled', () => {
+    const filled = readFromRoot('platform/settings.ini')
+      .replace(/^clients = .*$/m, 'clients = 127.0.0.1:1')
+      .replace(/^readiness = .*$/m, 'readiness = 127.0.0.1:2')
+      .replaceAll(/\{\{[^}]*\}\}/g, '3')
     const parsed = parseGatewaySettings(filled)
     expect(parsed.isOk(), JSON.stringify(parsed)).toBe(true)
   })
--- a/test/pages/operations-page.test.ts
+++ b/test/pages/operations-page.test.ts
@@ -30,7 +30,8 @@
 })
 
 test('the operations page names every event of entries and sides', () => {
-  const daemon = sourceModules().filter(file => file.startsWith('packages/daemon/') || file.endsWith('/ejection.ts')).map(readFromRoot).join('\n')
+  const modules = sourceModules().filter(file => file.startsWith('packages/daemon/') || file.endsWith('/ejection.ts'))
+  const daemon = modules.map(readFromRoot).join('\n')
   const firstArguments = [...daemon.matchAll(/\b(?:log|record)\(([^,)]+)/g)].map(match => match[1])
   const written = new Set(firstArguments.flatMap(text => [...text.matchAll(/'([a-z-]+)'/g)].map(match => match[1])))
   const named = new Set(rowsUnder('namespace').flatMap(row => namesIn(row, 2)))
