--- a/packages/gateway/src/connection/backend-connections.ts
+++ b/packages/gateway/src/connection/backends/backend-connections.ts
@@ -5,7 +5,7 @@
  */
 import type { Backend } from './backend.js'
 import { buildConnector, Pool } from 'undici'
-import { isConnectionReset } from './error-codes.js'
+import { isConnectionReset } from '../error-codes.js'
 
 /**
  * Milliseconds until a connection is up. Not measured: half fails while a
--- a/packages/gateway/src/connection/http-backend-client.ts
+++ b/packages/gateway/src/connection/backends/http-backend-client.ts
@@ -10,8 +10,8 @@
 import type { Backend } from './backend.js'
 import { formatError } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
+import { isNotSent } from '../error-codes.js'
 import { CallFailureKind } from './backend-client.js'
-import { isNotSent } from './error-codes.js'
 
 /** Statuses whose answers end with their head (RFC 9112, section 6.3). */
 const BODYLESS_STATUSES = new Set([204, 304])
--- /dev/null
+++ b/packages/gateway/src/connection/backends/index.ts
@@ -0,0 +1,5 @@
+export * from './backend-client.js'
+export * from './backend-connections.js'
+export * from './backend.js'
+export * from './http-backend-client.js'
+export * from './stage-client.js'
--- a/packages/gateway/src/connection/client-answer.ts
+++ b/packages/gateway/src/connection/clients/client-answer.ts
@@ -2,7 +2,7 @@
  * Where a request's answer goes; `ResponseAnswer` writes it to a connection.
  */
 import type { RequestError } from '@eidermast/common'
-import type { HeaderList } from './backend-client.js'
+import type { HeaderList } from '../backends/backend-client.js'
 
 /** The one answer of one request. */
 export interface ClientAnswer {
--- a/packages/gateway/src/connection/client-codec.ts
+++ b/packages/gateway/src/connection/clients/client-codec.ts
@@ -4,7 +4,7 @@
  */
 import type { RequestError } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
-import type { HeaderList } from './backend-client.js'
+import type { HeaderList } from '../backends/backend-client.js'
 
 /** One part of a prompt; several requests may begin with the same parts. */
 export interface PromptPart {
--- /dev/null
+++ b/packages/gateway/src/connection/clients/index.ts
@@ -0,0 +1,6 @@
+export * from './client-answer.js'
+export * from './client-codec.js'
+export * from './client-request.js'
+export * from './client-server.js'
+export * from './request-reader.js'
+export * from './response-answer.js'
--- a/packages/gateway/src/connection/request-reader.ts
+++ b/packages/gateway/src/connection/clients/request-reader.ts
@@ -15,12 +15,12 @@
 import type { RequestError } from '@eidermast/common'
 import type { IncomingMessage } from 'node:http'
 import type { Result } from 'ts-results-es'
-import type { ClientLimits } from '../version/configuration.js'
+import type { ClientLimits } from '../../version/configuration.js'
 import type { ClientRequestHead } from './client-codec.js'
 import type { ClientRequest } from './client-request.js'
 import { createError, ErrorKind } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
-import { BodyFailureKind, readBody } from './body-reader.js'
+import { BodyFailureKind, readBody } from '../body-reader.js'
 
 /**
  * Milliseconds until a client that met a stopping gateway retries. Not
--- a/packages/gateway/src/connection/response-answer.ts
+++ b/packages/gateway/src/connection/clients/response-answer.ts
@@ -5,7 +5,7 @@
  */
 import type { RequestError } from '@eidermast/common'
 import type { ServerResponse } from 'node:http'
-import type { HeaderList } from './backend-client.js'
+import type { HeaderList } from '../backends/backend-client.js'
 import type { ClientAnswer } from './client-answer.js'
 import type { ClientCodec } from './client-codec.js'
 
--- /dev/null
+++ b/packages/gateway/src/connection/peers/index.ts
@@ -0,0 +1,5 @@
+export * from './member.js'
+export * from './peer-clients.js'
+export * from './peer-messages.js'
+export * from './peer-router.js'
+export * from './preparation.js'
--- a/packages/gateway/src/connection/peer-clients.ts
+++ b/packages/gateway/src/connection/peers/peer-clients.ts
@@ -5,7 +5,7 @@
  */
 import type { TRPCClient } from '@trpc/client'
 import type { Result } from 'ts-results-es'
-import type { ConfigurationRecord } from '../version/configuration-holder.js'
+import type { ConfigurationRecord } from '../../version/configuration-holder.js'
 import type { Member } from './member.js'
 import type { Heartbeat, HeartbeatReply } from './peer-messages.js'
 import type { PeerRouter } from './peer-router.js'
--- a/packages/gateway/src/connection/peer-router.ts
+++ b/packages/gateway/src/connection/peers/peer-router.ts
@@ -4,7 +4,7 @@
  * releases: their names stay, and `peer-messages` decodes them.
  */
 import type { Result } from 'ts-results-es'
-import type { ConfigurationRecord } from '../version/configuration-holder.js'
+import type { ConfigurationRecord } from '../../version/configuration-holder.js'
 import type { Heartbeat, HeartbeatReply, PreparationReplyMessage } from './peer-messages.js'
 import type { PreparationFailure, PreparationRequest, PreparedInputs } from './preparation.js'
 import { UNABORTED } from '@eidermast/common'
--- a/packages/gateway/src/process/backend-log.ts
+++ b/packages/gateway/src/process/backend-log.ts
@@ -2,7 +2,7 @@
  * The log events of the registry of backend servers, one function an event.
  */
 import type { EventLog } from '@eidermast/common'
-import type { BackendRecord } from '../connection/backend.js'
+import type { BackendRecord } from '../connection/backends/backend.js'
 
 /** Writes the events of the registry. */
 export class BackendLog {
--- a/packages/gateway/src/process/backend-registry.ts
+++ b/packages/gateway/src/process/backend-registry.ts
@@ -5,9 +5,9 @@
  * reads the list again.
  */
 import type { EventLog } from '@eidermast/common'
-import type { BackendRecord } from '../connection/backend.js'
+import type { BackendRecord } from '../connection/backends/backend.js'
 import type { BackendSink } from './platform-adapter.js'
-import { Backend } from '../connection/backend.js'
+import { Backend } from '../connection/backends/backend.js'
 import { BackendLog } from './backend-log.js'
 import { LapseGrace } from './lapse-grace.js'
 
--- a/packages/gateway/src/process/drain/drain-clients.ts
+++ b/packages/gateway/src/process/drain/drain-clients.ts
@@ -3,7 +3,7 @@
  * It holds no state beyond the run; a process that is killed meanwhile breaks
  * the connections that it still has.
  */
-import type { ClientServer } from '../../connection/client-server.js'
+import type { ClientServer } from '../../connection/clients/client-server.js'
 import { wait } from '@eidermast/common'
 import { DRAIN_CLOSE_MS, DRAIN_SERVE_MS, isDrained } from './drain-plan.js'
 
--- a/packages/gateway/src/process/gateway-log.ts
+++ b/packages/gateway/src/process/gateway-log.ts
@@ -2,7 +2,7 @@
  * The log events of a gateway's process, one function an event.
  */
 import type { EventLog } from '@eidermast/common'
-import type { Member } from '../connection/member.js'
+import type { Member } from '../connection/peers/member.js'
 import process from 'node:process'
 import { formatError } from '@eidermast/common'
 
--- a/packages/gateway/src/process/membership/coordinator-choice.ts
+++ b/packages/gateway/src/process/membership/coordinator-choice.ts
@@ -15,7 +15,7 @@
  * Set by: no constant.
  * Log event: `stage-coordinator`.
  */
-import type { Member } from '../../connection/member.js'
+import type { Member } from '../../connection/peers/member.js'
 import type { MemberState } from './member-state.js'
 
 /** What the choice needs of a member. */
--- a/packages/gateway/src/process/membership/member-log.ts
+++ b/packages/gateway/src/process/membership/member-log.ts
@@ -2,7 +2,7 @@
  * The log events of membership, one function an event.
  */
 import type { EventLog } from '@eidermast/common'
-import type { Member } from '../../connection/member.js'
+import type { Member } from '../../connection/peers/member.js'
 
 /** A change of the coordinator of the stage work. */
 export interface CoordinatorChange {
--- a/packages/gateway/src/process/membership/member-state.ts
+++ b/packages/gateway/src/process/membership/member-state.ts
@@ -3,7 +3,7 @@
  * the listing of a gateway until its removal; a new announcement begins with a
  * new state.
  */
-import type { Member } from '../../connection/member.js'
+import type { Member } from '../../connection/peers/member.js'
 import type { ListedMember } from '../platform-adapter.js'
 
 /** One gateway, with its place in the ranking and its contact. Times are of the process clock, in milliseconds. */
--- a/packages/gateway/src/process/membership/members.ts
+++ b/packages/gateway/src/process/membership/members.ts
@@ -9,8 +9,8 @@
  * `failure-detection.ts` and `heartbeat-targets.ts`.
  */
 import type { EventLog } from '@eidermast/common'
-import type { Member } from '../../connection/member.js'
-import type { HeartbeatReply } from '../../connection/peer-messages.js'
+import type { Member } from '../../connection/peers/member.js'
+import type { HeartbeatReply } from '../../connection/peers/peer-messages.js'
 import type { ListedMember, MemberSink } from '../platform-adapter.js'
 import type { FailureWatch } from './failure-watches.js'
 import type { MemberState } from './member-state.js'
--- a/packages/gateway/src/process/peers/peer-configuration.ts
+++ b/packages/gateway/src/process/peers/peer-configuration.ts
@@ -4,8 +4,8 @@
  * configuration itself; one fetch is under way at a time, and one that fails is
  * tried again with the next heartbeat that shows a newer version.
  */
-import type { Member } from '../../connection/member.js'
-import type { PeerClients } from '../../connection/peer-clients.js'
+import type { Member } from '../../connection/peers/member.js'
+import type { PeerClients } from '../../connection/peers/peer-clients.js'
 import type { ConfigurationHolder } from '../../version/configuration-holder.js'
 import type { GatewayLog } from '../gateway-log.js'
 
--- a/packages/gateway/src/process/peers/peer-service.ts
+++ b/packages/gateway/src/process/peers/peer-service.ts
@@ -3,9 +3,9 @@
  * stage work while it coordinates. It holds no state of its own.
  */
 import type { Result } from 'ts-results-es'
-import type { Heartbeat, HeartbeatReply } from '../../connection/peer-messages.js'
-import type { PeerService } from '../../connection/peer-router.js'
-import type { PreparationFailure, PreparationRequest, PreparedInputs, Preparer } from '../../connection/preparation.js'
+import type { Heartbeat, HeartbeatReply } from '../../connection/peers/peer-messages.js'
+import type { PeerService } from '../../connection/peers/peer-router.js'
+import type { PreparationFailure, PreparationRequest, PreparedInputs, Preparer } from '../../connection/peers/preparation.js'
 import type { ConfigurationHolder, ConfigurationRecord } from '../../version/configuration-holder.js'
 import type { PeerConfiguration } from './peer-configuration.js'
 
--- a/packages/gateway/src/process/platform-adapter.ts
+++ b/packages/gateway/src/process/platform-adapter.ts
@@ -4,12 +4,12 @@
  * codecs, and calls to stage backend servers. An adapter implements them; it is
  * given to the gateway at its start.
  */
-import type { BackendCodec } from '../connection/backend-client.js'
-import type { BackendConnections } from '../connection/backend-connections.js'
-import type { BackendRecord } from '../connection/backend.js'
-import type { ClientCodec } from '../connection/client-codec.js'
-import type { Member } from '../connection/member.js'
-import type { StageClient } from '../connection/stage-client.js'
+import type { BackendCodec } from '../connection/backends/backend-client.js'
+import type { BackendConnections } from '../connection/backends/backend-connections.js'
+import type { BackendRecord } from '../connection/backends/backend.js'
+import type { StageClient } from '../connection/backends/stage-client.js'
+import type { ClientCodec } from '../connection/clients/client-codec.js'
+import type { Member } from '../connection/peers/member.js'
 import type { ConfigurationDecoder } from '../version/configuration-holder.js'
 
 /** Follows the platform's configuration. */
--- a/packages/gateway/src/process/stages/backend/result-frees.ts
+++ b/packages/gateway/src/process/stages/backend/result-frees.ts
@@ -4,7 +4,7 @@
  * fails, or is lost with the process, costs memory only until the result
  * expires.
  */
-import type { StageClient } from '../../../connection/stage-client.js'
+import type { StageClient } from '../../../connection/backends/stage-client.js'
 import type { ResultHolder, StageResult } from '../../../request/stages/stage-task.js'
 
 /**
--- a/packages/gateway/src/process/stages/backend/result-memory.ts
+++ b/packages/gateway/src/process/stages/backend/result-memory.ts
@@ -6,7 +6,7 @@
  * answers. Nothing is kept when the process dies: the next coordinator starts
  * from what the backend servers report as free.
  */
-import type { Backend } from '../../../connection/backend.js'
+import type { Backend } from '../../../connection/backends/backend.js'
 import type { ResultHolder } from '../../../request/stages/stage-task.js'
 import type { StageLimits } from '../../../version/configuration.js'
 import { MEMORY_DISTRUST_MS } from './backend-pause.js'
--- a/packages/gateway/src/process/stages/backend/stage-backend.ts
+++ b/packages/gateway/src/process/stages/backend/stage-backend.ts
@@ -3,7 +3,7 @@
  * under way, pauses, measured speed and result memory. Owns this state while
  * the backend server takes work; nothing is kept when the process dies.
  */
-import type { Backend } from '../../../connection/backend.js'
+import type { Backend } from '../../../connection/backends/backend.js'
 import type { StageLimits } from '../../../version/configuration.js'
 import { failurePauseMs, MEMORY_PAUSE_MS } from './backend-pause.js'
 import { ResultMemory } from './result-memory.js'
--- a/packages/gateway/src/process/stages/pool/item-retry.ts
+++ b/packages/gateway/src/process/stages/pool/item-retry.ts
@@ -11,7 +11,7 @@
  * Set by: not measured, see the constant.
  * Log event: `stage-call` (failures, end).
  */
-import { ItemFailure, StageCallEnd } from '../../../connection/stage-client.js'
+import { ItemFailure, StageCallEnd } from '../../../connection/backends/stage-client.js'
 
 /**
  * Calls in which an item may fail. Not measured; one more delays the request
--- a/packages/gateway/src/process/stages/pool/pool-task.ts
+++ b/packages/gateway/src/process/stages/pool/pool-task.ts
@@ -3,7 +3,7 @@
  * Plain records of the pool; gone with the process, since the requesting
  * gateway asks the next coordinator.
  */
-import type { StageItem } from '../../../connection/stage-client.js'
+import type { StageItem } from '../../../connection/backends/stage-client.js'
 import type { StageResult, StageTask } from '../../../request/stages/stage-task.js'
 
 /** One item of a task. */
--- a/packages/gateway/src/process/stages/pool/stage-calls.ts
+++ b/packages/gateway/src/process/stages/pool/stage-calls.ts
@@ -5,7 +5,7 @@
  * calls expire at their backend servers.
  */
 import type { EventLog } from '@eidermast/common'
-import type { ItemOutcome, StageCallResult, StageClient } from '../../../connection/stage-client.js'
+import type { ItemOutcome, StageCallResult, StageClient } from '../../../connection/backends/stage-client.js'
 import type { StageLimits } from '../../../version/configuration.js'
 import type { ResultFrees } from '../backend/result-frees.js'
 import type { StageBackend } from '../backend/stage-backend.js'
@@ -13,7 +13,7 @@
 import type { PoolItem } from './pool-task.js'
 import type { TaskQueue } from './task-queue.js'
 import { createBoundedSignal } from '@eidermast/common'
-import { ItemFailure, StageCallEnd } from '../../../connection/stage-client.js'
+import { ItemFailure, StageCallEnd } from '../../../connection/backends/stage-client.js'
 import { logBackendPaused, logStageCall } from '../stage-log.js'
 import { callTimeoutMs } from './call-timeout.js'
 import { inputsFetchedAfter, OTHER_COORDINATOR_MS } from './early-free.js'
--- a/packages/gateway/src/process/stages/pool/task-queue.ts
+++ b/packages/gateway/src/process/stages/pool/task-queue.ts
@@ -4,7 +4,7 @@
  * tasks whose items are all in calls are held by those calls. Gone with the
  * process.
  */
-import type { ItemFailure } from '../../../connection/stage-client.js'
+import type { ItemFailure } from '../../../connection/backends/stage-client.js'
 import type { StageResult, StageTask } from '../../../request/stages/stage-task.js'
 import type { PoolItem, PoolTask } from './pool-task.js'
 import type { BatchPart } from './stage-batch.js'
--- a/packages/gateway/src/process/stages/release-batches.ts
+++ b/packages/gateway/src/process/stages/release-batches.ts
@@ -3,8 +3,8 @@
  * one call. Owns the ids that wait for their call; a release that fails or is
  * lost with the process costs result memory only until the results expire.
  */
-import type { Member } from '../../connection/member.js'
-import type { PeerClients } from '../../connection/peer-clients.js'
+import type { Member } from '../../connection/peers/member.js'
+import type { PeerClients } from '../../connection/peers/peer-clients.js'
 
 /**
  * Milliseconds that a release waits for others to share its call. Not measured;
--- a/packages/gateway/src/process/stages/stage-admission.ts
+++ b/packages/gateway/src/process/stages/stage-admission.ts
@@ -16,7 +16,7 @@
  * Set by: commits 5c1a649, 1e05cb6, ad6e8df, f868ed0, see the constants.
  * Log event: `stages-admission`.
  */
-import type { PreparationRequest } from '../../connection/preparation.js'
+import type { PreparationRequest } from '../../connection/peers/preparation.js'
 import { ANSWER_TIME_MS, longestWayThrough } from '../../request/stages/stage-graph.js'
 
 /**
--- a/packages/gateway/src/process/stages/stage-log.ts
+++ b/packages/gateway/src/process/stages/stage-log.ts
@@ -4,8 +4,8 @@
  */
 import type { EventLog } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
-import type { PreparationFailure, PreparationRequest, PreparedInputs } from '../../connection/preparation.js'
-import type { ItemFailure, StageCallResult } from '../../connection/stage-client.js'
+import type { ItemFailure, StageCallResult } from '../../connection/backends/stage-client.js'
+import type { PreparationFailure, PreparationRequest, PreparedInputs } from '../../connection/peers/preparation.js'
 import type { StageBackend } from './backend/stage-backend.js'
 import type { PoolItem } from './pool/pool-task.js'
 import type { AdmissionDecision } from './stage-admission.js'
--- a/packages/gateway/src/request/answers/answer-relay.ts
+++ b/packages/gateway/src/request/answers/answer-relay.ts
@@ -6,8 +6,8 @@
  * lost with the process, whose connections break.
  */
 import type { Result } from 'ts-results-es'
-import type { BackendAnswer } from '../../connection/backend-client.js'
-import type { ClientAnswer } from '../../connection/client-answer.js'
+import type { BackendAnswer } from '../../connection/backends/backend-client.js'
+import type { ClientAnswer } from '../../connection/clients/client-answer.js'
 import type { Probe } from './silence-watch.js'
 import { formatError } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
--- a/packages/gateway/src/request/attempts/backend-attempt.ts
+++ b/packages/gateway/src/request/attempts/backend-attempt.ts
@@ -5,13 +5,13 @@
  * backend client. When the process dies, both connections break, and the client
  * sees that its answer isn't whole.
  */
-import type { BackendAnswer, BackendCall, BackendClient, CallFailure } from '../../connection/backend-client.js'
-import type { Backend } from '../../connection/backend.js'
-import type { ClientAnswer } from '../../connection/client-answer.js'
+import type { BackendAnswer, BackendCall, BackendClient, CallFailure } from '../../connection/backends/backend-client.js'
+import type { Backend } from '../../connection/backends/backend.js'
+import type { ClientAnswer } from '../../connection/clients/client-answer.js'
 import type { WholeAnswer } from '../answers/answer-relay.js'
 import type { Probe } from '../answers/silence-watch.js'
 import type { RoutedRequest } from '../routed-request.js'
-import { CallFailureKind } from '../../connection/backend-client.js'
+import { CallFailureKind } from '../../connection/backends/backend-client.js'
 import { passWhole, readWhole, relayStream } from '../answers/answer-relay.js'
 import { SilenceWatch } from '../answers/silence-watch.js'
 import { AttemptEnd, endOfFailure } from './retry-rule.js'
--- a/packages/gateway/src/request/attempts/backend-choice.ts
+++ b/packages/gateway/src/request/attempts/backend-choice.ts
@@ -16,8 +16,8 @@
  * Log event: `route`.
  */
 import type { EjectionPolicy } from '@eidermast/common'
-import type { Backend } from '../../connection/backend.js'
-import type { PromptPart } from '../../connection/client-codec.js'
+import type { Backend } from '../../connection/backends/backend.js'
+import type { PromptPart } from '../../connection/clients/client-codec.js'
 import { rankByRendezvous } from '../rendezvous.js'
 
 /** What a choice goes by. */
--- a/packages/gateway/src/request/attempts/backend-runner.ts
+++ b/packages/gateway/src/request/attempts/backend-runner.ts
@@ -4,7 +4,7 @@
  * candidates and on `backend-choice` for their order.
  */
 import type { EventLog } from '@eidermast/common'
-import type { Backend } from '../../connection/backend.js'
+import type { Backend } from '../../connection/backends/backend.js'
 import type { RoutedRequest } from '../routed-request.js'
 import type { BackendChoice } from './backend-choice.js'
 import type { BackendRunParts } from './backend-run.js'
--- a/packages/gateway/src/request/attempts/ejection-feed.ts
+++ b/packages/gateway/src/request/attempts/ejection-feed.ts
@@ -12,8 +12,8 @@
  * Log events: `call-failed` (`kind`); ejection logs its part itself.
  */
 import type { EjectionPolicy } from '@eidermast/common'
-import type { Backend } from '../../connection/backend.js'
-import { CallFailureKind } from '../../connection/backend-client.js'
+import type { Backend } from '../../connection/backends/backend.js'
+import { CallFailureKind } from '../../connection/backends/backend-client.js'
 import { AttemptEnd } from './retry-rule.js'
 
 /** The end of an attempt, as ejection sees it. */
--- a/packages/gateway/src/request/attempts/retry-rule.ts
+++ b/packages/gateway/src/request/attempts/retry-rule.ts
@@ -16,9 +16,9 @@
  * Log events: `call-failed` for each attempt, `request-ended` (`retry`) for the
  * decision that ended the attempts.
  */
-import type { CallFailure } from '../../connection/backend-client.js'
+import type { CallFailure } from '../../connection/backends/backend-client.js'
 import type { Route } from '../../version/configuration.js'
-import { CallFailureKind } from '../../connection/backend-client.js'
+import { CallFailureKind } from '../../connection/backends/backend-client.js'
 
 /**
  * Milliseconds; the least time worth an attempt. Not measured: half would send
--- a/packages/gateway/src/request/attempts/run-subject.ts
+++ b/packages/gateway/src/request/attempts/run-subject.ts
@@ -2,7 +2,7 @@
  * What a run at backend servers begins with, and how it ends.
  */
 import type { RequestError } from '@eidermast/common'
-import type { ClientAnswer } from '../../connection/client-answer.js'
+import type { ClientAnswer } from '../../connection/clients/client-answer.js'
 import type { RoutedRequest } from '../routed-request.js'
 import type { RetryDecision } from './retry-rule.js'
 
--- a/packages/gateway/src/request/pass-through.ts
+++ b/packages/gateway/src/request/pass-through.ts
@@ -5,9 +5,9 @@
  * and is lost with the process; its client sees the connection break.
  */
 import type { EventLog } from '@eidermast/common'
-import type { ClientAnswer } from '../connection/client-answer.js'
-import type { ClientRequest, RequestHandler } from '../connection/client-request.js'
-import type { PreparationRequest, Preparer } from '../connection/preparation.js'
+import type { ClientAnswer } from '../connection/clients/client-answer.js'
+import type { ClientRequest, RequestHandler } from '../connection/clients/client-request.js'
+import type { PreparationRequest, Preparer } from '../connection/peers/preparation.js'
 import type { ConfigurationHolder } from '../version/configuration-holder.js'
 import type { BackendRunner } from './attempts/backend-runner.js'
 import type { RunEnd, RunInputs } from './attempts/run-subject.js'
--- a/packages/gateway/src/request/request-errors.ts
+++ b/packages/gateway/src/request/request-errors.ts
@@ -13,10 +13,10 @@
  * Log event: `request-ended` (`outcome`, `ran`, `reason`, `retryAfterMs`).
  */
 import type { RequestError } from '@eidermast/common'
-import type { CallFailure } from '../connection/backend-client.js'
-import type { PreparationFailure } from '../connection/preparation.js'
+import type { CallFailure } from '../connection/backends/backend-client.js'
+import type { PreparationFailure } from '../connection/peers/preparation.js'
 import { createError, ErrorKind, Ran } from '@eidermast/common'
-import { PreparationFailureKind } from '../connection/preparation.js'
+import { PreparationFailureKind } from '../connection/peers/preparation.js'
 
 /**
  * Milliseconds until a client retries after every backend server refused. Not
--- a/packages/gateway/src/request/request-log.ts
+++ b/packages/gateway/src/request/request-log.ts
@@ -3,8 +3,8 @@
  * process's log; an event over its rate is counted there and left out.
  */
 import type { EventLog, RequestError } from '@eidermast/common'
-import type { CallFailure } from '../connection/backend-client.js'
-import type { Backend } from '../connection/backend.js'
+import type { CallFailure } from '../connection/backends/backend-client.js'
+import type { Backend } from '../connection/backends/backend.js'
 import type { RetryDecision } from './attempts/retry-rule.js'
 import type { RoutedRequest } from './routed-request.js'
 
--- a/packages/gateway/src/request/request-router.ts
+++ b/packages/gateway/src/request/request-router.ts
@@ -16,7 +16,7 @@
  */
 import type { RequestError } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
-import type { ClientRequest } from '../connection/client-request.js'
+import type { ClientRequest } from '../connection/clients/client-request.js'
 import type { ConfigurationHolder } from '../version/configuration-holder.js'
 import type { ClientAccount, Route } from '../version/configuration.js'
 import type { RouteTable } from '../version/route-table.js'
--- a/packages/gateway/src/request/routed-request.ts
+++ b/packages/gateway/src/request/routed-request.ts
@@ -2,7 +2,7 @@
  * A request with what the configuration says of it. It lives as long as the
  * request and isn't changed; the router makes it.
  */
-import type { ClientRequest } from '../connection/client-request.js'
+import type { ClientRequest } from '../connection/clients/client-request.js'
 import type { ClientAccount, Route } from '../version/configuration.js'
 
 /** A request whose route, client account and service are known. */
--- a/packages/gateway/src/request/stages/prepared-inputs.ts
+++ b/packages/gateway/src/request/stages/prepared-inputs.ts
@@ -1,7 +1,7 @@
 /**
  * What the request's backend server needs to know of the final stages' results.
  */
-import type { PreparedInputs } from '../../connection/preparation.js'
+import type { PreparedInputs } from '../../connection/peers/preparation.js'
 import type { StageResult } from './stage-task.js'
 
 /**
--- a/packages/gateway/src/request/stages/request-stages.ts
+++ b/packages/gateway/src/request/stages/request-stages.ts
@@ -8,11 +8,11 @@
  * expire at their backend servers.
  */
 import type { Result } from 'ts-results-es'
-import type { PreparationFailure, PreparationRequest, PreparedInputs, StageProgress } from '../../connection/preparation.js'
-import type { ItemFailure } from '../../connection/stage-client.js'
+import type { ItemFailure } from '../../connection/backends/stage-client.js'
+import type { PreparationFailure, PreparationRequest, PreparedInputs, StageProgress } from '../../connection/peers/preparation.js'
 import type { StageResult, StageTask, StageTaskQueues } from './stage-task.js'
 import { Err, Ok } from 'ts-results-es'
-import { PreparationFailureKind } from '../../connection/preparation.js'
+import { PreparationFailureKind } from '../../connection/peers/preparation.js'
 import { describeInputs } from './prepared-inputs.js'
 import { decideStageFailure, StageFailureDecision } from './stage-failure.js'
 import { StageGraph } from './stage-graph.js'
--- a/packages/gateway/src/request/stages/stage-failure.ts
+++ b/packages/gateway/src/request/stages/stage-failure.ts
@@ -13,7 +13,7 @@
  * Log event: `stages-ended` (its reason); a restart shows as further
  * `stage-call` lines of the request.
  */
-import { ItemFailure } from '../../connection/stage-client.js'
+import { ItemFailure } from '../../connection/backends/stage-client.js'
 
 /**
  * Restarts of a request's stage work. Not measured; at half as many, a request
--- a/packages/gateway/src/request/stages/stage-graph.ts
+++ b/packages/gateway/src/request/stages/stage-graph.ts
@@ -4,7 +4,7 @@
  * Made from the request alone; relies on stages being listed after those that
  * they depend on.
  */
-import type { PreparationStage } from '../../connection/preparation.js'
+import type { PreparationStage } from '../../connection/peers/preparation.js'
 
 /**
  * Expected time from the last stage to the first event of the answer, in
--- a/packages/gateway/src/request/stages/stage-progress.ts
+++ b/packages/gateway/src/request/stages/stage-progress.ts
@@ -13,7 +13,7 @@
  * Set by: no constants.
  * Log event: `stage-call` (stages that run again), `stages-ended`.
  */
-import type { PreparationStage, StageProgress } from '../../connection/preparation.js'
+import type { PreparationStage, StageProgress } from '../../connection/peers/preparation.js'
 import type { StageGraph } from './stage-graph.js'
 import type { StageResult, StageTaskQueues } from './stage-task.js'
 
--- a/packages/gateway/src/request/stages/stage-states.ts
+++ b/packages/gateway/src/request/stages/stage-states.ts
@@ -4,7 +4,7 @@
  * with a new instance for each restart; frees results when their last reader
  * has fetched them. Gone with the process, as the stage work is.
  */
-import type { PreparationStage } from '../../connection/preparation.js'
+import type { PreparationStage } from '../../connection/peers/preparation.js'
 import type { StageGraph } from './stage-graph.js'
 import type { AdoptedStage, StageOutcome } from './stage-progress.js'
 import type { StageResult, StageTaskQueues, SubmittedTask } from './stage-task.js'
--- a/packages/gateway/src/request/stages/stage-task.ts
+++ b/packages/gateway/src/request/stages/stage-task.ts
@@ -3,9 +3,9 @@
  * what the request's stages rely on: a queue that runs the items and holders
  * that keep the results. The process floor gives both; nothing here has state.
  */
-import type { Backend } from '../../connection/backend.js'
-import type { StageProgress } from '../../connection/preparation.js'
-import type { ItemFailure } from '../../connection/stage-client.js'
+import type { Backend } from '../../connection/backends/backend.js'
+import type { ItemFailure } from '../../connection/backends/stage-client.js'
+import type { StageProgress } from '../../connection/peers/preparation.js'
 
 /**
  * Keeps results in the memory of one backend server, as far as this process
