--- a/packages/gateway/src/process/stages/coordinator-failure.ts
+++ b/packages/gateway/src/process/stages/coordinator-failure.ts
@@ -12,6 +12,7 @@
  * Set by: commit 452e740 (firmasur k1 worth 0.298 to 0.563).
  * Log event: `stage-coordinator-failed`, `stage-coordinator-call-failed`.
  */
+import { isConnectionRefused } from '../../connection/error-codes.js'
 
 /** What a failed call says of the coordinator. */
 export enum CoordinatorVerdict {
@@ -28,14 +29,5 @@
 
 /** Decides on a coordinator after a failed call. */
 export function judgeCoordinator({ error, failedBefore }: FailedCall): CoordinatorVerdict {
-  return isRefusedConnection(error) || failedBefore ? CoordinatorVerdict.Failed : CoordinatorVerdict.AskAgain
-}
-
-/** Whether nobody listens at the address; the code stands in one of the error's causes. */
-function isRefusedConnection(error: unknown): boolean {
-  for (let cause = error; cause instanceof Error; cause = cause.cause) {
-    if ('code' in cause && cause.code === 'ECONNREFUSED')
-      return true
-  }
-  return false
+  return isConnectionRefused(error) || failedBefore ? CoordinatorVerdict.Failed : CoordinatorVerdict.AskAgain
 }
