--- a/test/promises/cut-connections.test.ts
+++ b/test/promises/cut-connections.test.ts
@@ -1,4 +1,4 @@
-import { BackendOrder, HttpLogClient } from '@eidermast/daemon'
+import { BackendOrder, HttpLogClient, MemberState } from '@eidermast/daemon'
 import { DeploymentName, resolveDeployment, RunningSystem } from '@eidermast/stand-ins'
 import { afterAll, beforeAll, describe, expect, test, vi } from 'vitest'
 import { runsOf, smallAnswer } from '../support/caller.js'
@@ -19,11 +19,9 @@
   await changeBackend(client, ENCODER, { address })
   await changeBackend(client, 'encoder-2', { order: BackendOrder.Out })
   await client.close()
-  const inForce = async (): Promise<boolean> => {
-    const detail = (await system.entryStatus('entry-1'))?.detail ?? []
-    return detail.some(line => line.subject === ENCODER && line.text === 'in-force') && detail.some(line => line.subject === 'encoder-2' && line.text === 'ordered-out')
-  }
-  await vi.waitUntil(inForce, { timeout: 15_000, interval: 50 })
+  const onlyOneInForce = async (): Promise<boolean> =>
+    await stateOf(ENCODER) === MemberState.InForce && await stateOf('encoder-2') === MemberState.OrderedOut
+  await vi.waitUntil(onlyOneInForce, { timeout: 15_000, interval: 50 })
   await system.setServiceFaults('encoder', { slowFactor: 50 })
 })
 
@@ -32,8 +30,20 @@
   await system.stop()
 })
 
+/** The state of a backend server, as the first entry sees it. */
+async function stateOf(backend: string): Promise<string | undefined> {
+  const status = await system.entryStatus('entry-1')
+  return status?.detail.find(line => line.subject === backend)?.text
+}
+
+const CUTS = Object.values(CutMoment).flatMap(moment => [
+  [moment, 'departure-alert', true],
+  [moment, 'rider-answer', false],
+] as const)
+
 describe('a connection between entry and side that is cut', () => {
-  test.each(Object.values(CutMoment).flatMap(moment => [[moment, 'departure-alert', true], [moment, 'rider-answer', false]] as const))('%s: a request to %s runs at most once if it must, and is never answered that nothing ran', async (moment, pipeline, unrepeatable) => {
+  const title = '%s: a request to %s runs at most once if it must, and is never answered that nothing ran'
+  test.each(CUTS)(title, async (moment, pipeline, unrepeatable) => {
     const record = new CallerRecord()
     const sent = record.begin(pipeline, `cut ${moment} `.padEnd(LARGE_INPUT_LENGTH, 'x'), unrepeatable)
     const cutsBefore = proxy.cuts
@@ -48,6 +58,6 @@
     else {
       expect(answer?.ran ?? 'whole').not.toBe('none')
     }
-    await expect.poll(async () => (await system.entryStatus('entry-1'))?.detail.find(line => line.subject === ENCODER)?.text, { timeout: 10_000 }).toBe('in-force')
+    await expect.poll(() => stateOf(ENCODER), { timeout: 10_000 }).toBe('in-force')
   })
 })
--- a/test/promises/leaving.test.ts
+++ b/test/promises/leaving.test.ts
@@ -83,8 +83,10 @@
   })
 
   test('by the platform\'s list', async () => {
-    const leave = (): Promise<void> => system.setVirtualMachines(system.listedVirtualMachines.map(machine => machine.name === LEAVING ? { ...machine, state: 'leaving' as const } : machine))
-    expect(await measureLastRun(leave)).toBeLessThan(FEW_SECONDS_MS)
+    const listed = system.listedVirtualMachines.map(machine => machine.name === LEAVING
+      ? { ...machine, state: 'leaving' as const }
+      : machine)
+    expect(await measureLastRun(() => system.setVirtualMachines(listed))).toBeLessThan(FEW_SECONDS_MS)
   })
 
   test('by its side\'s report', async () => {
--- a/test/promises/planned-stop.test.ts
+++ b/test/promises/planned-stop.test.ts
@@ -91,7 +91,8 @@
 
   private async lookUp(): Promise<void> {
     try {
-      const response = await request(`${this.balancer.pick()}/v1/services/rider-app-backend/stops/1`, { headers: { 'eidermast-account': DEFAULT_ACCOUNT, ...DEADLINE } })
+      const url = `${this.balancer.pick()}/v1/services/rider-app-backend/stops/1`
+      const response = await request(url, { headers: { 'eidermast-account': DEFAULT_ACCOUNT, ...DEADLINE } })
       const text = await response.body.text()
       if (response.statusCode !== 200)
         this.faults.push(`stop lookup: ${text}`)
--- a/test/promises/results.test.ts
+++ b/test/promises/results.test.ts
@@ -28,6 +28,17 @@
 
 afterAll(() => system.stop())
 
+/** Sends requests all at once, to both entries in turn. */
+async function sendMany(count: number, headers: Record<string, string>, pipeline = PIPELINE): Promise<CallerRecord> {
+  const record = new CallerRecord()
+  const unrepeatable = pipeline === 'departure-alert'
+  await Promise.all(Array.from({ length: count }, (_, index) => {
+    const sent = record.begin(pipeline, `question ${index}`, unrepeatable)
+    return record.send(sent, system.entryUrls[index % 2], headers)
+  }))
+  return record
+}
+
 /** Sends a streamed request and returns the whole text that came. */
 async function stream(input: string, onText: (text: string) => void = () => {}): Promise<string> {
   const response = await streamPipeline({ entryUrl: system.entryUrls[0], pipeline: PIPELINE, input, headers: LONG_DEADLINE })
@@ -101,9 +112,10 @@
 
 describe('every caller gets its own answer', () => {
   test('over shared connections, with uneven backend servers and lost replies', async () => {
-    await Promise.all(system.list(ProcessKind.Backend).map((backend, index) => system.setFaults(backend.url!, { slowFactor: 1 + index % 4, dropReplies: index % 3 })))
-    const record = new CallerRecord()
-    await Promise.all(Array.from({ length: 150 }, (_, index) => record.send(record.begin(PIPELINE, `question ${index}`, false), system.entryUrls[index % 2], LONG_DEADLINE)))
+    const backends = system.list(ProcessKind.Backend)
+    const place = (url: string, index: number) => system.setFaults(url, { slowFactor: 1 + index % 4, dropReplies: index % 3 })
+    await Promise.all(backends.map(({ url }, index) => place(url!, index)))
+    const record = await sendMany(150, LONG_DEADLINE)
     expect(record.violations(system)).toEqual([])
     expect(record.summarize().whole).toBeGreaterThan(140)
   })
@@ -123,12 +135,6 @@
 })
 
 describe('"not run" means that nothing ran', () => {
-  async function sendMany(count: number, headers: Record<string, string>, pipeline = PIPELINE): Promise<CallerRecord> {
-    const record = new CallerRecord()
-    await Promise.all(Array.from({ length: count }, (_, index) => record.send(record.begin(pipeline, `question ${index}`, pipeline === 'departure-alert'), system.entryUrls[index % 2], headers)))
-    return record
-  }
-
   async function countSilent(entry: string): Promise<number | undefined> {
     const status = await system.entryStatus(entry)
     return status?.detail.filter(line => line.text === MemberState.Silent).length
--- a/test/promises/unrepeatable.test.ts
+++ b/test/promises/unrepeatable.test.ts
@@ -72,7 +72,13 @@
   test('is not answered with another request\'s result when its id was used for that at another entry', async () => {
     const sent = begin()
     await record.send(sent, system.entryUrls[0], LONG_DEADLINE)
-    const other = await callPipeline({ entryUrl: system.entryUrls[1], pipeline: PIPELINE, input: 'another alert', requestId: sent.requestId, headers: LONG_DEADLINE })
+    const other = await callPipeline({
+      entryUrl: system.entryUrls[1],
+      pipeline: PIPELINE,
+      input: 'another alert',
+      requestId: sent.requestId,
+      headers: LONG_DEADLINE,
+    })
     expect(other).toMatchObject({ status: 409, kind: ErrorKind.RequestIdReused })
     expect(record.violations(system)).toEqual([])
   })
@@ -243,7 +249,12 @@
       await system.end('entry-1', signal)
     else
       system.signal('entry-1', signal)
-    const answer = await callPipeline({ entryUrl: system.entryUrls[1], pipeline: PIPELINE, input: 'ticketed', headers: { 'eidermast-deadline-ms': '1500', 'eidermast-ticket': ticket } })
+    const answer = await callPipeline({
+      entryUrl: system.entryUrls[1],
+      pipeline: PIPELINE,
+      input: 'ticketed',
+      headers: { 'eidermast-deadline-ms': '1500', 'eidermast-ticket': ticket },
+    })
     expect(answer).toMatchObject({ kind: ErrorKind.OutcomeUnknown, ran: Ran.Unknown })
     if (signal === 'SIGSTOP')
       system.signal('entry-1', 'SIGCONT')
@@ -252,7 +263,13 @@
 
   test('is refused for another account, and nothing runs', async () => {
     const { requestId, ticket } = await issueTicket(system.entryUrls[0])
-    const answer = await callPipeline({ entryUrl: system.entryUrls[1], pipeline: PIPELINE, input: 'x', account: 'depot-control', headers: { 'eidermast-ticket': ticket } })
+    const answer = await callPipeline({
+      entryUrl: system.entryUrls[1],
+      pipeline: PIPELINE,
+      input: 'x',
+      account: 'depot-control',
+      headers: { 'eidermast-ticket': ticket },
+    })
     expect(answer).toMatchObject({ kind: ErrorKind.TicketInvalid, ran: Ran.None })
     expect(runsOf(system, requestId)).toEqual([])
   })
--- a/test/system/whole-path.test.ts
+++ b/test/system/whole-path.test.ts
@@ -26,7 +26,10 @@
 
   test('answers many requests at once, each caller with its own answer', async () => {
     const inputs = Array.from({ length: 60 }, (_, index) => `question ${index}`)
-    const answers = await Promise.all(inputs.map((input, index) => callPipeline({ entryUrl: system.entryUrls[index % 2], pipeline: 'rider-answer', input, headers: { 'eidermast-deadline-ms': '20000' } })))
+    const headers = { 'eidermast-deadline-ms': '20000' }
+    const answers = await Promise.all(inputs.map((input, index) => {
+      return callPipeline({ entryUrl: system.entryUrls[index % 2], pipeline: 'rider-answer', input, headers })
+    }))
     expect(answers.map(answer => answer.output)).toEqual(inputs.map(input => smallAnswer('rider-answer', input)))
   })
 
@@ -39,7 +42,8 @@
   })
 
   test('routes a plain service by its path', async () => {
-    const response = await request(`${system.entryUrls[1]}/v1/services/rider-app-backend/stops/7?fields=name`, { headers: { 'eidermast-account': DEFAULT_ACCOUNT } })
+    const url = `${system.entryUrls[1]}/v1/services/rider-app-backend/stops/7?fields=name`
+    const response = await request(url, { headers: { 'eidermast-account': DEFAULT_ACCOUNT } })
     expect(response.statusCode).toBe(200)
     expect(await response.body.json()).toMatchObject({ method: 'GET', path: '/stops/7?fields=name' })
   })
