--- a/packages/daemon/src/process/side/reply-stream.ts
+++ b/packages/daemon/src/process/side/reply-stream.ts
@@ -5,7 +5,7 @@
  * stage table, where the entry may ask again.
  */
 import type { StageReply, StreamMessage } from '../../connection/messages.js'
-import type { TokenListener } from '../../request/side/stage-run.js'
+import type { TokenListener } from '../../request/side/backend-run.js'
 
 /** Streams the tokens of a call, then its one reply. */
 export async function* streamReply(run: (onToken: TokenListener) => Promise<StageReply>): AsyncIterable<StreamMessage> {
--- a/packages/daemon/src/request/side/stage-run.ts
+++ b/packages/daemon/src/request/side/backend-run.ts
@@ -10,7 +10,7 @@
 export type TokenListener = (index: number, text: string) => void
 
 /** One stage call at a side. */
-export interface StageRun {
+export interface BackendRun {
   key: string
   call: StageCall
   /** Whether the backend server may have been called. */
@@ -28,7 +28,7 @@
 }
 
 /** Creates the run of a call that has just come. */
-export function createRun(call: StageCall): StageRun {
+export function createRun(call: StageCall): BackendRun {
   let settle!: (reply: StageReply) => void
   const reply = new Promise<StageReply>((resolve) => {
     settle = resolve
@@ -47,7 +47,7 @@
 }
 
 /** Sends a listener the tokens so far, and those to come while the call runs. */
-export function addTokenListener(run: StageRun, onToken: TokenListener | undefined): void {
+export function addTokenListener(run: BackendRun, onToken: TokenListener | undefined): void {
   if (!onToken)
     return
   run.tokens.forEach((text, index) => onToken(index, text))
@@ -56,14 +56,14 @@
 }
 
 /** Keeps a token and sends it to every listener. */
-export function publishToken(run: StageRun, text: string): void {
+export function publishToken(run: BackendRun, text: string): void {
   const index = run.tokens.push(text) - 1
   for (const listener of run.listeners)
     listener(index, text)
 }
 
 /** Memory that a finished run is counted with, in bytes. */
-export function sizeOf(run: StageRun): number {
+export function sizeOf(run: BackendRun): number {
   const output = run.finished?.kind === StageReplyKind.Done ? textBytes(run.finished.output) : 0
   return run.call.input.length + output
 }
--- a/packages/daemon/src/request/side/side-log.ts
+++ b/packages/daemon/src/request/side/side-log.ts
@@ -4,14 +4,14 @@
  */
 import type { RefusalReason, StageCall } from '../../connection/messages.js'
 import type { DecisionRecorder } from '../decision-recorder.js'
-import type { StageRun } from './stage-run.js'
+import type { BackendRun } from './backend-run.js'
 
 /** Logs what a side decided. */
 export class SideLog {
   constructor(private readonly recorder: DecisionRecorder) {}
 
   /** Event `join`: a repeat of a call that is known. */
-  joined(run: StageRun): void {
+  joined(run: BackendRun): void {
     const { requestId, stage, attempt } = run.call.identity
     this.recorder.record('join', requestId, { stage, attempt, finished: run.finished !== undefined })
   }
--- a/packages/daemon/src/request/side/stage-runner.ts
+++ b/packages/daemon/src/request/side/stage-runner.ts
@@ -20,15 +20,15 @@
 import type { DecisionRecorder } from '../decision-recorder.js'
 import type { StageMetrics } from '../request-metrics.js'
 import type { ReplyBase } from './backend-reply.js'
+import type { BackendRun, TokenListener } from './backend-run.js'
 import type { StageQueue, WaitingCall } from './stage-queue.js'
-import type { StageRun, TokenListener } from './stage-run.js'
 import type { StageTable } from './stage-table.js'
 import { BackendOutcome } from '../../connection/backend-client.js'
 import { FailureReason, RefusalReason, stageKey, StageReplyKind } from '../../connection/messages.js'
 import { createBackendReply } from './backend-reply.js'
+import { addTokenListener, publishToken } from './backend-run.js'
 import { ServiceTimes } from './service-times.js'
 import { SideLog } from './side-log.js'
-import { addTokenListener, publishToken } from './stage-run.js'
 
 /** What the runner needs to know of its side. */
 export interface SideState {
@@ -56,7 +56,7 @@
 
 /** Runs the stage calls of one side. */
 export class StageRunner {
-  private readonly pending = new Map<WaitingCall, StageRun>()
+  private readonly pending = new Map<WaitingCall, BackendRun>()
   private readonly times = new ServiceTimes()
   private readonly log: SideLog
   private running = 0
@@ -116,7 +116,7 @@
     return { started: false }
   }
 
-  private join(run: StageRun, onToken?: TokenListener): Promise<StageReply> {
+  private join(run: BackendRun, onToken?: TokenListener): Promise<StageReply> {
     this.log.joined(run)
     addTokenListener(run, onToken)
     return run.reply
@@ -151,7 +151,7 @@
     }
   }
 
-  private async execute(run: StageRun, waiting: WaitingCall): Promise<void> {
+  private async execute(run: BackendRun, waiting: WaitingCall): Promise<void> {
     const { metrics, table } = this.options
     this.running++
     run.started = true
@@ -176,7 +176,7 @@
   }
 
   /** Calls the backend server and stops the call when its time is over. */
-  private async callBackend(run: StageRun, remainingMs: number): Promise<BackendResult> {
+  private async callBackend(run: BackendRun, remainingMs: number): Promise<BackendResult> {
     const deadline = setTimeout(() => run.abort.abort(), Math.max(0, remainingMs))
     const onToken = run.listeners.size > 0 ? (text: string): void => publishToken(run, text) : undefined
     const result = await this.options.backend.run(run.call, run.abort.signal, onToken)
@@ -199,7 +199,7 @@
     return { ...this.replyBase(call), kind: StageReplyKind.Failed, reason: FailureReason.Cancelled, message, serviceMs: 0 }
   }
 
-  private refuseWaiting(run: StageRun, reason: RefusalReason): void {
+  private refuseWaiting(run: BackendRun, reason: RefusalReason): void {
     for (const [waiting, pending] of this.pending) {
       if (pending !== run)
         continue
--- a/packages/daemon/src/request/side/stage-table.ts
+++ b/packages/daemon/src/request/side/stage-table.ts
@@ -12,10 +12,10 @@
  * life of the side.
  */
 import type { ResultQuestion, StageCall, StageReply } from '../../connection/messages.js'
-import type { StageRun } from './stage-run.js'
+import type { BackendRun } from './backend-run.js'
 import { StageReplyKind } from '../../connection/messages.js'
 import { carriesBody } from '../stages/stage-input.js'
-import { createRun, sizeOf } from './stage-run.js'
+import { createRun, sizeOf } from './backend-run.js'
 
 /** Limits of the table. */
 export interface StageTableOptions {
@@ -40,7 +40,7 @@
 
 /** The table of stage calls. */
 export class StageTable {
-  private readonly runs = new Map<string, StageRun>()
+  private readonly runs = new Map<string, BackendRun>()
   /** When each finished run finished, in that order; milliseconds of the table's clock. */
   private readonly finished = new Map<string, number>()
   /** Keys that must not run any more. */
@@ -63,7 +63,7 @@
   }
 
   /** The run of a key, if it is still held. */
-  find(key: string): StageRun | undefined {
+  find(key: string): BackendRun | undefined {
     return this.runs.get(key)
   }
 
@@ -83,14 +83,14 @@
   }
 
   /** Opens a run for a call that is not in the table. */
-  open(call: StageCall): StageRun {
+  open(call: StageCall): BackendRun {
     const run = createRun(call)
     this.runs.set(run.key, run)
     return run
   }
 
   /** Ends a run with its one reply. */
-  finish(run: StageRun, reply: StageReply): void {
+  finish(run: BackendRun, reply: StageReply): void {
     if (run.finished)
       return
     run.finished = reply
