--- a/packages/gateway/src/process/stages/pool/task-queue.ts
+++ b/packages/gateway/src/process/stages/pool/task-queue.ts
@@ -66,7 +66,10 @@
     task.stageTask.listener.completed(task.results as StageResult[])
   }
 
+  /** Fails a task; one that has ended reported its end already, for another of its items. */
   fail(task: PoolTask, failure: ItemFailure): void {
+    if (task.ended)
+      return
     this.end(task)
     task.stageTask.listener.failed(failure)
   }
--- a/test/gateway/stage-coordinator.test.ts
+++ b/test/gateway/stage-coordinator.test.ts
@@ -86,6 +86,16 @@
     expect(service.calls.filter(call => call.backendId === 'encode-a')).toHaveLength(2)
   })
 
+  test('restarts the stages once where a call of several items fails without a retry left', async () => {
+    const { stageCoordinator, service, retries } = createCoordinator([{ id: 'encode-a' }])
+    retries.allowed = 0
+    service.behaviour = () => service.calls.length === 1 ? StageCallEnd.Refused : StageCallEnd.Done
+    const prepared = stageCoordinator.prepare(createStageRequest(), NEVER)
+    await vi.advanceTimersByTimeAsync(1000)
+    expect((await prepared).isOk()).toBe(true)
+    expect(service.calls.flatMap(call => call.items).map(item => item.index)).toEqual([0, 1, 0, 1])
+  })
+
   test('stops retrying items when the budget is used up', async () => {
     const { stageCoordinator, service, retries } = createCoordinator([{ id: 'encode-a' }])
     retries.allowed = 0
