--- a/packages/gateway/src/process/backend-registry.ts
+++ b/packages/gateway/src/process/backend-registry.ts
@@ -8,7 +8,7 @@
 import type { BackendRecord } from '../connection/backends/backend.js'
 import type { BackendSink } from './platform-adapter.js'
 import { Backend } from '../connection/backends/backend.js'
-import { BackendLog } from './backend-log.js'
+import { GatewayLog } from './gateway-log.js'
 import { LapseGrace } from './lapse-grace.js'
 
 /** What follows changes of the registry. */
@@ -27,10 +27,10 @@
   private readonly grace = new LapseGrace()
   /** Timers that remove backend servers whose entries have gone, by id. */
   private readonly lapsed = new Map<string, NodeJS.Timeout>()
-  private readonly log: BackendLog
+  private readonly log: GatewayLog
 
   constructor(log: EventLog) {
-    this.log = new BackendLog(log)
+    this.log = new GatewayLog(log)
   }
 
   listen(listener: BackendListener): void {
@@ -73,7 +73,7 @@
       return this.remove(id, 'its entry is gone')
     if (this.lapsed.has(id))
       return
-    this.log.lapsed(id, remainingMs)
+    this.log.backendLapsed(id, remainingMs)
     const removal = setTimeout(() => this.remove(id, 'its entry lapsed and did not come back'), remainingMs)
     this.lapsed.set(id, removal.unref())
   }
@@ -86,7 +86,7 @@
       return
     this.byId.delete(id)
     this.backendsOf(backend.service).delete(backend)
-    this.log.removed(backend.record, reason)
+    this.log.backendRemoved(backend.record, reason)
     for (const listener of this.listeners)
       listener.removed?.(backend)
   }
@@ -106,7 +106,7 @@
     const backend = new Backend(record)
     this.byId.set(record.id, backend)
     this.backendsOf(record.service).add(backend)
-    this.log.added(record)
+    this.log.backendAdded(record)
     for (const listener of this.listeners)
       listener.added?.(backend)
   }
@@ -116,7 +116,7 @@
     backend.record = record
     if (!stateChanged)
       return
-    this.log.stateChanged(record)
+    this.log.backendStateChanged(record)
     for (const listener of this.listeners)
       listener.stateChanged?.(backend)
   }
--- a/packages/gateway/src/process/gateway-log.ts
+++ b/packages/gateway/src/process/gateway-log.ts
@@ -1,20 +1,13 @@
 /**
- * The log events of a gateway's process, one function an event.
+ * The log events of a gateway's process, one function an event: its life, the
+ * gateways that it knows and the backend servers that are listed.
  */
 import type { EventLog } from '@eidermast/common'
+import type { BackendRecord } from '../connection/backends/backend.js'
 import type { Member } from '../connection/peers/member.js'
 import process from 'node:process'
 import { formatError } from '@eidermast/common'
 
-/** A change of readiness, and the state that caused it. */
-export interface ReadinessChange {
-  ready: boolean
-  /** Version in force; 0 for none. */
-  configurationVersion: number
-  /** Backend servers known. */
-  backends: number
-}
-
 /** Writes the events of the process. */
 export class GatewayLog {
   constructor(private readonly log: EventLog) {}
@@ -27,8 +20,8 @@
     this.log.write('listening', { startMs: Math.round(performance.now()) })
   }
 
-  readinessChanged({ ready, configurationVersion, backends }: ReadinessChange): void {
-    this.log.write('readiness', { ready, configuration: configurationVersion, backends })
+  readinessChanged(ready: boolean, configuration: number, backends: number): void {
+    this.log.write('readiness', { ready, configuration, backends })
   }
 
   /** The process was asked to stop; `graceMs` is the time that it has, in milliseconds. */
@@ -44,4 +37,45 @@
   peerConfigurationFailed(member: Member, error: unknown): void {
     this.log.write('peer-configuration-failed', { member: member.name, error: formatError(error) })
   }
+
+  memberListed(member: Member, announcementOrder: number): void {
+    // Its own order is not known to a gateway until the directory lists it.
+    const seniority = Number.isFinite(announcementOrder) ? announcementOrder : undefined
+    this.log.write('member-listed', { member: member.name, address: member.address, seniority })
+  }
+
+  memberRemoved(name: string): void {
+    this.log.write('member-removed', { member: name })
+  }
+
+  memberFailed(member: Member): void {
+    this.log.write('member-failed', { member: member.name })
+  }
+
+  memberRecovered(member: Member): void {
+    this.log.write('member-recovered', { member: member.name })
+  }
+
+  /** `members` counts the gateways listed, this one included. */
+  coordinatorChanged(coordinator: Member, previous: Member, members: number): void {
+    this.log.write('stage-coordinator', { coordinator: coordinator.name, previous: previous.name, members })
+  }
+
+  backendAdded({ id, service, failureDomain, address, draining }: BackendRecord): void {
+    this.log.write('backend-added', { backend: id, service, failureDomain, address, draining })
+  }
+
+  /** It began to leave, or takes work again. */
+  backendStateChanged({ id, service, draining }: BackendRecord): void {
+    this.log.write('backend-state', { backend: id, service, draining })
+  }
+
+  /** Its entry is gone, and it is used on for this long, in milliseconds. */
+  backendLapsed(backend: string, usedForMs: number): void {
+    this.log.write('backend-lapsed', { backend, usedForMs: Math.round(usedForMs) })
+  }
+
+  backendRemoved({ id, service }: BackendRecord, reason: string): void {
+    this.log.write('backend-removed', { backend: id, service, reason })
+  }
 }
--- a/packages/gateway/src/process/gateway.ts
+++ b/packages/gateway/src/process/gateway.ts
@@ -31,8 +31,7 @@
 import { countSharingGateways, shareOfConnections } from './gateway-share.js'
 import { createMetricsServer, createReadinessServer, InternalServers } from './internal-servers.js'
 import { Members } from './membership/members.js'
-import { PeerConfiguration } from './peers/peer-configuration.js'
-import { GatewayPeerService } from './peers/peer-service.js'
+import { GatewayPeerService } from './peer-service.js'
 import { Readiness } from './readiness.js'
 import { SharedPreparer } from './stages/shared-preparer.js'
 import { StageCoordinator } from './stages/stage-coordinator.js'
@@ -50,7 +49,7 @@
   private readonly self: Member
   private readonly gatewayLog: GatewayLog
   private readonly peers = new PeerClients()
-  private readonly peerConfiguration: PeerConfiguration
+  private readonly peerService: GatewayPeerService
   private readonly connections: BackendConnections
   private readonly stageCoordinator: StageCoordinator
   private readonly readiness: Readiness
@@ -65,10 +64,10 @@
     this.gatewayLog = new GatewayLog(log)
     this.configuration = new ConfigurationHolder(platform.decodeConfiguration, log)
     this.registry = new BackendRegistry(log)
-    this.peerConfiguration = new PeerConfiguration(this.configuration, this.peers, this.gatewayLog)
     this.members = this.createMembers()
     this.connections = new BackendConnections(service => this.connectionShare(service))
     this.stageCoordinator = this.createStageCoordinator()
+    this.peerService = this.createPeerService()
     this.clients = this.createClientServer()
     this.readiness = this.createReadiness()
     this.members.onCoordinatorChange(() => this.takeCoordinatorChange())
@@ -116,7 +115,7 @@
     const contact = {
       heartbeat: (member: Member) => this.peers.heartbeat(member, { ...this.self, version: this.configuration.version }),
     }
-    return new Members(this.self, contact, this.log, (member, version) => void this.peerConfiguration.learnVersion(member, version))
+    return new Members(this.self, contact, this.log, (member, version) => void this.peerService.learnVersion(member, version))
   }
 
   private createStageCoordinator(): StageCoordinator {
@@ -162,17 +161,18 @@
 
   private createPeerService(): GatewayPeerService {
     return new GatewayPeerService({
-      configuration: this.configuration,
-      peerConfiguration: this.peerConfiguration,
+      holder: this.configuration,
+      peers: this.peers,
       stageCoordinator: this.stageCoordinator,
       isStopping: () => this.stopping,
+      log: this.gatewayLog,
     })
   }
 
   private async listen(): Promise<void> {
     const { clients, readiness, 'peer-port': peerPort, 'metrics-port': metricsPort } = this.settings.listen
     const { host } = this.settings.process
-    const peerServer = createServer(createHTTPHandler({ router: createPeerRouter(this.createPeerService()) }))
+    const peerServer = createServer(createHTTPHandler({ router: createPeerRouter(this.peerService) }))
     await this.clients.listen(clients.port, clients.host)
     await this.internalServers.listen(createReadinessServer(() => this.readiness.check()), readiness.port, readiness.host)
     await this.internalServers.listen(peerServer, peerPort, host)
--- a/packages/gateway/src/process/lapse-grace.ts
+++ b/packages/gateway/src/process/lapse-grace.ts
@@ -25,15 +25,13 @@
 export class LapseGrace {
   private until = 0
 
-  constructor(private readonly now: () => number = () => performance.now()) {}
-
   /** The source answers again after failures. */
   noteSourceReturned(): void {
-    this.until = this.now() + LAPSE_GRACE_MS
+    this.until = performance.now() + LAPSE_GRACE_MS
   }
 
   /** For how long a backend server whose entry has gone now is used on, in milliseconds; 0 for not at all. */
   remainingMs(): number {
-    return Math.max(0, this.until - this.now())
+    return Math.max(0, this.until - performance.now())
   }
 }
--- a/packages/gateway/src/process/membership/coordinator-choice.ts
+++ b/packages/gateway/src/process/membership/coordinator-choice.ts
@@ -18,9 +18,6 @@
 import type { Member } from '../../connection/peers/member.js'
 import type { MemberState } from './member-state.js'
 
-/** What the choice needs of a member. */
-export type CoordinatorCandidate = Pick<MemberState, 'member' | 'alive' | 'stopping'>
-
 /** Orders members as candidates: by announcement, then by name. */
 export function rankCandidates(states: Iterable<MemberState>): MemberState[] {
   return [...states].sort((left, right) => {
@@ -30,6 +27,6 @@
 }
 
 /** The coordinator among candidates that are in order. */
-export function chooseCoordinator(ranked: readonly CoordinatorCandidate[], self: Member): Member {
+export function chooseCoordinator(ranked: readonly MemberState[], self: Member): Member {
   return ranked.find(candidate => candidate.alive && !candidate.stopping)?.member ?? self
 }
--- a/packages/gateway/src/process/membership/failure-detection.ts
+++ b/packages/gateway/src/process/membership/failure-detection.ts
@@ -22,7 +22,7 @@
  * lost heartbeats make a failure, with twice as much stage work waits that
  * much longer for the next coordinator.
  */
-export const FAILED_AFTER_MS = 600
+const FAILED_AFTER_MS = 600
 
 /**
  * Milliseconds between two ticks from which on this process itself stood
@@ -30,7 +30,7 @@
  * twice as much a pause of nearly FAILED_AFTER_MS would count as silence of
  * the others.
  */
-export const LATE_TICK_MS = 2 * HEARTBEAT_INTERVAL_MS
+const LATE_TICK_MS = 2 * HEARTBEAT_INTERVAL_MS
 
 /** Whether a member that has been silent for this long, in milliseconds, has failed. */
 export function hasFailed(silentMs: number): boolean {
--- a/packages/gateway/src/process/membership/index.ts
+++ /dev/null
@@ -1,1 +0,0 @@
-export * from './members.js'
--- a/packages/gateway/src/process/membership/members.ts
+++ b/packages/gateway/src/process/membership/members.ts
@@ -14,22 +14,13 @@
 import type { ListedMember, MemberSink } from '../platform-adapter.js'
 import type { FailureWatch } from './failure-watches.js'
 import type { MemberState } from './member-state.js'
+import { GatewayLog } from '../gateway-log.js'
 import { chooseCoordinator, rankCandidates } from './coordinator-choice.js'
 import { hasFailed, HEARTBEAT_INTERVAL_MS, ownPauseMs } from './failure-detection.js'
 import { FailureWatches } from './failure-watches.js'
 import { isHeartbeatDue, selectWatched } from './heartbeat-targets.js'
-import { MemberLog } from './member-log.js'
 import { createMemberState } from './member-state.js'
 
-/** Sends heartbeats to other gateways. */
-export interface PeerContact {
-  /** Rejects where no answer came. */
-  heartbeat: (member: Member) => Promise<HeartbeatReply>
-}
-
-/** Called with a peer and the configuration version that it holds. */
-export type VersionListener = (member: Member, version: number) => void
-
 /** Follows members and keeps the coordinator. */
 export class Members implements MemberSink {
   private readonly states = new Map<string, MemberState>()
@@ -38,17 +29,19 @@
   private currentCoordinator: Member
   private readonly coordinatorListeners: ((coordinator: Member) => void)[] = []
   private readonly failureWatches = new FailureWatches()
-  private readonly log: MemberLog
+  private readonly log: GatewayLog
   private timer: NodeJS.Timeout | undefined
   private tickedAt = performance.now()
 
   constructor(
     readonly self: Member,
-    private readonly contact: PeerContact,
+    /** Sends heartbeats to other gateways; rejects where no answer came. */
+    private readonly contact: { heartbeat: (member: Member) => Promise<HeartbeatReply> },
     log: EventLog,
-    private readonly onVersion: VersionListener,
+    /** Called with a peer and the configuration version that it holds. */
+    private readonly onVersion: (member: Member, version: number) => void,
   ) {
-    this.log = new MemberLog(log)
+    this.log = new GatewayLog(log)
     this.currentCoordinator = self
     this.upsert({ ...self, announcementOrder: Number.POSITIVE_INFINITY })
   }
@@ -181,7 +174,7 @@
     const coordinator = chooseCoordinator(this.ranked, this.self)
     if (coordinator.name === previous.name && coordinator.address === previous.address)
       return
-    this.log.coordinatorChanged({ coordinator, previous, members: this.states.size })
+    this.log.coordinatorChanged(coordinator, previous, this.states.size)
     this.currentCoordinator = coordinator
     for (const listener of this.coordinatorListeners)
       listener(coordinator)
--- a/packages/gateway/src/process/readiness.ts
+++ b/packages/gateway/src/process/readiness.ts
@@ -14,7 +14,7 @@
  */
 import type { GatewayLog } from './gateway-log.js'
 
-/** What the decision is made from. */
+/** What the decision is made from, as of now. */
 export interface ReadinessInputs {
   stopping: boolean
   /** Configuration version in force; 0 for none. */
@@ -24,7 +24,7 @@
 }
 
 /** Whether a gateway in this state is ready. */
-export function isReady({ stopping, configurationVersion, backends }: ReadinessInputs): boolean {
+function isReady({ stopping, configurationVersion, backends }: ReadinessInputs): boolean {
   return !stopping && configurationVersion > 0 && backends > 0
 }
 
@@ -38,7 +38,7 @@
     const inputs = this.read()
     const ready = isReady(inputs)
     if (ready !== this.last)
-      this.log.readinessChanged({ ready, ...inputs })
+      this.log.readinessChanged(ready, inputs.configurationVersion, inputs.backends)
     this.last = ready
     return ready
   }
