--- a/packages/gateway/src/process/gateway-metrics.ts
+++ b/packages/gateway/src/process/gateway-metrics.ts
@@ -3,19 +3,22 @@
  * them (`replicas` counts backend servers, `owns_stages` shows the
  * coordinator). Counts begin at zero with each process.
  */
+import type { ClientServer } from '../connection/clients/client-server.js'
+import type { ConfigurationHolder } from '../version/configuration-holder.js'
+import type { BackendRegistry } from './backend-registry.js'
+import type { Members } from './membership/members.js'
 import { Counter, Gauge, Histogram, Registry } from 'prom-client'
 
 /** Upper bounds in seconds. Not measured; around the latency targets of routes, which lie between tenths and some seconds. */
 const SECONDS_BUCKETS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 4, 8, 16]
 const MILLISECONDS_PER_SECOND = 1000
 
-/** Values that are read at the time of a scrape. */
-export interface GatewayGauges {
-  activeRequests: () => number
-  configurationVersion: () => number
-  backends: () => number
-  members: () => number
-  isCoordinator: () => boolean
+/** The parts of a gateway whose values are read at the time of a scrape. */
+export interface GaugeSources {
+  clients: ClientServer
+  configuration: ConfigurationHolder
+  registry: BackendRegistry
+  members: Members
 }
 
 /** Counters and histograms of one gateway. */
@@ -43,12 +46,12 @@
   }
 
   /** Serves values that are read when they are asked for. */
-  addGauges(gauges: GatewayGauges): void {
-    this.addGauge('eidermast_gateway_active_requests', 'Requests without an answer yet', gauges.activeRequests)
-    this.addGauge('eidermast_gateway_configuration_version', 'Configuration version in force', gauges.configurationVersion)
-    this.addGauge('eidermast_gateway_replicas', 'Backend servers known', gauges.backends)
-    this.addGauge('eidermast_gateway_members', 'Gateways known, this one included', gauges.members)
-    this.addGauge('eidermast_gateway_owns_stages', '1 where this gateway coordinates the stage work', () => Number(gauges.isCoordinator()))
+  addGauges({ clients, configuration, registry, members }: GaugeSources): void {
+    this.addGauge('eidermast_gateway_active_requests', 'Requests without an answer yet', () => clients.activeRequests)
+    this.addGauge('eidermast_gateway_configuration_version', 'Configuration version in force', () => configuration.version)
+    this.addGauge('eidermast_gateway_replicas', 'Backend servers known', () => registry.size)
+    this.addGauge('eidermast_gateway_members', 'Gateways known, this one included', () => members.count)
+    this.addGauge('eidermast_gateway_owns_stages', '1 where this gateway coordinates the stage work', () => Number(members.isCoordinator))
   }
 
   private addGauge(name: string, help: string, read: () => number): void {
--- a/packages/gateway/src/process/gateway.ts
+++ b/packages/gateway/src/process/gateway.ts
@@ -9,7 +9,6 @@
 import type { RetryBudgetSettings } from '../request/attempts/retry-budget.js'
 import type { GatewaySettings } from './gateway-settings.js'
 import type { PlatformAdapter } from './platform-adapter.js'
-import type { ReadinessInputs } from './readiness.js'
 import { createServer } from 'node:http'
 import { OutlierEjection } from '@eidermast/common'
 import { createHTTPHandler } from '@trpc/server/adapters/standalone'
@@ -69,7 +68,7 @@
     this.stageCoordinator = this.createStageCoordinator()
     this.peerService = this.createPeerService()
     this.clients = this.createClientServer()
-    this.readiness = this.createReadiness()
+    this.readiness = new Readiness(this.gatewayLog)
     this.members.onCoordinatorChange(() => this.takeCoordinatorChange())
     this.configuration.onChange(table => this.stageCoordinator.applyConfiguration(table))
     this.registry.listen({ removed: backend => this.connections.forget(backend.id) })
@@ -82,7 +81,7 @@
   async start(): Promise<void> {
     this.gatewayLog.started()
     await this.listen()
-    this.addGauges()
+    this.metrics.addGauges(this)
     this.followPlatform()
     this.members.start()
     this.gatewayLog.listening()
@@ -150,15 +149,6 @@
     return new ClientServer(passThrough, this.platform.clientCodec, this.configuration, this.log)
   }
 
-  private createReadiness(): Readiness {
-    const readInputs = (): ReadinessInputs => ({
-      stopping: this.stopping,
-      configurationVersion: this.configuration.version,
-      backends: this.registry.size,
-    })
-    return new Readiness(readInputs, this.gatewayLog)
-  }
-
   private createPeerService(): GatewayPeerService {
     return new GatewayPeerService({
       holder: this.configuration,
@@ -174,19 +164,14 @@
     const { host } = this.settings.process
     const peerServer = createServer(createHTTPHandler({ router: createPeerRouter(this.peerService) }))
     await this.clients.listen(clients.port, clients.host)
-    await this.internalServers.listen(createReadinessServer(() => this.readiness.check()), readiness.port, readiness.host)
+    await this.internalServers.listen(createReadinessServer(() => this.isReady()), readiness.port, readiness.host)
     await this.internalServers.listen(peerServer, peerPort, host)
     await this.internalServers.listen(createMetricsServer(this.metrics.registry), metricsPort, host)
   }
 
-  private addGauges(): void {
-    this.metrics.addGauges({
-      activeRequests: () => this.clients.activeRequests,
-      configurationVersion: () => this.configuration.version,
-      backends: () => this.registry.size,
-      members: () => this.members.count,
-      isCoordinator: () => this.members.isCoordinator,
-    })
+  private isReady(): boolean {
+    const { stopping, configuration, registry } = this
+    return this.readiness.check({ stopping, configurationVersion: configuration.version, backends: registry.size })
   }
 
   private followPlatform(): void {
--- a/packages/gateway/src/process/readiness.ts
+++ b/packages/gateway/src/process/readiness.ts
@@ -32,10 +32,9 @@
 export class Readiness {
   private last = false
 
-  constructor(private readonly read: () => ReadinessInputs, private readonly log: GatewayLog) {}
+  constructor(private readonly log: GatewayLog) {}
 
-  check(): boolean {
-    const inputs = this.read()
+  check(inputs: ReadinessInputs): boolean {
     const ready = isReady(inputs)
     if (ready !== this.last)
       this.log.readinessChanged(ready, inputs.configurationVersion, inputs.backends)
