--- a/packages/gateway/src/process/backend-registry.ts
+++ b/packages/gateway/src/process/backend-registry.ts
@@ -127,11 +127,8 @@
   }
 
   private backendsOf(service: string): Set<Backend> {
-    const existing = this.byService.get(service)
-    if (existing)
-      return existing
-    const created = new Set<Backend>()
-    this.byService.set(service, created)
-    return created
+    const backends = this.byService.get(service) ?? new Set()
+    this.byService.set(service, backends)
+    return backends
   }
 }
--- a/packages/gateway/src/process/drain/drain-plan.ts
+++ b/packages/gateway/src/process/drain/drain-plan.ts
@@ -15,29 +15,21 @@
  */
 
 /**
- * Milliseconds from SIGTERM on for which new requests are served. Not
- * measured; the balancer checks readiness each second and looks away after two
- * misses (the platform's protocol, section on ingress), and a new connection
- * may take a second more (section on answers). With half of it requests are
- * refused that were just sent here; with twice as much, little of the default
- * grace period (8000) is left for those under way.
+ * Milliseconds from SIGTERM on for which new requests are served. Two missed
+ * checks of the balancer, one a second (the platform's protocol, section on
+ * ingress), and a second for a new connection (section on answers). Not
+ * measured; half refuses requests just sent here, twice leaves little of the grace period.
  */
 export const DRAIN_SERVE_MS = 3200
 
 /**
- * Milliseconds from SIGTERM on after which the listener closes. Not measured;
- * between DRAIN_SERVE_MS and this, a late request gets a refusal that it may
- * retry elsewhere in place of a refused connection. With half of it there is
- * no such time; with twice as much the process ends only with the default grace period.
+ * Milliseconds from SIGTERM on after which the listener closes; until then a late
+ * request gets a refusal that it may retry elsewhere, not a refused connection.
+ * Not measured; half leaves no time for refusals, twice takes the whole default grace period.
  */
 export const DRAIN_CLOSE_MS = 4000
 
-/**
- * Milliseconds of the grace period that are kept for the end of the process.
- * Not measured; with half of it SIGKILL may come before the last log lines are
- * written, with twice as much requests are cut off that could have been
- * answered.
- */
+/** Milliseconds. Not measured; half may lose the last log lines to SIGKILL, twice cuts off requests that could be answered. */
 const END_MARGIN_MS = 400
 
 /** Milliseconds from SIGTERM on after which the process ends whatever is under way. */
--- a/packages/gateway/src/process/gateway-share.ts
+++ b/packages/gateway/src/process/gateway-share.ts
@@ -14,11 +14,7 @@
  * `eidermast_gateway_members` shows it.
  */
 
-/**
- * Gateways that may start while this one divides limits among those it knows.
- * Not measured; with 0 a gateway that starts exceeds the limit until all list it, with 2
- * each gateway has a smaller share than it needs.
- */
+/** Gateways that may start unlisted. Not measured; with 0 such a one exceeds the limit, with 2 each share is smaller than needed. */
 const SPARE_GATEWAYS = 1
 
 /** Gateways among which a limit of all gateways is divided. */
--- a/packages/gateway/src/process/membership/failure-detection.ts
+++ b/packages/gateway/src/process/membership/failure-detection.ts
@@ -17,18 +17,12 @@
 /** Milliseconds between heartbeats to a member. Not measured; with twice as much one lost heartbeat is half of FAILED_AFTER_MS. */
 export const HEARTBEAT_INTERVAL_MS = 150
 
-/**
- * Milliseconds without an answer. Not measured by itself; with half of it two
- * lost heartbeats make a failure, with twice as much stage work waits that
- * much longer for the next coordinator.
- */
+/** Milliseconds. Not measured by itself; at half two lost heartbeats make a failure, at twice stage work waits longer for a coordinator. */
 const FAILED_AFTER_MS = 600
 
 /**
- * Milliseconds between two ticks from which on this process itself stood
- * still (commit 3ddaec6). With half of it every tick would look late; with
- * twice as much a pause of nearly FAILED_AFTER_MS would count as silence of
- * the others.
+ * Milliseconds between two ticks from which on this process itself stood still
+ * (commit 3ddaec6). At half every tick looks late, at twice a pause of nearly FAILED_AFTER_MS counts as silence of the others.
  */
 const LATE_TICK_MS = 2 * HEARTBEAT_INTERVAL_MS
 
--- a/packages/gateway/src/process/membership/heartbeat-targets.ts
+++ b/packages/gateway/src/process/membership/heartbeat-targets.ts
@@ -18,7 +18,7 @@
 import type { MemberState } from './member-state.js'
 import { hasFailed, HEARTBEAT_INTERVAL_MS } from './failure-detection.js'
 
-/** Members that get heartbeats: the coordinator and its successor (see above). */
+/** The coordinator and its successor. */
 const WATCHED_CANDIDATES = 2
 
 /**
@@ -31,11 +31,7 @@
 /** Milliseconds between heartbeats to a failed member. Not measured; twice as long, and one that recovers is used that much later. */
 const FAILED_HEARTBEAT_INTERVAL_MS = 500
 
-/**
- * Share of the interval after which a heartbeat is due: timers fire a little
- * early or late. Not measured; at 1 a tick that fires 1 ms early skips a
- * heartbeat, at half of this a failed member gets one at every second tick.
- */
+/** Share of the interval: timers fire a little early. Not measured; at 1 such a tick sends nothing, at half failed members get more. */
 const DUE_SHARE = 0.9
 
 /** The members whose state this process keeps up to date, in order. */
