--- a/packages/gateway/src/process/stages/coordinator-failure.ts
+++ b/packages/gateway/src/process/stages/coordinator-failure.ts
@@ -14,20 +14,7 @@
  */
 import { isConnectionRefused } from '../../connection/error-codes.js'
 
-/** What a failed call says of the coordinator. */
-export enum CoordinatorVerdict {
-  AskAgain = 'ask-again',
-  Failed = 'failed',
-}
-
-/** A failed call to the coordinator. */
-export interface FailedCall {
-  error: unknown
-  /** A call for the same request failed at this coordinator before. */
-  failedBefore: boolean
-}
-
-/** Decides on a coordinator after a failed call. */
-export function judgeCoordinator({ error, failedBefore }: FailedCall): CoordinatorVerdict {
-  return isConnectionRefused(error) || failedBefore ? CoordinatorVerdict.Failed : CoordinatorVerdict.AskAgain
+/** Whether a coordinator counts as failed after a failed call; `failedBefore`: another call of the request failed there. */
+export function countsAsFailed(error: unknown, failedBefore: boolean): boolean {
+  return isConnectionRefused(error) || failedBefore
 }
--- a/packages/gateway/src/process/stages/index.ts
+++ b/packages/gateway/src/process/stages/index.ts
@@ -1,7 +1,6 @@
 export * from './backend/index.js'
 export * from './coordinator-failure.js'
 export * from './pool/index.js'
-export * from './release-batches.js'
 export * from './shared-preparer.js'
 export * from './stage-admission.js'
 export * from './stage-coordinator.js'
--- a/packages/gateway/src/process/stages/pool/stage-pool.ts
+++ b/packages/gateway/src/process/stages/pool/stage-pool.ts
@@ -65,8 +65,8 @@
     this.dispatch()
   }
 
-  get waitingItems(): number {
-    return this.queue.waitingItems
+  get hasWaitingTasks(): boolean {
+    return this.queue.tasks.length > 0
   }
 
   typicalCallMs(): number {
@@ -119,11 +119,11 @@
   /** Fails waiting tasks that cannot be served any more, and starts what can be started. */
   dispatch(): void {
     const now = performance.now()
-    this.failLateTasks(now)
-    this.failTasksWithoutInputs(now)
+    this.failTasks(ItemFailure.Late, task => isTooLate(task, this.limits.callMs, now))
+    this.failTasks(ItemFailure.InputGone, task => lacksInput(task, now))
     for (const backend of this.backends.values())
       backend.memory.expire(now)
-    if (this.queue.tasks.length === 0)
+    if (!this.hasWaitingTasks)
       return
     this.queue.sort()
     for (const backend of this.idleBackends(now)) {
@@ -146,16 +146,9 @@
     })
   }
 
-  private failLateTasks(now: number): void {
-    const late = this.queue.tasks.filter(({ stageTask, waiting }) => waiting.length > 0 && isTooLate(stageTask, this.limits.callMs, now))
-    for (const task of late)
-      this.queue.fail(task, ItemFailure.Late)
-  }
-
-  private failTasksWithoutInputs(now: number): void {
-    const lacking = this.queue.tasks.filter(({ stageTask, waiting }) => waiting.length > 0 && lacksInput(stageTask, now))
-    for (const task of lacking)
-      this.queue.fail(task, ItemFailure.InputGone)
+  private failTasks(failure: ItemFailure, isHopeless: (task: StageTask) => boolean): void {
+    for (const task of this.queue.tasks.filter(({ stageTask }) => isHopeless(stageTask)))
+      this.queue.fail(task, failure)
   }
 
   /** The fastest come first, of equal ones those with the most free memory. */
--- a/packages/gateway/src/process/stages/pool/task-queue.ts
+++ b/packages/gateway/src/process/stages/pool/task-queue.ts
@@ -8,7 +8,6 @@
 import type { StageResult, StageTask } from '../../../request/stages/stage-task.js'
 import type { PoolItem, PoolTask } from './pool-task.js'
 import type { BatchPart } from './stage-batch.js'
-import { compareTasks } from '../stage-order.js'
 import { createPoolTask } from './pool-task.js'
 
 /** Waiting tasks of one service. */
@@ -18,14 +17,11 @@
   /** Results of tasks that end without success are passed to `free`. */
   constructor(private readonly free: (result: StageResult) => void) {}
 
+  /** Each has an item waiting. */
   get tasks(): readonly PoolTask[] {
     return this.queued
   }
 
-  get waitingItems(): number {
-    return this.queued.reduce((sum, task) => sum + task.waiting.length, 0)
-  }
-
   add(task: StageTask): PoolTask {
     const added = createPoolTask(task)
     this.queued.push(added)
@@ -33,7 +29,7 @@
   }
 
   sort(): void {
-    this.queued.sort((left, right) => compareTasks(left.stageTask, right.stageTask))
+    this.queued.sort((left, right) => left.stageTask.rank - right.stageTask.rank)
   }
 
   /** Takes the chosen items out. */
--- a/packages/gateway/src/process/stages/shared-preparer.ts
+++ b/packages/gateway/src/process/stages/shared-preparer.ts
@@ -4,8 +4,9 @@
  * work, and the failed one, if it is still alive, frees its results once it
  * sees its caller gone; a coordinator that stops hands its results to the next
  * one through here. Owns which coordinator holds each request's results until
- * they are released; relies on the members' view of the coordinator. When the
- * process dies, coordinators see their callers gone.
+ * they are released, and the releases that wait for their call; relies on the
+ * members' view of the coordinator. When the process dies, coordinators see
+ * their callers gone, and results whose release is lost expire.
  */
 import type { EventLog } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
@@ -15,8 +16,7 @@
 import type { Members } from '../membership/members.js'
 import { Err } from 'ts-results-es'
 import { PreparationFailureKind } from '../../connection/peers/preparation.js'
-import { CoordinatorVerdict, judgeCoordinator } from './coordinator-failure.js'
-import { ReleaseBatches } from './release-batches.js'
+import { countsAsFailed } from './coordinator-failure.js'
 import { logCoordinatorCallFailed, logCoordinatorFailed } from './stage-log.js'
 
 /**
@@ -30,22 +30,26 @@
  * measured; half of it doubles the retries while gateways restart.
  */
 const RETRY_AFTER_MS = 1000
+/**
+ * Milliseconds that a release waits for others to share its call. Not measured;
+ * half of it sends more calls, twice as much holds result memory longer.
+ */
+const RELEASE_DELAY_MS = 20
 
 type Preparation = Result<PreparedInputs, PreparationFailure>
 
 /** Calls the coordinator of the stage work. */
 export class SharedPreparer implements Preparer {
   private readonly coordinatorOf = new Map<string, Member>()
-  private readonly releases: ReleaseBatches
+  /** Ids of requests to release, by the coordinator's address. */
+  private readonly releases = new Map<string, string[]>()
 
   constructor(
     private readonly members: Members,
     private readonly local: Preparer,
     private readonly peers: Pick<PeerClients, 'prepare' | 'release'>,
     private readonly log: EventLog,
-  ) {
-    this.releases = new ReleaseBatches(peers)
-  }
+  ) {}
 
   async prepare(request: PreparationRequest, signal: AbortSignal): Promise<Preparation> {
     const result = await this.prepareAtCoordinators(request, signal)
@@ -62,7 +66,22 @@
     if (coordinator.name === this.members.self.name)
       this.local.release(requestId)
     else
-      this.releases.add(coordinator, requestId)
+      this.releaseSoon(coordinator, requestId)
+  }
+
+  private releaseSoon(coordinator: Member, requestId: string): void {
+    const ids = this.releases.get(coordinator.address)
+    if (ids) {
+      ids.push(requestId)
+      return
+    }
+    const batch = [requestId]
+    this.releases.set(coordinator.address, batch)
+    setTimeout(() => {
+      this.releases.delete(coordinator.address)
+      // Harmless: results that are not released expire at their backend servers.
+      void this.peers.release(coordinator, batch).catch(() => {})
+    }, RELEASE_DELAY_MS)
   }
 
   /** Asks one coordinator after the other, with the time left and the results handed over. */
@@ -114,9 +133,9 @@
 
   private takeFailure(coordinator: Member, requestId: string, error: unknown, failedAt: Set<string>): void {
     const { name } = coordinator
-    const verdict = judgeCoordinator({ error, failedBefore: failedAt.has(name) })
+    const hasFailed = countsAsFailed(error, failedAt.has(name))
     failedAt.add(name)
-    if (verdict === CoordinatorVerdict.AskAgain)
+    if (!hasFailed)
       return logCoordinatorCallFailed(this.log, requestId, name, error)
     logCoordinatorFailed(this.log, requestId, name, error)
     this.members.suspect(coordinator)
--- a/packages/gateway/src/process/stages/stage-coordinator.ts
+++ b/packages/gateway/src/process/stages/stage-coordinator.ts
@@ -124,8 +124,7 @@
       end(Err({ kind: PreparationFailureKind.HandedOver, message: 'the coordinator is stopping', retryAfterMs: 0 }))
       return
     }
-    const { priority, isRetry, targetMs } = request
-    const rank = rankRequest({ priority, isRetry, targetAt: now + targetMs })
+    const rank = rankRequest(request, now)
     if (request.progress !== undefined)
       return this.start(request, rank, end)
     const decision = decideAdmission(request, rank, this.runs.values(), service => this.pools.get(service)?.pace())
@@ -162,7 +161,7 @@
 
   private dispatchWaiting(): void {
     for (const pool of this.pools.values()) {
-      if (pool.waitingItems > 0)
+      if (pool.hasWaitingTasks)
         pool.dispatch()
     }
   }
--- a/packages/gateway/src/process/stages/stage-order.ts
+++ b/packages/gateway/src/process/stages/stage-order.ts
@@ -10,7 +10,7 @@
  * Set by: see the constant.
  * Log event: `stages-admission` (priority, targetMs, isRetry).
  */
-import type { StageTask } from '../../request/stages/stage-task.js'
+import type { PreparationRequest } from '../../connection/peers/preparation.js'
 
 /**
  * Milliseconds that one level of priority is worth. Not measured apart: it came
@@ -19,23 +19,8 @@
  */
 const PRIORITY_STEP_MS = 300
 
-/** What a request's place in the order depends on. */
-export interface RankInput {
-  /** 0 is the most urgent. */
-  priority: number
-  /** The client was refused before and sent the request again. */
-  isRetry: boolean
-  /** When the answer misses its target, on the process clock in milliseconds. */
-  targetAt: number
-}
-
-/** Place in the order, in milliseconds; the least goes first. */
-export function rankRequest({ priority, isRetry, targetAt }: RankInput): number {
+/** Place in the order of a request that arrives now, on the process clock in milliseconds; the least goes first. */
+export function rankRequest({ priority, isRetry, targetMs }: PreparationRequest, now: number): number {
   const level = priority - (isRetry ? 1 : 0)
-  return targetAt + level * PRIORITY_STEP_MS
-}
-
-/** Compares tasks by rank. */
-export function compareTasks(left: StageTask, right: StageTask): number {
-  return left.rank - right.rank
+  return now + targetMs + level * PRIORITY_STEP_MS
 }
--- a/packages/gateway/src/request/stages/index.ts
+++ b/packages/gateway/src/request/stages/index.ts
@@ -1,4 +1,3 @@
-export * from './prepared-inputs.js'
 export * from './request-stages.js'
 export * from './stage-failure.js'
 export * from './stage-graph.js'
--- a/packages/gateway/src/request/stages/request-stages.ts
+++ b/packages/gateway/src/request/stages/request-stages.ts
@@ -13,10 +13,9 @@
 import type { StageResult, StageTask, StageTaskQueues } from './stage-task.js'
 import { Err, Ok } from 'ts-results-es'
 import { PreparationFailureKind } from '../../connection/peers/preparation.js'
-import { describeInputs } from './prepared-inputs.js'
 import { decideStageFailure, StageFailureDecision } from './stage-failure.js'
 import { StageGraph } from './stage-graph.js'
-import { adoptProgress, describeProgress } from './stage-progress.js'
+import { adoptProgress } from './stage-progress.js'
 import { StageStates } from './stage-states.js'
 
 /**
@@ -45,37 +44,43 @@
     readonly rank: number,
     private readonly queueOf: StageTaskQueues,
     private readonly listener: PreparationListener,
-    now = performance.now(),
   ) {
     this.graph = new StageGraph(request.stages)
     this.states = this.createStates()
     this.progress = request.progress
+    const now = performance.now()
     this.targetAt = now + request.targetMs
     this.deadlineAt = now + request.deadlineMs
   }
 
   start(): void {
-    this.adoptProgress()
+    const { stages } = this.request
+    this.states.adopt(adoptProgress(stages, this.graph, this.progress ?? [], this.queueOf))
+    this.progress = undefined
     this.advance()
   }
 
-  /** Lets another coordinator continue: at once, or when the items in calls have their results. */
+  /**
+   * Lets another coordinator continue: at once, or when the items in calls have
+   * their results. The results stay at their backend servers.
+   */
   handOver(): void {
     this.handingOver = true
-    if (!this.ended && !this.states.isUnderWay)
-      this.handOverNow()
+    if (this.ended || this.states.isUnderWay)
+      return
+    const progress = this.states.describeProgress(performance.now())
+    this.ended = true
+    this.states.cancelTasks()
+    this.states = new StageStates([], this.graph, this.queueOf)
+    this.listener(Err({ kind: PreparationFailureKind.HandedOver, message: 'the coordinator is stopping', retryAfterMs: 0, progress }))
   }
 
   /** Items of a service without a result. */
   remainingItems(service: string): number {
     if (this.ended)
       return 0
-    let items = 0
-    this.request.stages.forEach((stage, number) => {
-      if (stage.service === service && !this.states.hasResults(number))
-        items += stage.items
-    })
-    return items
+    const open = this.request.stages.filter((stage, number) => stage.service === service && !this.states.hasResults(number))
+    return open.reduce((sum, stage) => sum + stage.items, 0)
   }
 
   /** Cancels what is under way and frees all results. */
@@ -88,15 +93,8 @@
     return new StageStates(this.request.stages, this.graph, this.queueOf)
   }
 
-  /** Continues after the stages that an earlier coordinator has finished. */
-  private adoptProgress(): void {
-    const adopted = adoptProgress(this.request.stages, this.graph, this.progress ?? [], this.queueOf)
-    this.progress = undefined
-    this.states.adopt(adopted)
-  }
-
   private advance(): void {
-    for (let stage = 0; stage < this.states.count && !this.ended; stage++) {
+    for (let stage = 0; stage < this.request.stages.length && !this.ended; stage++) {
       if (this.states.isReady(stage))
         this.startStage(stage)
     }
@@ -173,15 +171,6 @@
     this.start()
   }
 
-  /** The results stay at their backend servers, for the next coordinator. */
-  private handOverNow(): void {
-    const progress = describeProgress(this.states.outcomes, this.graph, performance.now())
-    this.ended = true
-    this.states.cancelTasks()
-    this.states = new StageStates([], this.graph, this.queueOf)
-    this.listener(Err({ kind: PreparationFailureKind.HandedOver, message: 'the coordinator is stopping', retryAfterMs: 0, progress }))
-  }
-
   private fail(kind: PreparationFailureKind, message: string): void {
     if (this.ended)
       return
@@ -191,6 +180,6 @@
 
   private finish(): void {
     this.ended = true
-    this.listener(Ok(describeInputs(this.states.finalResults, this.request.failureDomain)))
+    this.listener(Ok(this.states.describeInputs(this.request.failureDomain)))
   }
 }
--- a/packages/gateway/src/request/stages/stage-progress.ts
+++ b/packages/gateway/src/request/stages/stage-progress.ts
@@ -24,13 +24,6 @@
   results: StageResult[]
 }
 
-/** What is known of one stage when its request is handed over. */
-export interface StageOutcome {
-  results: readonly StageResult[] | undefined
-  /** Stages that have not fetched the results yet. */
-  readersLeft: number
-}
-
 /** Takes the results over that an earlier coordinator reported. */
 export function adoptProgress(
   stages: readonly PreparationStage[],
@@ -62,18 +55,3 @@
     adopt(stage)
   return [...decided].flatMap(([stage, results]) => results ? [{ stage, results }] : [])
 }
-
-/** Describes the finished stages for the next coordinator; results stay at their backend servers. */
-export function describeProgress(outcomes: readonly StageOutcome[], graph: StageGraph, now: number): StageProgress[] {
-  return outcomes.flatMap(({ results, readersLeft }, stage) => {
-    if (!results)
-      return []
-    const isRead = readersLeft === 0 && !graph.isFinal(stage)
-    const kept = isRead ? [] : results
-    return [{ stage, results: kept.map(result => describeResult(result, now)) }]
-  })
-}
-
-function describeResult({ handle, holder, bytes }: StageResult, now: number) {
-  return { handle, backend: holder.backend.id, bytes, remainingMs: holder.remainingLifetimeMs(handle, now) }
-}
--- a/packages/gateway/src/request/stages/stage-states.ts
+++ b/packages/gateway/src/request/stages/stage-states.ts
@@ -4,9 +4,9 @@
  * with a new instance for each restart; frees results when their last reader
  * has fetched them. Gone with the process, as the stage work is.
  */
-import type { PreparationStage } from '../../connection/peers/preparation.js'
+import type { PreparationStage, PreparedInputs, StageProgress } from '../../connection/peers/preparation.js'
 import type { StageGraph } from './stage-graph.js'
-import type { AdoptedStage, StageOutcome } from './stage-progress.js'
+import type { AdoptedStage } from './stage-progress.js'
 import type { StageResult, StageTaskQueues, SubmittedTask } from './stage-task.js'
 
 interface StageState {
@@ -37,10 +37,6 @@
     }))
   }
 
-  get count(): number {
-    return this.states.length
-  }
-
   get isDone(): boolean {
     return this.states.every(state => state.results)
   }
@@ -50,15 +46,6 @@
     return this.states.some(state => state.task?.isUnderWay())
   }
 
-  get outcomes(): readonly StageOutcome[] {
-    return this.states
-  }
-
-  /** Results that the request's backend server reads. */
-  get finalResults(): StageResult[] {
-    return this.states.flatMap((state, stage) => this.graph.isFinal(stage) ? state.results ?? [] : [])
-  }
-
   hasResults(stage: number): boolean {
     return this.states[stage]?.results !== undefined
   }
@@ -111,6 +98,35 @@
     }
   }
 
+  /**
+   * Describes the final stages' results, which the request's backend server
+   * reads, with the failure domain that holds most of their bytes; without
+   * results, the given one.
+   */
+  describeInputs(defaultDomain: string): PreparedInputs {
+    const results = this.states.flatMap((state, stage) => this.graph.isFinal(stage) ? state.results ?? [] : [])
+    const bytesByDomain = new Map<string, number>()
+    for (const { holder, bytes } of results)
+      bytesByDomain.set(holder.failureDomain, (bytesByDomain.get(holder.failureDomain) ?? 0) + bytes)
+    const domains = [...bytesByDomain].sort(([, left], [, right]) => right - left)
+    return {
+      handles: results.map(result => result.handle),
+      failureDomain: domains[0]?.[0] ?? defaultDomain,
+      bytes: results.reduce((sum, result) => sum + result.bytes, 0),
+    }
+  }
+
+  /** Describes the finished stages for the next coordinator, without results that all readers have fetched. */
+  describeProgress(now: number): StageProgress[] {
+    return this.states.flatMap(({ results, readersLeft }, stage) => {
+      if (!results)
+        return []
+      const isRead = readersLeft === 0 && !this.graph.isFinal(stage)
+      const kept = isRead ? [] : results
+      return [{ stage, results: kept.map(result => describeResult(result, now)) }]
+    })
+  }
+
   /** Cancels the tasks and leaves the results where they are. */
   cancelTasks(): void {
     for (const state of this.states)
@@ -132,3 +148,7 @@
       queue?.free(result)
   }
 }
+
+function describeResult({ handle, holder, bytes }: StageResult, now: number) {
+  return { handle, backend: holder.backend.id, bytes, remainingMs: holder.remainingLifetimeMs(handle, now) }
+}
