--- a/packages/gateway/src/process/stages/backend/result-frees.ts
+++ b/packages/gateway/src/process/stages/backend/result-frees.ts
@@ -30,12 +30,12 @@
       handles.push(handle)
       return
     }
-    this.pending.set(holder, [handle])
-    setTimeout(() => this.flush(holder), FREE_DELAY_MS)
+    const batch = [handle]
+    this.pending.set(holder, batch)
+    setTimeout(() => this.flush(holder, batch), FREE_DELAY_MS)
   }
 
-  private flush(holder: ResultHolder): void {
-    const handles = this.pending.get(holder) ?? []
+  private flush(holder: ResultHolder, handles: readonly string[]): void {
     this.pending.delete(holder)
     void this.client.free(holder.backend, handles).then((freed) => {
       if (!freed)
--- a/packages/gateway/src/process/stages/backend/result-memory.ts
+++ b/packages/gateway/src/process/stages/backend/result-memory.ts
@@ -67,8 +67,8 @@
   }
 
   /** A result uses its reserved bytes until it is deleted or expires. */
-  hold(handle: string, bytes: number, now: number): void {
-    this.held.set(handle, { bytes, expiresAt: now + this.limits.resultLifetimeMs, freeing: false })
+  hold(handle: string, bytes: number, now: number, lifetimeMs = this.limits.resultLifetimeMs): void {
+    this.held.set(handle, { bytes, expiresAt: now + lifetimeMs, freeing: false })
   }
 
   /** A call broke off: what it may have made uses its reserved bytes until it expires. */
@@ -83,7 +83,7 @@
     if (others)
       others.bytes -= known
     this.usedBytes += bytes - known
-    this.held.set(handle, { bytes, expiresAt: now + remainingMs, freeing: false })
+    this.hold(handle, bytes, now, remainingMs)
   }
 
   /** Counts what the backend server reports as used beyond this process's own, until it expires. */
@@ -101,7 +101,7 @@
     this.drop(RESULTS_UNKNOWN)
     const bytes = Math.max(0, this.freeBytes())
     this.usedBytes += bytes
-    this.held.set(RESULTS_UNKNOWN, { bytes, expiresAt: now + MEMORY_DISTRUST_MS, freeing: false })
+    this.hold(RESULTS_UNKNOWN, bytes, now, MEMORY_DISTRUST_MS)
   }
 
   isReadable(handle: string, now: number): boolean {
--- a/packages/gateway/src/process/stages/backend/stage-backend.ts
+++ b/packages/gateway/src/process/stages/backend/stage-backend.ts
@@ -32,10 +32,6 @@
     this.memory = new ResultMemory(backend, limits)
   }
 
-  get id(): string {
-    return this.backend.id
-  }
-
   get failureDomain(): string {
     return this.backend.failureDomain
   }
--- a/packages/gateway/src/process/stages/pool/domain-wait.ts
+++ b/packages/gateway/src/process/stages/pool/domain-wait.ts
@@ -17,7 +17,6 @@
  * Log event: `stage-call` (failureDomain of the backend server that ran it).
  */
 import type { StageTask } from '../../../request/stages/stage-task.js'
-import { crossingBytes } from '../../../request/stages/stage-task.js'
 
 /**
  * Longest wait for a better failure domain, in milliseconds. 200 ms (commit
@@ -80,7 +79,10 @@
   return DomainDecision.NothingBetter
 }
 
-/** Milliseconds of waiting that the bytes to other failure domains are worth. */
+/** Milliseconds of waiting that the bytes to other failure domains are worth, if the task's items run here. */
 function crossingCost(task: StageTask, { failureDomain }: BackendForecast): number {
-  return crossingBytes(task, failureDomain) / CROSSING_BYTES_PER_MS
+  const crossing = task.inputs.filter(input => input.holder.failureDomain !== failureDomain)
+  const fetchedBytes = crossing.reduce((sum, input) => sum + input.bytes, 0)
+  const isReadElsewhere = task.readerDomain !== undefined && task.readerDomain !== failureDomain
+  return task.items * (fetchedBytes + (isReadElsewhere ? task.resultBytes : 0)) / CROSSING_BYTES_PER_MS
 }
--- a/packages/gateway/src/process/stages/pool/pool-task.ts
+++ b/packages/gateway/src/process/stages/pool/pool-task.ts
@@ -30,8 +30,7 @@
 /** Creates a task all of whose items wait. */
 export function createPoolTask(task: StageTask): PoolTask {
   const created: PoolTask = { stageTask: task, waiting: [], results: Array.from({ length: task.items }), fetched: 0, ended: false }
-  for (let index = 0; index < task.items; index++)
-    created.waiting.push({ task: created, index, failures: 0 })
+  created.waiting = created.results.map((_, index) => ({ task: created, index, failures: 0 }))
   return created
 }
 
--- a/packages/gateway/src/process/stages/pool/stage-calls.ts
+++ b/packages/gateway/src/process/stages/pool/stage-calls.ts
@@ -1,11 +1,12 @@
 /**
  * Runs the calls of one stage service and applies their outcomes: results to
- * their tasks, failed items back to the queue or to the failure of their task. Owns the calls under way; relies
- * on the client to answer or abort each. When the process dies, results of its
- * calls expire at their backend servers.
+ * their tasks, failed items back to the queue or to the failure of their task.
+ * Owns the calls under way; relies on the client to answer or abort each. When
+ * the process dies, results of its calls expire at their backend servers.
  */
 import type { EventLog } from '@eidermast/common'
 import type { ItemOutcome, StageCallResult, StageClient } from '../../../connection/backends/stage-client.js'
+import type { RetryBudget } from '../../../request/attempts/retry-budget.js'
 import type { StageLimits } from '../../../version/configuration.js'
 import type { ResultFrees } from '../backend/result-frees.js'
 import type { StageBackend } from '../backend/stage-backend.js'
@@ -20,29 +21,20 @@
 import { countsAsFailure, decideItemRetry } from './item-retry.js'
 import { describeItem, inputBytesOf, resultBytesOf } from './pool-task.js'
 
-/** Limits how many items of a service are sent again. */
-export interface ItemRetryBudget {
-  /** Takes one item from the budget; false where it is used up. */
-  takeRetry: (service: string) => boolean
-}
-
-/** What calls work with. */
-export interface StageCallParts {
-  service: string
-  client: StageClient
-  queue: TaskQueue
-  frees: ResultFrees
-  retryBudget: ItemRetryBudget
-  log: EventLog
-  /** Starts what can be started, after a call or a pause has ended. */
-  dispatch: () => void
-}
-
 /** Runs calls of one service. */
 export class StageCalls {
   private otherCoordinatorUntil = 0
 
-  constructor(private readonly parts: StageCallParts) {}
+  /** Calls `dispatch` after a call or a pause has ended, to start what can be started. */
+  constructor(
+    private readonly service: string,
+    private readonly client: StageClient,
+    private readonly queue: TaskQueue,
+    private readonly frees: ResultFrees,
+    private readonly retryBudget: Pick<RetryBudget, 'takeRetry'>,
+    private readonly log: EventLog,
+    private readonly dispatch: () => void,
+  ) {}
 
   /** For a while no inputs count as fetched before their call ends: calls of another coordinator may run first. */
   expectOtherCoordinator(): void {
@@ -51,21 +43,20 @@
 
   /** Runs items at a backend server; ends when their outcomes are applied. */
   async run(backend: StageBackend, items: readonly PoolItem[], limits: StageLimits, startedAt: number): Promise<void> {
-    const { service, client, log, dispatch } = this.parts
     backend.startCall(items.length, resultBytesOf(items), startedAt)
     const timeoutMs = callTimeoutMs(backend.callTime(items.length))
     const fetchTimer = this.startFetchTimer(items, limits, startedAt)
     const timeout = createBoundedSignal(timeoutMs)
-    const result = await client.run(backend.backend, items.map(item => describeItem(item, startedAt)), timeout.signal)
+    const result = await this.client.run(backend.backend, items.map(item => describeItem(item, startedAt)), timeout.signal)
     timeout.dispose()
     clearTimeout(fetchTimer)
     const tookMs = performance.now() - startedAt
-    logStageCall(log, { service, backend, items, tookMs, result })
+    logStageCall(this.log, this.service, backend, items, result, tookMs)
     if (result.end === StageCallEnd.Done)
       this.takeOutcomes(backend, items, result, tookMs)
     else
       this.takeCallFailure(backend, items, result.end)
-    dispatch()
+    this.dispatch()
   }
 
   private startFetchTimer(items: readonly PoolItem[], limits: StageLimits, startedAt: number): NodeJS.Timeout | undefined {
@@ -92,41 +83,38 @@
   private takeOutcome(backend: StageBackend, item: PoolItem, outcome: ItemOutcome, now: number): void {
     if ('failure' in outcome)
       return this.retry([item], outcome.failure)
-    const { queue, frees } = this.parts
     const { resultBytes } = item.task.stageTask
     backend.memory.hold(outcome.handle, resultBytes, now)
     const result = { handle: outcome.handle, holder: backend.memory, bytes: resultBytes }
     if (item.task.ended)
-      frees.free(result)
+      this.frees.free(result)
     else
-      queue.addResult(item, result)
+      this.queue.addResult(item, result)
   }
 
   private takeCallFailure(backend: StageBackend, items: readonly PoolItem[], end: Exclude<StageCallEnd, StageCallEnd.Done>): void {
-    const { service, log, dispatch } = this.parts
     const pauseMs = backend.fail(performance.now())
     const bytes = resultBytesOf(items)
     if (end === StageCallEnd.Broken)
       backend.memory.holdLostCall(bytes, performance.now())
     else
       backend.memory.release(bytes)
-    logBackendPaused(log, service, backend, end, pauseMs)
-    setTimeout(dispatch, pauseMs)
+    logBackendPaused(this.log, this.service, backend, end, pauseMs)
+    setTimeout(this.dispatch, pauseMs)
     this.retry(items, end)
   }
 
   /** Lets items wait for another call, or fails their tasks. */
   private retry(items: readonly PoolItem[], cause: ItemFailureCause): void {
-    const { service, queue, retryBudget } = this.parts
     const live = items.filter(item => !item.task.ended)
     for (const item of live) {
       if (countsAsFailure(cause))
         item.failures++
-      const decision = decideItemRetry(cause, item.failures, () => retryBudget.takeRetry(service))
+      const decision = decideItemRetry(cause, item.failures, () => this.retryBudget.takeRetry(this.service))
       if (!decision.isRetried)
-        queue.fail(item.task, decision.failure)
+        this.queue.fail(item.task, decision.failure)
     }
-    queue.putBack(live)
+    this.queue.putBack(live)
   }
 }
 
--- a/packages/gateway/src/process/stages/pool/stage-pool.ts
+++ b/packages/gateway/src/process/stages/pool/stage-pool.ts
@@ -9,11 +9,11 @@
 import type { Backend } from '../../../connection/backends/backend.js'
 import type { StageClient } from '../../../connection/backends/stage-client.js'
 import type { StageProgress } from '../../../connection/peers/preparation.js'
+import type { RetryBudget } from '../../../request/attempts/retry-budget.js'
 import type { StageResult, StageTask, StageTaskQueue, SubmittedTask } from '../../../request/stages/stage-task.js'
 import type { StageLimits } from '../../../version/configuration.js'
 import type { ServicePace } from '../stage-admission.js'
 import type { PoolItem } from './pool-task.js'
-import type { ItemRetryBudget } from './stage-calls.js'
 import { ItemFailure } from '../../../connection/backends/stage-client.js'
 import { ResultFrees } from '../backend/result-frees.js'
 import { StageBackend } from '../backend/stage-backend.js'
@@ -36,13 +36,13 @@
     service: string,
     private limits: StageLimits,
     private readonly client: StageClient,
-    retryBudget: ItemRetryBudget,
+    retryBudget: Pick<RetryBudget, 'takeRetry'>,
     log: EventLog,
   ) {
     const dispatch = (): void => this.dispatch()
     this.frees = new ResultFrees(client, dispatch)
     this.queue = new TaskQueue(result => this.free(result))
-    this.calls = new StageCalls({ service, client, queue: this.queue, frees: this.frees, retryBudget, log, dispatch })
+    this.calls = new StageCalls(service, client, this.queue, this.frees, retryBudget, log, dispatch)
   }
 
   setLimits(limits: StageLimits): void {
--- a/packages/gateway/src/process/stages/shared-preparer.ts
+++ b/packages/gateway/src/process/stages/shared-preparer.ts
@@ -14,10 +14,10 @@
 import type { PeerClients } from '../../connection/peers/peer-clients.js'
 import type { PreparationFailure, PreparationRequest, PreparedInputs, Preparer } from '../../connection/peers/preparation.js'
 import type { Members } from '../membership/members.js'
+import { formatError } from '@eidermast/common'
 import { Err } from 'ts-results-es'
 import { PreparationFailureKind } from '../../connection/peers/preparation.js'
 import { countsAsFailed } from './coordinator-failure.js'
-import { logCoordinatorCallFailed, logCoordinatorFailed } from './stage-log.js'
 
 /**
  * Calls to coordinators for one request. Not measured; half of them fail
@@ -135,10 +135,10 @@
     const { name } = coordinator
     const hasFailed = countsAsFailed(error, failedAt.has(name))
     failedAt.add(name)
-    if (!hasFailed)
-      return logCoordinatorCallFailed(this.log, requestId, name, error)
-    logCoordinatorFailed(this.log, requestId, name, error)
-    this.members.suspect(coordinator)
+    const event = hasFailed ? 'stage-coordinator-failed' : 'stage-coordinator-call-failed'
+    this.log.write(event, { request: requestId, coordinator: name, error: formatError(error) })
+    if (hasFailed)
+      this.members.suspect(coordinator)
   }
 }
 
--- a/packages/gateway/src/process/stages/stage-coordinator.ts
+++ b/packages/gateway/src/process/stages/stage-coordinator.ts
@@ -13,11 +13,11 @@
 import type { Backend } from '../../connection/backends/backend.js'
 import type { StageClient } from '../../connection/backends/stage-client.js'
 import type { PreparationFailure, PreparationRequest, PreparedInputs, Preparer } from '../../connection/peers/preparation.js'
+import type { RetryBudget } from '../../request/attempts/retry-budget.js'
 import type { PreparationListener } from '../../request/stages/request-stages.js'
 import type { Service } from '../../version/configuration.js'
 import type { RouteTable } from '../../version/route-table.js'
 import type { BackendRegistry } from '../backend-registry.js'
-import type { ItemRetryBudget } from './pool/stage-calls.js'
 import { Err } from 'ts-results-es'
 import { PreparationFailureKind } from '../../connection/peers/preparation.js'
 import { RequestStages } from '../../request/stages/request-stages.js'
@@ -50,7 +50,7 @@
   constructor(
     private readonly registry: BackendRegistry,
     private readonly client: StageClient,
-    private readonly retryBudget: ItemRetryBudget,
+    private readonly retryBudget: Pick<RetryBudget, 'takeRetry'>,
     private readonly log: EventLog,
   ) {
     const refresh = (backend: Backend): void => this.refresh(backend.service)
--- a/packages/gateway/src/process/stages/stage-log.ts
+++ b/packages/gateway/src/process/stages/stage-log.ts
@@ -1,6 +1,6 @@
 /**
- * Log events of the stage work, one function an event. Fields are listed in
- * docs/OPERATIONS.md; `eidermast explain` reads them.
+ * Log events of the coordinator's stage work, one function an event. Fields are
+ * listed in docs/OPERATIONS.md; `eidermast explain` reads them.
  */
 import type { EventLog } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
@@ -9,23 +9,19 @@
 import type { StageBackend } from './backend/stage-backend.js'
 import type { PoolItem } from './pool/pool-task.js'
 import type { AdmissionDecision } from './stage-admission.js'
-import { formatError } from '@eidermast/common'
-
-/** A call that ended, as it is logged. */
-export interface EndedCall {
-  service: string
-  backend: StageBackend
-  items: readonly PoolItem[]
-  /** Milliseconds. */
-  tookMs: number
-  result: StageCallResult
-}
 
 /** A call of a backend server ended. */
-export function logStageCall(log: EventLog, { service, backend, items, tookMs, result }: EndedCall): void {
+export function logStageCall(
+  log: EventLog,
+  service: string,
+  backend: StageBackend,
+  items: readonly PoolItem[],
+  result: StageCallResult,
+  tookMs: number,
+): void {
   log.write('stage-call', {
     service,
-    backend: backend.id,
+    backend: backend.backend.id,
     failureDomain: backend.failureDomain,
     items: items.length,
     tookMs: Math.round(tookMs),
@@ -39,7 +35,7 @@
 
 /** A backend server gets no calls for a while after a failed one. */
 export function logBackendPaused(log: EventLog, service: string, backend: StageBackend, reason: string, milliseconds: number): void {
-  log.write('stage-backend-paused', { service, backend: backend.id, reason, milliseconds })
+  log.write('stage-backend-paused', { service, backend: backend.backend.id, reason, milliseconds })
 }
 
 /** A request was admitted or refused. */
@@ -71,16 +67,6 @@
   })
 }
 
-/** A call to the coordinator failed; the coordinator is asked again. */
-export function logCoordinatorCallFailed(log: EventLog, request: string, coordinator: string, error: unknown): void {
-  log.write('stage-coordinator-call-failed', { request, coordinator, error: formatError(error) })
-}
-
-/** A call to the coordinator failed, and the coordinator counts as failed. */
-export function logCoordinatorFailed(log: EventLog, request: string, coordinator: string, error: unknown): void {
-  log.write('stage-coordinator-failed', { request, coordinator, error: formatError(error) })
-}
-
 /** Failures of a call's items by kind, such as `no-memory:2`; undefined where there were none. */
 function describeFailures(result: StageCallResult): string | undefined {
   const counts = new Map<ItemFailure, number>()
--- a/packages/gateway/src/request/stages/request-stages.ts
+++ b/packages/gateway/src/request/stages/request-stages.ts
@@ -46,7 +46,7 @@
     private readonly listener: PreparationListener,
   ) {
     this.graph = new StageGraph(request.stages)
-    this.states = this.createStates()
+    this.states = new StageStates(request.stages, this.graph, queueOf)
     this.progress = request.progress
     const now = performance.now()
     this.targetAt = now + request.targetMs
@@ -89,17 +89,15 @@
     this.states.freeEverything()
   }
 
-  private createStates(): StageStates {
-    return new StageStates(this.request.stages, this.graph, this.queueOf)
-  }
-
   private advance(): void {
     for (let stage = 0; stage < this.request.stages.length && !this.ended; stage++) {
       if (this.states.isReady(stage))
         this.startStage(stage)
     }
-    if (!this.ended && this.states.isDone)
-      this.finish()
+    if (this.ended || !this.states.isDone)
+      return
+    this.ended = true
+    this.listener(Ok(this.states.describeInputs(this.request.failureDomain)))
   }
 
   private startStage(stage: number): void {
@@ -167,7 +165,7 @@
   private restart(): void {
     this.restarts++
     this.states.freeEverything()
-    this.states = this.createStates()
+    this.states = new StageStates(this.request.stages, this.graph, this.queueOf)
     this.start()
   }
 
@@ -177,9 +175,4 @@
     this.release()
     this.listener(Err({ kind, message, retryAfterMs: RETRY_AFTER_MS }))
   }
-
-  private finish(): void {
-    this.ended = true
-    this.listener(Ok(this.states.describeInputs(this.request.failureDomain)))
-  }
 }
--- a/packages/gateway/src/request/stages/stage-task.ts
+++ b/packages/gateway/src/request/stages/stage-task.ts
@@ -87,15 +87,3 @@
 
 /** The queue of a service; undefined where the configuration has no such stage service. */
 export type StageTaskQueues = (service: string) => StageTaskQueue | undefined
-
-/** Bytes that cross failure domains if the task's items run in a failure domain. */
-export function crossingBytes(task: StageTask, failureDomain: string): number {
-  let fetched = 0
-  for (const input of task.inputs) {
-    if (input.holder.failureDomain !== failureDomain)
-      fetched += input.bytes
-  }
-  const readElsewhere = task.readerDomain !== undefined && task.readerDomain !== failureDomain
-  const handedOn = readElsewhere ? task.resultBytes : 0
-  return task.items * (fetched + handedOn)
-}
