--- a/packages/gateway/src/process/stages/pool/stage-pool.ts
+++ b/packages/gateway/src/process/stages/pool/stage-pool.ts
@@ -59,8 +59,11 @@
         this.backends.delete(id)
     }
     for (const backend of backends) {
-      if (!this.backends.has(backend.id))
-        this.addBackend(backend)
+      if (this.backends.has(backend.id))
+        continue
+      const added = new StageBackend(backend, this.limits)
+      this.backends.set(backend.id, added)
+      this.readFreeMemoryOf(added)
     }
     this.dispatch()
   }
@@ -133,12 +136,6 @@
     }
   }
 
-  private addBackend(backend: Backend): void {
-    const added = new StageBackend(backend, this.limits)
-    this.backends.set(backend.id, added)
-    this.readFreeMemoryOf(added)
-  }
-
   private readFreeMemoryOf({ backend, memory }: StageBackend): void {
     void this.client.freeResultMemory(backend).then((bytes) => {
       if (bytes !== undefined)
--- a/packages/gateway/src/process/stages/shared-preparer.ts
+++ b/packages/gateway/src/process/stages/shared-preparer.ts
@@ -96,11 +96,12 @@
         break
       const { coordinator } = this.members
       const result = await this.prepareAt(coordinator, rest, signal, failedAt)
-      if (result && !isHandedOver(result))
+      const failure = result?.isErr() ? result.error : undefined
+      if (result && failure?.kind !== PreparationFailureKind.HandedOver)
         return result
       if (result)
         this.members.markStopping(coordinator)
-      progress = result?.unwrapErr().progress
+      progress = failure?.progress
     }
     const kind = signal.aborted ? PreparationFailureKind.Cancelled : PreparationFailureKind.Failed
     return Err({ kind, message: 'no coordinator of the stage work answered', retryAfterMs: RETRY_AFTER_MS })
@@ -141,7 +142,3 @@
       this.members.suspect(coordinator)
   }
 }
-
-function isHandedOver(result: Preparation): boolean {
-  return result.isErr() && result.error.kind === PreparationFailureKind.HandedOver
-}
--- a/packages/gateway/src/process/stages/stage-coordinator.ts
+++ b/packages/gateway/src/process/stages/stage-coordinator.ts
@@ -15,7 +15,6 @@
 import type { PreparationFailure, PreparationRequest, PreparedInputs, Preparer } from '../../connection/peers/preparation.js'
 import type { RetryBudget } from '../../request/attempts/retry-budget.js'
 import type { PreparationListener } from '../../request/stages/request-stages.js'
-import type { Service } from '../../version/configuration.js'
 import type { RouteTable } from '../../version/route-table.js'
 import type { BackendRegistry } from '../backend-registry.js'
 import { Err } from 'ts-results-es'
@@ -39,6 +38,8 @@
  * keeps state of lost requests.
  */
 const MAX_HOLD_MS = 20_000
+/** The client left, or the request's time passed. */
+const CANCELLED: PreparationFailure = { kind: PreparationFailureKind.Cancelled, message: 'the request was given up', retryAfterMs: 0 }
 
 /** Owns the pools of all stage services, and the requests whose results are held. */
 export class StageCoordinator implements Preparer {
@@ -61,15 +62,22 @@
 
   /** Follows the stage services of a configuration. */
   applyConfiguration(table: RouteTable): void {
-    for (const service of table.configuration.services) {
-      if (service.stage)
-        this.applyService(service)
+    for (const { name, stage } of table.configuration.services) {
+      if (!stage)
+        continue
+      const pool = this.pools.get(name)
+      if (pool) {
+        pool.setLimits(stage)
+        continue
+      }
+      this.pools.set(name, new StagePool(name, stage, this.client, this.retryBudget, this.log))
+      this.refresh(name)
     }
   }
 
   async prepare(request: PreparationRequest, signal: AbortSignal): Promise<Result<PreparedInputs, PreparationFailure>> {
     if (signal.aborted)
-      return Err(createCancelled())
+      return Err(CANCELLED)
     return new Promise((resolve) => {
       const end: PreparationListener = (result) => {
         signal.removeEventListener('abort', cancel)
@@ -78,7 +86,7 @@
       }
       const cancel = (): void => {
         this.release(request.requestId)
-        end(Err(createCancelled()))
+        end(Err(CANCELLED))
       }
       const startedAt = performance.now()
       signal.addEventListener('abort', cancel)
@@ -144,16 +152,6 @@
     run.start()
   }
 
-  private applyService(service: Service): void {
-    const pool = this.pools.get(service.name)
-    if (pool) {
-      pool.setLimits(service.stage!)
-      return
-    }
-    this.pools.set(service.name, new StagePool(service.name, service.stage!, this.client, this.retryBudget, this.log))
-    this.refresh(service.name)
-  }
-
   /** Gives a service's pool the backend servers that take work. */
   private refresh(service: string): void {
     this.pools.get(service)?.setBackends(this.registry.available(service))
@@ -166,7 +164,3 @@
     }
   }
 }
-
-function createCancelled(): PreparationFailure {
-  return { kind: PreparationFailureKind.Cancelled, message: 'the request was given up', retryAfterMs: 0 }
-}
--- a/packages/gateway/src/request/stages/stage-graph.ts
+++ b/packages/gateway/src/request/stages/stage-graph.ts
@@ -21,7 +21,7 @@
   private readonly readers: number[][]
 
   constructor(private readonly stages: readonly PreparationStage[]) {
-    this.readers = stages.map((_, stage) => findReaders(stages, stage))
+    this.readers = stages.map((_, stage) => stages.flatMap(({ dependsOn }, reader) => dependsOn.includes(stage) ? [reader] : []))
   }
 
   /** Stages that read a stage's results. */
@@ -52,7 +52,3 @@
   }
   return Math.max(0, ...ends)
 }
-
-function findReaders(stages: readonly PreparationStage[], stage: number): number[] {
-  return stages.flatMap((definition, reader) => definition.dependsOn.includes(stage) ? [reader] : [])
-}
