--- a/packages/gateway/src/process/stages/pool/stage-pool.ts
+++ b/packages/gateway/src/process/stages/pool/stage-pool.ts
@@ -9,11 +9,11 @@
 import type { Backend } from '../../../connection/backends/backend.js'
 import type { StageClient } from '../../../connection/backends/stage-client.js'
 import type { StageProgress } from '../../../connection/peers/preparation.js'
+import type { RetryBudget } from '../../../request/attempts/retry-budget.js'
 import type { StageResult, StageTask, StageTaskQueue, SubmittedTask } from '../../../request/stages/stage-task.js'
 import type { StageLimits } from '../../../version/configuration.js'
 import type { ServicePace } from '../stage-admission.js'
 import type { PoolItem } from './pool-task.js'
-import type { ItemRetryBudget } from './stage-calls.js'
 import { ItemFailure } from '../../../connection/backends/stage-client.js'
 import { ResultFrees } from '../backend/result-frees.js'
 import { StageBackend } from '../backend/stage-backend.js'
@@ -36,13 +36,13 @@
     service: string,
     private limits: StageLimits,
     private readonly client: StageClient,
-    retryBudget: ItemRetryBudget,
+    retryBudget: Pick<RetryBudget, 'takeRetry'>,
     log: EventLog,
   ) {
     const dispatch = (): void => this.dispatch()
     this.frees = new ResultFrees(client, dispatch)
     this.queue = new TaskQueue(result => this.free(result))
-    this.calls = new StageCalls({ service, client, queue: this.queue, frees: this.frees, retryBudget, log, dispatch })
+    this.calls = new StageCalls(service, client, this.queue, this.frees, retryBudget, log, dispatch)
   }
 
   setLimits(limits: StageLimits): void {
@@ -59,14 +59,17 @@
         this.backends.delete(id)
     }
     for (const backend of backends) {
-      if (!this.backends.has(backend.id))
-        this.addBackend(backend)
+      if (this.backends.has(backend.id))
+        continue
+      const added = new StageBackend(backend, this.limits)
+      this.backends.set(backend.id, added)
+      this.readFreeMemoryOf(added)
     }
     this.dispatch()
   }
 
-  get waitingItems(): number {
-    return this.queue.waitingItems
+  get hasWaitingTasks(): boolean {
+    return this.queue.tasks.length > 0
   }
 
   typicalCallMs(): number {
@@ -119,11 +122,11 @@
   /** Fails waiting tasks that cannot be served any more, and starts what can be started. */
   dispatch(): void {
     const now = performance.now()
-    this.failLateTasks(now)
-    this.failTasksWithoutInputs(now)
+    this.failTasks(ItemFailure.Late, task => isTooLate(task, this.limits.callMs, now))
+    this.failTasks(ItemFailure.InputGone, task => lacksInput(task, now))
     for (const backend of this.backends.values())
       backend.memory.expire(now)
-    if (this.queue.tasks.length === 0)
+    if (!this.hasWaitingTasks)
       return
     this.queue.sort()
     for (const backend of this.idleBackends(now)) {
@@ -133,12 +136,6 @@
     }
   }
 
-  private addBackend(backend: Backend): void {
-    const added = new StageBackend(backend, this.limits)
-    this.backends.set(backend.id, added)
-    this.readFreeMemoryOf(added)
-  }
-
   private readFreeMemoryOf({ backend, memory }: StageBackend): void {
     void this.client.freeResultMemory(backend).then((bytes) => {
       if (bytes !== undefined)
@@ -146,16 +143,9 @@
     })
   }
 
-  private failLateTasks(now: number): void {
-    const late = this.queue.tasks.filter(({ stageTask, waiting }) => waiting.length > 0 && isTooLate(stageTask, this.limits.callMs, now))
-    for (const task of late)
-      this.queue.fail(task, ItemFailure.Late)
-  }
-
-  private failTasksWithoutInputs(now: number): void {
-    const lacking = this.queue.tasks.filter(({ stageTask, waiting }) => waiting.length > 0 && lacksInput(stageTask, now))
-    for (const task of lacking)
-      this.queue.fail(task, ItemFailure.InputGone)
+  private failTasks(failure: ItemFailure, isHopeless: (task: StageTask) => boolean): void {
+    for (const task of this.queue.tasks.filter(({ stageTask }) => isHopeless(stageTask)))
+      this.queue.fail(task, failure)
   }
 
   /** The fastest come first, of equal ones those with the most free memory. */
--- a/packages/gateway/src/process/stages/stage-coordinator.ts
+++ b/packages/gateway/src/process/stages/stage-coordinator.ts
@@ -13,11 +13,10 @@
 import type { Backend } from '../../connection/backends/backend.js'
 import type { StageClient } from '../../connection/backends/stage-client.js'
 import type { PreparationFailure, PreparationRequest, PreparedInputs, Preparer } from '../../connection/peers/preparation.js'
+import type { RetryBudget } from '../../request/attempts/retry-budget.js'
 import type { PreparationListener } from '../../request/stages/request-stages.js'
-import type { Service } from '../../version/configuration.js'
 import type { RouteTable } from '../../version/route-table.js'
 import type { BackendRegistry } from '../backend-registry.js'
-import type { ItemRetryBudget } from './pool/stage-calls.js'
 import { Err } from 'ts-results-es'
 import { PreparationFailureKind } from '../../connection/peers/preparation.js'
 import { RequestStages } from '../../request/stages/request-stages.js'
@@ -39,6 +38,8 @@
  * keeps state of lost requests.
  */
 const MAX_HOLD_MS = 20_000
+/** The client left, or the request's time passed. */
+const CANCELLED: PreparationFailure = { kind: PreparationFailureKind.Cancelled, message: 'the request was given up', retryAfterMs: 0 }
 
 /** Owns the pools of all stage services, and the requests whose results are held. */
 export class StageCoordinator implements Preparer {
@@ -50,7 +51,7 @@
   constructor(
     private readonly registry: BackendRegistry,
     private readonly client: StageClient,
-    private readonly retryBudget: ItemRetryBudget,
+    private readonly retryBudget: Pick<RetryBudget, 'takeRetry'>,
     private readonly log: EventLog,
   ) {
     const refresh = (backend: Backend): void => this.refresh(backend.service)
@@ -61,15 +62,22 @@
 
   /** Follows the stage services of a configuration. */
   applyConfiguration(table: RouteTable): void {
-    for (const service of table.configuration.services) {
-      if (service.stage)
-        this.applyService(service)
+    for (const { name, stage } of table.configuration.services) {
+      if (!stage)
+        continue
+      const pool = this.pools.get(name)
+      if (pool) {
+        pool.setLimits(stage)
+        continue
+      }
+      this.pools.set(name, new StagePool(name, stage, this.client, this.retryBudget, this.log))
+      this.refresh(name)
     }
   }
 
   async prepare(request: PreparationRequest, signal: AbortSignal): Promise<Result<PreparedInputs, PreparationFailure>> {
     if (signal.aborted)
-      return Err(createCancelled())
+      return Err(CANCELLED)
     return new Promise((resolve) => {
       const end: PreparationListener = (result) => {
         signal.removeEventListener('abort', cancel)
@@ -78,7 +86,7 @@
       }
       const cancel = (): void => {
         this.release(request.requestId)
-        end(Err(createCancelled()))
+        end(Err(CANCELLED))
       }
       const startedAt = performance.now()
       signal.addEventListener('abort', cancel)
@@ -124,8 +132,7 @@
       end(Err({ kind: PreparationFailureKind.HandedOver, message: 'the coordinator is stopping', retryAfterMs: 0 }))
       return
     }
-    const { priority, isRetry, targetMs } = request
-    const rank = rankRequest({ priority, isRetry, targetAt: now + targetMs })
+    const rank = rankRequest(request, now)
     if (request.progress !== undefined)
       return this.start(request, rank, end)
     const decision = decideAdmission(request, rank, this.runs.values(), service => this.pools.get(service)?.pace())
@@ -145,16 +152,6 @@
     run.start()
   }
 
-  private applyService(service: Service): void {
-    const pool = this.pools.get(service.name)
-    if (pool) {
-      pool.setLimits(service.stage!)
-      return
-    }
-    this.pools.set(service.name, new StagePool(service.name, service.stage!, this.client, this.retryBudget, this.log))
-    this.refresh(service.name)
-  }
-
   /** Gives a service's pool the backend servers that take work. */
   private refresh(service: string): void {
     this.pools.get(service)?.setBackends(this.registry.available(service))
@@ -162,12 +159,8 @@
 
   private dispatchWaiting(): void {
     for (const pool of this.pools.values()) {
-      if (pool.waitingItems > 0)
+      if (pool.hasWaitingTasks)
         pool.dispatch()
     }
   }
 }
-
-function createCancelled(): PreparationFailure {
-  return { kind: PreparationFailureKind.Cancelled, message: 'the request was given up', retryAfterMs: 0 }
-}
