--- a/packages/command-line/src/commands/backend-commands.ts
+++ b/packages/command-line/src/commands/backend-commands.ts
@@ -4,11 +4,10 @@
  */
 import type { Backend } from '@eidermast/daemon'
 import type { Command } from 'commander'
-import { BackendOrder, BackendRole, ObjectKind } from '@eidermast/daemon'
+import { BackendOrder, BackendRole, backendSchema, ObjectKind } from '@eidermast/daemon'
 import { Option } from 'commander'
 import { CommandFailure, ExitCode } from '../exit-codes.js'
-import { globalOptions, reportPublication, requireConfiguration, withOperator } from './command-context.js'
-import { exampleHelp } from './examples.js'
+import { exampleHelp, globalOptions, reportPublication, requireConfiguration, withOperator } from './command-context.js'
 import { listObjects, showObject } from './object-commands.js'
 
 interface BackendOptions {
@@ -65,11 +64,14 @@
   const options = globalOptions(command)
   await withOperator(options, async (operator) => {
     const configuration = await requireConfiguration(operator)
-    const value = operator.resolveBackend(configuration.get(ObjectKind.Backend, name), createOrder(given))
-    if (value.isErr())
-      throw new CommandFailure(ExitCode.BadInput, `the backend server ${name} is not described in full: ${value.error}`)
+    const known = configuration.get(ObjectKind.Backend, name)
+    const checked = backendSchema.safeParse({ ...known?.value, ...createOrder(given) })
+    if (!checked.success) {
+      const faults = checked.error.issues.map(issue => `${issue.path.join('.')}: ${issue.message}`).join('; ')
+      throw new CommandFailure(ExitCode.BadInput, `the backend server ${name} is not described in full: ${faults}`)
+    }
     const base = configuration.baseOffset(ObjectKind.Backend, name)
-    reportPublication(options, await operator.publish({ kind: ObjectKind.Backend, name, value: value.value, base }))
+    reportPublication(options, await operator.publish({ kind: ObjectKind.Backend, name, value: checked.data, base }))
   })
 }
 
--- a/packages/command-line/src/commands/command-context.ts
+++ b/packages/command-line/src/commands/command-context.ts
@@ -1,21 +1,21 @@
 /**
  * What every command needs: the options of the whole command line, checked
- * settings, an operator's connection for the time of the command, and the
- * failures that more than one command ends with.
+ * settings, an operator's connection for the time of the command, its output
+ * and help, and the failures that more than one command ends with.
  */
 import type { SettingsFault } from '@eidermast/common'
 import type { Configuration, Publication } from '@eidermast/daemon'
 import type { Command } from 'commander'
-import type { OutputOptions } from '../output.js'
 import type { CommandLineSettings } from '../settings.js'
 import { formatFault } from '@eidermast/common'
 import { CommandFailure, ExitCode, PUBLISH_EXIT_CODES } from '../exit-codes.js'
 import { Operator } from '../operator.js'
-import { print } from '../output.js'
 import { loadCommandLineSettings } from '../settings.js'
 
 /** Options of the whole command line. */
-export interface GlobalOptions extends OutputOptions {
+export interface GlobalOptions {
+  /** Whether one JSON value is printed in place of text. */
+  json: boolean
   /** Name of the settings file. */
   settings: string
 }
@@ -63,3 +63,28 @@
 export function failUnreachable(): never {
   throw new CommandFailure(ExitCode.Unreachable, 'the platform\'s log does not answer; try again later')
 }
+
+/** Prints a value as JSON, or as lines. */
+export function print(options: GlobalOptions, value: unknown, lines: string[]): void {
+  if (options.json)
+    console.log(JSON.stringify(value))
+  else
+    console.log(lines.join('\n'))
+}
+
+/** Formats rows in columns. */
+export function formatTable(rows: string[][]): string[] {
+  const widths = rows[0]?.map((_, column) => Math.max(...rows.map(row => row[column].length))) ?? []
+  return rows.map(row => row.map((cell, column) => cell.padEnd(widths[column])).join('  ').trimEnd())
+}
+
+/** Formats command lines as a part of a help text. */
+export function formatExamples(...lines: string[]): string {
+  const heading = lines.length === 1 ? 'Example:' : 'Examples:'
+  return [heading, ...lines.map(line => `  $ ${line}`)].join('\n')
+}
+
+/** Formats command lines for commander's `addHelpText`, which begins on the last line of the text before. */
+export function exampleHelp(...lines: string[]): string {
+  return `\n${formatExamples(...lines)}`
+}
--- a/packages/command-line/src/commands/config-commands.ts
+++ b/packages/command-line/src/commands/config-commands.ts
@@ -9,10 +9,17 @@
 import { loadSettings, ObjectKind } from '@eidermast/daemon'
 import { Option } from 'commander'
 import { loadObjectFile } from '../object-file.js'
-import { formatTable, print } from '../output.js'
 import { loadCommandLineSettings } from '../settings.js'
-import { failUnreachable, failWithFaults, globalOptions, requireConfiguration, withOperator } from './command-context.js'
-import { exampleHelp } from './examples.js'
+import {
+  exampleHelp,
+  failUnreachable,
+  failWithFaults,
+  formatTable,
+  globalOptions,
+  print,
+  requireConfiguration,
+  withOperator,
+} from './command-context.js'
 
 /** Records that `history` shows where no limit is given: a screen of them. */
 const DEFAULT_HISTORY_LIMIT = 50
--- a/packages/command-line/src/commands/explain-command.ts
+++ b/packages/command-line/src/commands/explain-command.ts
@@ -7,10 +7,8 @@
 import type { RequestStory } from '../request-story.js'
 import { formatError, formatLine } from '@eidermast/common'
 import { CommandFailure, ExitCode } from '../exit-codes.js'
-import { print } from '../output.js'
 import { formatStory, readLines, readStory } from '../request-story.js'
-import { failUnreachable, globalOptions, withOperator } from './command-context.js'
-import { exampleHelp } from './examples.js'
+import { exampleHelp, failUnreachable, globalOptions, print, withOperator } from './command-context.js'
 
 interface ExplainOptions {
   logs?: string[]
--- a/packages/command-line/src/commands/index.ts
+++ b/packages/command-line/src/commands/index.ts
@@ -1,6 +1,5 @@
 export * from './backend-commands.js'
 export * from './config-commands.js'
-export * from './examples.js'
 export * from './explain-command.js'
 export * from './load-command.js'
 export * from './object-commands.js'
--- a/packages/command-line/src/commands/load-command.ts
+++ b/packages/command-line/src/commands/load-command.ts
@@ -3,18 +3,18 @@
  * reports how they ended.
  */
 import type { Command } from 'commander'
-import type { LoadKind } from '../load/index.js'
+import type { GroupReport, LoadKind, LoadReport } from '../load/index.js'
 import type { GlobalOptions } from './command-context.js'
 import { InvalidArgumentError } from 'commander'
 import { CommandFailure, ExitCode } from '../exit-codes.js'
-import { createLoadKinds, formatReport, runLoad } from '../load/index.js'
-import { print } from '../output.js'
-import { globalOptions, requireConfiguration, requireSettings, withOperator } from './command-context.js'
-import { exampleHelp } from './examples.js'
+import { createLoadKinds, runLoad } from '../load/index.js'
+import { exampleHelp, formatTable, globalOptions, print, requireConfiguration, requireSettings, withOperator } from './command-context.js'
 
 const DESCRIPTION = 'send requests of every published template and plain service, '
   + 'at planned times whether or not earlier ones were answered, and report how they ended'
 
+const HEADINGS = ['group', 'sent', 'attained', 'attainment', 'late', 'refused', 'wrong', 'lost', 'p50 ms', 'p95 ms', 'p99 ms']
+
 interface LoadOptions {
   /** Requests a second. */
   rate: number
@@ -71,3 +71,31 @@
   if (process.stderr.isTTY)
     process.stderr.write(`\rsent ${sent}, answered ${ended} `)
 }
+
+function formatReport(report: LoadReport): string[] {
+  const groups = [report.overall, ...report.groups]
+  const refusals = Object.entries(report.refusals).map(([kind, count]) => `${kind} ${count}`)
+  const costs = Object.entries(report.costByStage).map(([stage, cost]) => `${stage} ${cost.toFixed(1)}`)
+  return [
+    `${report.ratePerSecond} requests a second for ${report.seconds} s; goodput ${report.goodputPerSecond.toFixed(1)} a second`,
+    ...formatTable([HEADINGS, ...groups.map(formatGroup)]),
+    `refusals: ${refusals.join(', ') || 'none'}; answered within ${report.refusalP99} ms at p99`,
+    `cost by stage: ${costs.join(', ') || 'none'}`,
+  ]
+}
+
+function formatGroup(group: GroupReport): string[] {
+  return [
+    group.group,
+    String(group.sent),
+    String(group.attained),
+    group.attainment.toFixed(4),
+    String(group.late),
+    String(group.refused),
+    String(group.wrong),
+    String(group.lost),
+    String(group.p50),
+    String(group.p95),
+    String(group.p99),
+  ]
+}
--- a/packages/command-line/src/commands/object-commands.ts
+++ b/packages/command-line/src/commands/object-commands.ts
@@ -7,9 +7,16 @@
 import { InvalidArgumentError } from 'commander'
 import { CommandFailure, ExitCode } from '../exit-codes.js'
 import { loadObjectFile } from '../object-file.js'
-import { formatTable, print } from '../output.js'
-import { failWithFaults, globalOptions, reportPublication, requireConfiguration, withOperator } from './command-context.js'
-import { exampleHelp } from './examples.js'
+import {
+  exampleHelp,
+  failWithFaults,
+  formatTable,
+  globalOptions,
+  print,
+  reportPublication,
+  requireConfiguration,
+  withOperator,
+} from './command-context.js'
 
 interface ChangeOptions {
   base?: number
--- a/packages/command-line/src/commands/status-command.ts
+++ b/packages/command-line/src/commands/status-command.ts
@@ -4,9 +4,7 @@
  */
 import type { Command } from 'commander'
 import type { AskedProcess } from '../operator.js'
-import { formatTable, print } from '../output.js'
-import { failUnreachable, globalOptions, withOperator } from './command-context.js'
-import { exampleHelp } from './examples.js'
+import { exampleHelp, failUnreachable, formatTable, globalOptions, print, withOperator } from './command-context.js'
 
 const HEADINGS = ['name', 'role', 'address', 'pid', 'offset', 'state', 'detail']
 
--- a/packages/command-line/src/eidermast.ts
+++ b/packages/command-line/src/eidermast.ts
@@ -4,6 +4,7 @@
  */
 import { formatError } from '@eidermast/common'
 import { Command } from 'commander'
+import { formatExamples } from './commands/command-context.js'
 import {
   addAccountCommands,
   addBackendCommands,
@@ -12,7 +13,6 @@
   addLoadCommand,
   addStatusCommand,
   addTemplateCommands,
-  formatExamples,
 } from './commands/index.js'
 import { exitCodeOfError, exitCodeOfParsing, formatExitCodes } from './exit-codes.js'
 
--- a/packages/command-line/src/load/index.ts
+++ b/packages/command-line/src/load/index.ts
@@ -1,4 +1,3 @@
-export * from './format-report.js'
 export * from './load-kind.js'
 export * from './load-report.js'
 export * from './load-run.js'
--- a/packages/command-line/src/operator.ts
+++ b/packages/command-line/src/operator.ts
@@ -5,7 +5,6 @@
  * the log until `close`; connections to processes live for one call.
  */
 import type {
-  Backend,
   Configuration,
   ConnectFailure,
   Decision,
@@ -16,14 +15,12 @@
   Publication,
   PublishOptions,
   SideClient,
-  UsableObject,
 } from '@eidermast/daemon'
 import type { Result } from 'ts-results-es'
 import type { HistoryLine } from './configuration-history.js'
 import type { CommandLineSettings } from './settings.js'
 import { createLogger } from '@eidermast/common'
 import {
-  backendSchema,
   callPeer,
   CallState,
   CONFIGURATION_STREAM,
@@ -36,7 +33,6 @@
   readConfiguration,
   VirtualMachineRole,
 } from '@eidermast/daemon'
-import { Err, Ok } from 'ts-results-es'
 import { foldHistory } from './configuration-history.js'
 
 /** A process that was asked, and its status if it answered. */
@@ -47,9 +43,6 @@
   status?: ProcessStatus
 }
 
-/** Why a backend server cannot be ordered in: each faulty field and what it must be. */
-export type BackendFault = string
-
 /** Where the processes of a system listen, as host and port. */
 interface SystemAddresses {
   /** Undefined where the VM list does not answer. */
@@ -96,14 +89,6 @@
     return page.isOk() ? foldHistory(page.value) : undefined
   }
 
-  /** The value that orders a backend server in: what is known of it, with what is given. */
-  resolveBackend(known: UsableObject<Backend> | undefined, given: Partial<Backend>): Result<Backend, BackendFault> {
-    const checked = backendSchema.safeParse({ ...known?.value, ...given })
-    if (checked.success)
-      return Ok(checked.data)
-    return Err(checked.error.issues.map(issue => `${issue.path.join('.')}: ${issue.message}`).join('; '))
-  }
-
   /** Status of every entry and side that is listed or configured; undefined where neither the VM list nor the log answers. */
   async status(): Promise<AskedProcess[] | undefined> {
     const { entries, sides } = await this.addresses()
--- a/packages/common/src/event-log.ts
+++ b/packages/common/src/event-log.ts
@@ -4,17 +4,10 @@
  * buffer or the rate of their event are counted and dropped. It owns the lines
  * that wait to be written; they are lost when the process dies.
  */
+import type { LogFields } from './logger.js'
 import { write as writeFile } from 'node:fs'
 import createDebug from 'debug'
 
-/** A value that a log field may hold. */
-export type EventValue = string | number | boolean | undefined
-
-/** The fields of one line. */
-export interface EventFields {
-  [field: string]: EventValue
-}
-
 /** Takes finished lines. */
 export interface LineWriter {
   write: (line: string) => void
@@ -95,7 +88,7 @@
 
   constructor(
     private readonly writer: LineWriter,
-    private readonly common: EventFields,
+    private readonly common: LogFields,
     namespaces = 'eidermast:*',
     private readonly now = readProcessClock,
   ) {
@@ -103,13 +96,13 @@
   }
 
   /** Writes one line, unless its event is switched off or over its rate. */
-  write(event: string, fields: EventFields = {}): void {
+  write(event: string, fields: LogFields = {}): void {
     if (!this.isEnabled(event) || !this.withinRate(event))
       return
     this.writeLine(event, fields)
   }
 
-  private writeLine(event: string, fields: EventFields): void {
+  private writeLine(event: string, fields: LogFields): void {
     this.writer.write(JSON.stringify({ time: new Date().toISOString(), event, ...this.common, ...fields }))
   }
 
--- a/packages/common/src/settings-file.ts
+++ b/packages/common/src/settings-file.ts
@@ -1,22 +1,38 @@
 /**
  * Reads an INI settings file by a schema: the values that settings are made
- * of, and one way from a file to checked settings or to all its faults. It
- * holds no state; each program brings its own schema.
+ * of, and one way from a file to checked settings or to all its faults, each
+ * with its section, its key and what is allowed there. Values of secret keys
+ * never appear. It holds no state; each program brings its own schema.
  */
 import type { Result } from 'ts-results-es'
-import type { SettingsFault } from './settings-fault.js'
 import { readFileSync } from 'node:fs'
 import { parse as parseIni } from 'ini'
 import { Err, Ok } from 'ts-results-es'
 import { z } from 'zod'
 import { formatError } from './logger.js'
-import { describeFaults } from './settings-fault.js'
+
+/** One fault of a settings file. */
+export interface SettingsFault {
+  section: string
+  key: string
+  value: string
+  allowed: string
+}
+
+/** Formats a fault in one line. */
+export function formatFault(fault: SettingsFault): string {
+  return `[${fault.section}] ${fault.key} = ${fault.value}: allowed is ${fault.allowed}`
+}
 
 /** The highest port of TCP. */
 export const MAX_PORT = 65_535
 
 const INTEGER = /^\d+$/
 const NUMBER = /^\d+(\.\d+)?$/
+/** Keys whose values never appear in messages. */
+const SECRET_KEYS = new Set(['key'])
+/** Section name of keys that stand above the first section. */
+const TOP_LEVEL = 'top level'
 
 /** A whole number in a range, both ends included, as INI text. */
 export function integerSetting(minimum: number, maximum: number) {
@@ -65,3 +81,32 @@
     .transform(Number)
     .refine(value => value >= minimum && value <= maximum, allowed)
 }
+
+/** Lists the faults that a schema found in an INI document, key by key. */
+function describeFaults(error: z.ZodError, raw: unknown): SettingsFault[] {
+  return error.issues.flatMap((issue) => {
+    const path = issue.path.map(String)
+    if (issue.code === 'unrecognized_keys')
+      return issue.keys.map(key => describeFault([...path, key], raw, 'no key or section of this name'))
+    const wantsSection = issue.code === 'invalid_type' && (issue.expected === 'object' || issue.expected === 'record')
+    if (wantsSection)
+      return [{ section: path.join('.'), key: '(section)', value: describeValue(raw, path), allowed: `the section [${path.join('.')}]` }]
+    return [describeFault(path, raw, issue.message)]
+  })
+}
+
+function describeFault(path: string[], raw: unknown, allowed: string): SettingsFault {
+  const section = path.slice(0, -1).join('.') || TOP_LEVEL
+  return { section, key: path.at(-1) ?? '(file)', value: describeValue(raw, path), allowed }
+}
+
+function describeValue(raw: unknown, path: string[]): string {
+  let value = raw
+  for (const part of path)
+    value = typeof value === 'object' && value !== null ? (value as Record<string, unknown>)[part] : undefined
+  if (value === undefined)
+    return '(absent)'
+  if (SECRET_KEYS.has(path.at(-1)!))
+    return '(hidden)'
+  return typeof value === 'object' ? '(section)' : String(value)
+}
--- a/test/gateway/support/fakes.ts
+++ b/test/gateway/support/fakes.ts
@@ -1,4 +1,4 @@
-import type { EventFields } from '@eidermast/common'
+import type { LogFields } from '@eidermast/common'
 /**
  * Fakes at the gateway's interfaces: a log that is kept, a stage service in
  * memory, and makers of records.
@@ -8,8 +8,8 @@
 import { ItemFailure, StageCallEnd } from '@eidermast/gateway'
 
 /** A log whose lines are kept. */
-export function createLog(): { log: EventLog, lines: EventFields[] } {
-  const lines: EventFields[] = []
+export function createLog(): { log: EventLog, lines: LogFields[] } {
+  const lines: LogFields[] = []
   return { log: new EventLog({ write: line => lines.push(JSON.parse(line)) }, { process: 'test' }), lines }
 }
 
