--- a/packages/daemon/src/process/side/reply-stream.ts
+++ b/packages/daemon/src/process/side/reply-stream.ts
@@ -4,11 +4,11 @@
  * with the stream, while the call itself goes on and its reply stays in the
  * stage table, where the entry may ask again.
  */
+import type { LinkTokenListener } from '../../connection/link-call.js'
 import type { StageReply, StreamMessage } from '../../connection/messages.js'
-import type { TokenListener } from '../../request/side/backend-run.js'
 
 /** Streams the tokens of a call, then its one reply. */
-export async function* streamReply(run: (onToken: TokenListener) => Promise<StageReply>): AsyncIterable<StreamMessage> {
+export async function* streamReply(run: (onToken: LinkTokenListener) => Promise<StageReply>): AsyncIterable<StreamMessage> {
   const messages: StreamMessage[] = []
   let wake = (): void => {}
   const push = (message: StreamMessage): void => {
--- a/packages/daemon/src/request/admission.ts
+++ b/packages/daemon/src/request/admission.ts
@@ -4,8 +4,9 @@
  *
  * Inputs: this entry's requests in flight, all and of the account, as of now;
  * the account's part of the weights in flight; the deadline (ms); the expected
- * time of the stages and of their waits (ms, from the newest load reports, see
- * `plan-estimate.ts`).
+ * time of the stages and of their waits (ms, from the newest load reports): the
+ * means over a stage's candidates, summed over the stages. The mean rather than
+ * the best, because other entries choose among the same candidates.
  * Rule (`deadline`): sheds over the limit in flight, without a backend server
  * for a stage, and when the expected time exceeds the deadline. When waits
  * exceed CONGESTED_SHARE of the deadline, an account that has more in flight
@@ -19,7 +20,10 @@
  * Log events: `admit`, `shed`.
  */
 import type { RequestError } from '@eidermast/common'
+import type { RequestPlan } from './plan.js'
+import type { LinkedBackends } from './stages/linked-backends.js'
 import { createError, ErrorKind } from '@eidermast/common'
+import { predictWaitMs } from './stages/choice.js'
 
 /** What admission looks at. */
 export interface AdmissionView {
@@ -39,6 +43,24 @@
   expectedWaitMs: number
 }
 
+/** Estimates a plan with the load reports of now; the wait counts up to the first stage without a backend server. */
+export function estimatePlan(plan: RequestPlan, backends: LinkedBackends): Pick<AdmissionView, 'expectedMs' | 'expectedWaitMs'> {
+  let serviceMs = 0
+  let waitMs = 0
+  for (const stage of plan.stages) {
+    const candidates = backends.candidates(stage)
+    if (candidates.length === 0)
+      return { expectedMs: undefined, expectedWaitMs: waitMs }
+    waitMs += meanOf(candidates.map(candidate => predictWaitMs(candidate, plan.priority)))
+    serviceMs += meanOf(candidates.map(candidate => candidate.load?.meanServiceMs ?? 0))
+  }
+  return { expectedMs: serviceMs + waitMs, expectedWaitMs: waitMs }
+}
+
+function meanOf(values: readonly number[]): number {
+  return values.reduce((sum, value) => sum + value, 0) / values.length
+}
+
 /** A way to admit requests. */
 export interface AdmissionPolicy {
   /** Returns why a request is shed, or undefined where it is taken in. */
--- a/packages/daemon/src/request/authority/run-authority.ts
+++ b/packages/daemon/src/request/authority/run-authority.ts
@@ -22,7 +22,7 @@
 import type { RequestError } from '@eidermast/common'
 import type { RequestAnswer } from '../../connection/answer.js'
 import type { IncomingRequest } from '../incoming-request.js'
-import type { ClaimEnd, RequestLog } from '../request-log.js'
+import type { RequestLog } from '../request-log.js'
 import type { RequestMetrics } from '../request-metrics.js'
 import type { ClaimAttempt, ClaimRegistry } from './claims.js'
 import type { NotRunProof } from './not-run-proof.js'
@@ -32,7 +32,6 @@
 import { createRequestKey, requestIdTime } from '../../connection/identity.js'
 import { OutcomeState } from '../../connection/messages.js'
 import { needsClaim, remainingMs } from '../incoming-request.js'
-import { REQUEST_OVER } from '../request-log.js'
 import { ClaimResultKind } from './claims.js'
 
 /** Parts of the decision. */
@@ -52,6 +51,9 @@
 /** Milliseconds that a caller's clock may be ahead. Not measured: half refuses callers with poorer clocks, twice keeps claims longer. */
 const CLOCK_AHEAD_MS = 60_000
 
+/** What is logged and counted for a claim whose request ended before the log's answer. */
+const REQUEST_OVER = 'over'
+
 /** Decides on the authority to run requests, for one entry. */
 export class RunAuthority {
   constructor(private readonly options: RunAuthorityOptions) {}
@@ -80,7 +82,7 @@
     const { claims, finder, log, metrics } = this.options
     const attempt = claims.claim(incoming.account, requestId)
     const result = await settleWithin(attempt.result, remainingMs(incoming), incoming.callerGone)
-    const end: ClaimEnd = result?.kind ?? REQUEST_OVER
+    const end = result?.kind ?? REQUEST_OVER
     log.claimed(incoming, requestId, end)
     metrics.recordClaim(end)
     if (!result)
--- a/packages/daemon/src/request/request-log.ts
+++ b/packages/daemon/src/request/request-log.ts
@@ -8,17 +8,10 @@
 import type { ForwardState } from '../connection/entry-peers.js'
 import type { OutcomeState } from '../connection/messages.js'
 import type { AdmissionView } from './admission.js'
-import type { ClaimResultKind } from './authority/claims.js'
 import type { DecisionRecorder } from './decision-recorder.js'
 import type { IncomingRequest } from './incoming-request.js'
 import type { RequestEnd } from './request-metrics.js'
 
-/** What is logged and counted for a claim whose request ended before the log's answer. */
-export const REQUEST_OVER = 'over'
-
-/** How a claim ended for its request. */
-export type ClaimEnd = ClaimResultKind | typeof REQUEST_OVER
-
 /** Logs what was decided on requests. */
 export class RequestLog {
   constructor(private readonly recorder: DecisionRecorder) {}
@@ -41,8 +34,8 @@
     })
   }
 
-  /** Event `claim`. */
-  claimed(incoming: IncomingRequest, requestId: string, result: ClaimEnd): void {
+  /** Event `claim`: how it ended for its request. */
+  claimed(incoming: IncomingRequest, requestId: string, result: string): void {
     this.recorder.record('claim', requestId, { account: incoming.account, result })
   }
 
--- a/packages/daemon/src/request/request-runner.ts
+++ b/packages/daemon/src/request/request-runner.ts
@@ -9,30 +9,18 @@
  */
 import type { RequestError } from '@eidermast/common'
 import type { RequestAnswer, StageReport, WholeAnswer } from '../connection/answer.js'
-import type { LinkTokenListener } from '../connection/link-call.js'
-import type { PlannedStage, RequestPlan } from './plan.js'
+import type { IncomingRequest } from './incoming-request.js'
+import type { PlannedStage } from './plan.js'
 import type { RequestMetrics } from './request-metrics.js'
 import type { StageBudgetPolicy } from './stages/stage-budget.js'
 import type { StageCaller } from './stages/stage-caller.js'
 import type { RequestProgress, StageTask } from './stages/stage-task.js'
 import { createError, ErrorKind, RecentTimesByKey } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
+import { remainingMs } from './incoming-request.js'
 import { formatStageInput } from './stages/stage-input.js'
 import { describeProgress } from './stages/stage-task.js'
 
-/** One admitted request. */
-export interface RunningRequest {
-  account: string
-  requestId: string
-  plan: RequestPlan
-  body: string
-  /** Time of the process clock by which the answer is due, in milliseconds. */
-  deadlineAt: number
-  /** Aborts when the caller is gone. */
-  callerGone: AbortSignal
-  onToken?: LinkTokenListener
-}
-
 /** Parts of a request runner. */
 export interface RequestRunnerOptions {
   stageCaller: StageCaller
@@ -52,26 +40,26 @@
   constructor(private readonly options: RequestRunnerOptions) {}
 
   /** Runs a request to its answer. Returns at once when its deadline passes or its caller goes. */
-  async run(request: RunningRequest): Promise<RequestAnswer> {
+  async run(request: IncomingRequest, requestId: string): Promise<RequestAnswer> {
     const over = new AbortController()
     const end = (): void => over.abort()
-    const timer = setTimeout(end, Math.max(0, request.deadlineAt - performance.now()))
+    const timer = setTimeout(end, Math.max(0, remainingMs(request)))
     request.callerGone.addEventListener('abort', end)
     if (request.callerGone.aborted)
       end()
-    const answer = await this.runStages(request, over.signal)
+    const answer = await this.runStages(request, requestId, over.signal)
     clearTimeout(timer)
     request.callerGone.removeEventListener('abort', end)
     return answer
   }
 
-  private async runStages(request: RunningRequest, signal: AbortSignal): Promise<RequestAnswer> {
-    const { plan, requestId } = request
+  private async runStages(request: IncomingRequest, requestId: string, signal: AbortSignal): Promise<RequestAnswer> {
+    const { plan } = request
     const progress: RequestProgress = { started: false, inDoubt: false, pending: false }
     const stages: StageReport[] = []
     let previous: WholeAnswer | undefined
     for (const [index, stage] of plan.stages.entries()) {
-      const task = this.createTask(request, index, previous?.output, progress, signal)
+      const task = this.createTask(request, index, previous?.output, { requestId, progress, signal })
       const result = await this.options.stageCaller.run(task)
       if (result.isErr()) {
         this.recordCost(stages, true)
@@ -87,26 +75,23 @@
   }
 
   private createTask(
-    request: RunningRequest,
+    request: IncomingRequest,
     index: number,
     previous: string | undefined,
-    progress: RequestProgress,
-    signal: AbortSignal,
+    shared: Pick<StageTask, 'requestId' | 'progress' | 'signal'>,
   ): StageTask {
-    const { account, requestId, plan, body, deadlineAt } = request
+    const { account, plan, body } = request
     const stage = plan.stages[index]
     const later = plan.stages.slice(index + 1)
     return {
+      ...shared,
       account,
-      requestId,
       stage,
       input: stage.serviceRequest ? body : formatStageInput(body, previous),
       priority: plan.priority,
       prefixKey: `${account}/${plan.target}/${body.slice(0, PREFIX_LENGTH)}`,
       unrepeatable: plan.unrepeatable,
-      progress,
-      budgetMs: () => this.options.stageBudget.budgetMs(deadlineAt - performance.now(), this.reservedFor(plan.target, later)),
-      signal,
+      budgetMs: () => this.options.stageBudget.budgetMs(remainingMs(request), this.reservedFor(plan.target, later)),
       // Only the last stage's tokens are the caller's answer.
       onToken: later.length === 0 ? request.onToken : undefined,
     }
--- a/packages/daemon/src/request/request-service.ts
+++ b/packages/daemon/src/request/request-service.ts
@@ -25,9 +25,9 @@
 import { createRequestId, createRequestKey, digestRequest } from '../connection/identity.js'
 import { OutcomeState } from '../connection/messages.js'
 import { AccountLoad } from './account-load.js'
+import { estimatePlan } from './admission.js'
 import { RunAuthority } from './authority/run-authority.js'
 import { remainingMs } from './incoming-request.js'
-import { estimatePlan } from './plan-estimate.js'
 import { RequestLog } from './request-log.js'
 import { RequestEnd } from './request-metrics.js'
 
@@ -121,15 +121,13 @@
 
   private admit(incoming: IncomingRequest, requestId: string): RequestError | undefined {
     const { plan, account, share } = incoming
-    const estimate = estimatePlan(plan, this.options.membership)
     const view: AdmissionView = {
       inFlight: this.load.total,
       inFlightLimit: this.options.inFlightLimit,
       accountInFlight: this.load.of(account),
       accountShare: this.load.shareWith(account, share),
       deadlineMs: plan.deadlineMs,
-      expectedMs: estimate.totalMs,
-      expectedWaitMs: estimate.waitMs,
+      ...estimatePlan(plan, this.options.membership),
     }
     const cannotRemember = plan.unrepeatable && !this.options.outcomes.hasCapacity
     const shed = cannotRemember ? createMemoryError() : this.options.admission.decide(view)
@@ -146,10 +144,10 @@
       outcomes.forget(outcome)
       return authority.answer
     }
-    const { account, plan, body, arrivedAt, onToken } = incoming
+    const { plan } = incoming
     // The one run of an unrepeatable request goes on without its caller, who may ask for the answer later.
     const callerGone = plan.unrepeatable ? UNABORTED : incoming.callerGone
-    const answer = await runner.run({ account, requestId, plan, body, deadlineAt: arrivedAt + plan.deadlineMs, callerGone, onToken })
+    const answer = await runner.run({ ...incoming, callerGone }, requestId)
     outcomes.finish(outcome, answer)
     // A repeatable request that failed may be sent again under its id.
     if (answer.isErr() && !plan.unrepeatable)
--- a/packages/daemon/src/request/side/backend-run.ts
+++ b/packages/daemon/src/request/side/backend-run.ts
@@ -2,13 +2,11 @@
  * One stage call at its side, from its arrival until its result is dropped, and
  * the tokens that it has produced so far.
  */
+import type { LinkTokenListener } from '../../connection/link-call.js'
 import type { StageCall, StageReply } from '../../connection/messages.js'
 import { stageKey, StageReplyKind } from '../../connection/messages.js'
 import { textBytes } from '../text-bytes.js'
 
-/** Receives the tokens of a running call, each with its index from 0. */
-export type TokenListener = (index: number, text: string) => void
-
 /** One stage call at a side. */
 export interface BackendRun {
   key: string
@@ -17,7 +15,7 @@
   started: boolean
   cancelled: boolean
   tokens: string[]
-  listeners: Set<TokenListener>
+  listeners: Set<LinkTokenListener>
   reply: Promise<StageReply>
   /** Resolves the reply. */
   settle: (reply: StageReply) => void
@@ -47,7 +45,7 @@
 }
 
 /** Sends a listener the tokens so far, and those to come while the call runs. */
-export function addTokenListener(run: BackendRun, onToken: TokenListener | undefined): void {
+export function addTokenListener(run: BackendRun, onToken: LinkTokenListener | undefined): void {
   if (!onToken)
     return
   run.tokens.forEach((text, index) => onToken(index, text))
--- a/packages/daemon/src/request/side/stage-runner.ts
+++ b/packages/daemon/src/request/side/stage-runner.ts
@@ -16,11 +16,12 @@
  * never ran; what of the running ones ran is unknown to their entries.
  */
 import type { BackendClient, BackendResult } from '../../connection/backend-client.js'
+import type { LinkTokenListener } from '../../connection/link-call.js'
 import type { CancelReply, Load, StageCall, StageReply } from '../../connection/messages.js'
 import type { DecisionRecorder } from '../decision-recorder.js'
 import type { StageMetrics } from '../request-metrics.js'
 import type { ReplyBase } from './backend-reply.js'
-import type { BackendRun, TokenListener } from './backend-run.js'
+import type { BackendRun } from './backend-run.js'
 import type { StageQueue, WaitingCall } from './stage-queue.js'
 import type { StageTable } from './stage-table.js'
 import { BackendOutcome } from '../../connection/backend-client.js'
@@ -28,7 +29,6 @@
 import { createBackendReply } from './backend-reply.js'
 import { addTokenListener, publishToken } from './backend-run.js'
 import { ServiceTimes } from './service-times.js'
-import { SideLog } from './side-log.js'
 
 /** What the runner needs to know of its side. */
 export interface SideState {
@@ -58,12 +58,9 @@
 export class StageRunner {
   private readonly pending = new Map<WaitingCall, BackendRun>()
   private readonly times = new ServiceTimes()
-  private readonly log: SideLog
   private running = 0
 
-  constructor(private readonly options: StageRunnerOptions) {
-    this.log = new SideLog(options.decisions)
-  }
+  constructor(private readonly options: StageRunnerOptions) {}
 
   /** Whether no call runs or waits. */
   get idle(): boolean {
@@ -82,7 +79,7 @@
   }
 
   /** Runs, joins or replays a call and returns its one reply. */
-  async run(call: StageCall, onToken?: TokenListener): Promise<StageReply> {
+  async run(call: StageCall, onToken?: LinkTokenListener): Promise<StageReply> {
     const { side, table } = this.options
     const key = stageKey(call.identity)
     if (call.identity.sideIncarnation !== side.incarnation)
@@ -116,13 +113,14 @@
     return { started: false }
   }
 
-  private join(run: BackendRun, onToken?: TokenListener): Promise<StageReply> {
-    this.log.joined(run)
+  private join(run: BackendRun, onToken?: LinkTokenListener): Promise<StageReply> {
+    const { requestId, stage, attempt } = run.call.identity
+    this.options.decisions.record('join', requestId, { stage, attempt, finished: run.finished !== undefined })
     addTokenListener(run, onToken)
     return run.reply
   }
 
-  private enqueue(call: StageCall, onToken?: TokenListener): Promise<StageReply> {
+  private enqueue(call: StageCall, onToken?: LinkTokenListener): Promise<StageReply> {
     const { queue, slots, table } = this.options
     const now = performance.now()
     const expectedServiceMs = this.times.expectedMs(call)
@@ -186,11 +184,14 @@
 
   private refuse(call: StageCall, reason: RefusalReason): StageReply {
     const retryAfterMs = Math.max(MIN_RETRY_AFTER_MS, this.expectedDrainMs())
-    this.log.refused(call, reason, this.options.queue.size, this.running)
-    this.options.metrics.recordRefusal(reason)
+    const { decisions, metrics, queue, table } = this.options
+    const { requestId, stage, attempt } = call.identity
+    const refused = { stage, attempt, reason, queued: queue.size, running: this.running, budgetMs: call.budgetMs }
+    decisions.record('refuse', requestId, refused)
+    metrics.recordRefusal(reason)
     // A copy of the call that is still on its way must not run after this refusal.
     if (reason !== RefusalReason.OtherIncarnation)
-      this.options.table.forbid(stageKey(call.identity))
+      table.forbid(stageKey(call.identity))
     return { ...this.replyBase(call), kind: StageReplyKind.Refused, reason, retryAfterMs }
   }
 
--- a/packages/daemon/src/request/side/stage-table.ts
+++ b/packages/daemon/src/request/side/stage-table.ts
@@ -52,11 +52,6 @@
     private readonly now: () => number = () => performance.now(),
   ) {}
 
-  /** Number of calls held, running and finished. */
-  get size(): number {
-    return this.runs.size
-  }
-
   /** Number of calls that have not finished. */
   get unfinished(): number {
     return this.runs.size - this.finished.size
@@ -68,7 +63,7 @@
   }
 
   /** Whether a key was used up: cancelled before its call came, or dropped after its end. */
-  spentKey(key: string): { started: boolean } | undefined {
+  spentKey(key: string): SpentKey | undefined {
     return this.spent.get(key)
   }
 
--- a/packages/daemon/src/request/stages/stage-caller.ts
+++ b/packages/daemon/src/request/stages/stage-caller.ts
@@ -4,7 +4,8 @@
  * and metrics with how each call ended.
  *
  * Relies on `choice.ts`, `tried-backends.ts`, `stage-failure.ts` and `retry.ts`
- * for the decisions and on `stage-attempt.ts` for the call itself.
+ * for the decisions and on `stage-attempt.ts` for the call itself. Log events:
+ * `choose`, `done`, `failed`; `eidermast explain` reads them.
  * State: none beyond a running stage; policies keep their own. When the process
  * dies, its running requests end with their callers' connections.
  */
@@ -27,7 +28,6 @@
 import { describeCause, isProvablyNotRun } from './call-end.js'
 import { sendAttempt } from './stage-attempt.js'
 import { createDeadlineError, createNoBackendError, decideOnFailure, FailureStep } from './stage-failure.js'
-import { StageLog } from './stage-log.js'
 import { describeProgress, isOver } from './stage-task.js'
 import { TriedBackends } from './tried-backends.js'
 
@@ -47,11 +47,7 @@
 
 /** Runs stages for one entry. */
 export class StageCaller {
-  private readonly log: StageLog
-
-  constructor(private readonly options: StageCallerOptions) {
-    this.log = new StageLog(options.decisions)
-  }
+  constructor(private readonly options: StageCallerOptions) {}
 
   /** Runs a stage to its result or its final error. */
   async run(task: StageTask): Promise<Result<StageSuccess, RequestError>> {
@@ -78,12 +74,21 @@
   }
 
   private choose(task: StageTask, tried: TriedBackends, attempt: number): LinkedBackend | undefined {
-    const { membership, ejection, choice, failureDomain } = this.options
+    const { membership, ejection, choice, failureDomain, decisions } = this.options
     const inForce = membership.candidates(task.stage)
     const candidates = tried.select(ejection.filter(inForce))
     const context = { priority: task.priority, failureDomain, prefixKey: task.prefixKey }
     const chosen = candidates.length === 0 ? undefined : choice.choose(candidates, context)
-    this.log.chosen(task, { attempt, chosen, candidates: candidates.length, inForce: inForce.length })
+    decisions.record('choose', task.requestId, {
+      stage: task.stage.name,
+      attempt,
+      chosen: chosen?.backendName ?? 'none',
+      candidates: candidates.length,
+      inForce: inForce.length,
+      outstanding: chosen?.outstanding,
+      running: chosen?.load?.running,
+      budgetMs: task.budgetMs(),
+    })
     return chosen
   }
 
@@ -116,23 +121,29 @@
 
   private takeSuccess(task: StageTask, attempt: StageAttempt, reply: DoneReply, startedAt: number): StageSuccess {
     const { backendName, link } = attempt.backend
+    const stage = task.stage.name
+    const { queueMs, serviceMs } = reply
     task.progress.started = true
     link.acknowledge(attempt.call)
-    this.options.ejection.recordSuccess(backendName, task.stage.service, reply.serviceMs)
+    this.options.ejection.recordSuccess(backendName, task.stage.service, serviceMs)
     const milliseconds = performance.now() - startedAt
-    this.log.done(task, attempt, reply, milliseconds)
-    const cost = stageCost(task.stage, reply.serviceMs)
-    return { reply, report: { stage: task.stage.name, backend: backendName, milliseconds, cost, attempts: attempt.number } }
+    const done = { stage, attempt: attempt.number, backend: backendName, queueMs, serviceMs, milliseconds }
+    this.options.decisions.record('done', task.requestId, done)
+    const cost = stageCost(task.stage, serviceMs)
+    return { reply, report: { stage, backend: backendName, milliseconds, cost, attempts: attempt.number } }
   }
 
   private takeFailure(task: StageTask, attempt: StageAttempt, result: LinkResult): FailureDecision {
-    this.log.failed(task, attempt, result)
+    const stage = task.stage.name
+    const cause = describeCause(result)
+    const failed = { stage, attempt: attempt.number, backend: attempt.backend.backendName, cause }
+    this.options.decisions.record('failed', task.requestId, failed)
     if (result.outcome === LinkOutcome.Replied && result.reply.kind === StageReplyKind.Failed)
       this.recordWaste(task, attempt, result.reply)
     if (!isProvablyNotRun(result))
       this.recordEjectionSign(task, attempt)
     const decision = decideOnFailure({
-      stageName: task.stage.name,
+      stageName: stage,
       attempt: attempt.number,
       result,
       unrepeatable: task.unrepeatable,
@@ -141,7 +152,7 @@
       ran: describeProgress(task.progress),
     }, this.options.retry)
     if (decision.step === FailureStep.CallAgain)
-      this.options.metrics.recordRetry(task.stage.name, describeCause(result))
+      this.options.metrics.recordRetry(stage, cause)
     return decision
   }
 
