--- a/packages/stand-ins/src/daemon-status.ts
+++ b/packages/stand-ins/src/daemon-status.ts
@@ -24,7 +24,7 @@
 
 /** Status of entries and sides. */
 export class DaemonStatus {
-  constructor(private readonly processes: ProcessGroup, private readonly key: string) {}
+  constructor(private readonly group: ProcessGroup, private readonly key: string) {}
 
   /** Status of an entry; undefined where it does not answer in time. */
   async entryStatus(name: string): Promise<ProcessStatus | undefined> {
@@ -40,11 +40,11 @@
 
   /** Waits until every side takes work, and then until every entry sees that; throws after 15 s. */
   async waitUntilReady(): Promise<void> {
-    const sides = this.processes.list(ProcessKind.Side)
+    const sides = this.group.list(ProcessKind.Side)
     const latest = Date.now() + READY_TIMEOUT_MS
     for (const { name } of sides)
       await waitUntil(() => this.takesWork(name), latest, `${name} takes no work`)
-    for (const { name } of this.processes.list(ProcessKind.Entry)) {
+    for (const { name } of this.group.list(ProcessKind.Entry)) {
       const seesAll = async (): Promise<boolean> => await this.countInForce(name) >= sides.length
       await waitUntil(seesAll, latest, `${name} does not see every backend server in force`)
     }
@@ -54,7 +54,7 @@
   private async takesWork(sideName: string): Promise<boolean> {
     const status = await this.sideStatus(sideName)
     const seen = status?.detail.find(line => line.subject === 'backend-instance')?.text
-    return status?.ready === true && seen === await readInstance(this.processes.find(`${sideName}.backend`).url!)
+    return status?.ready === true && seen === await readInstance(this.group.find(`${sideName}.backend`).url!)
   }
 
   /** Number of backend servers that an entry uses. */
@@ -64,7 +64,7 @@
   }
 
   private peerOf(name: string): { address: string, key: string } {
-    return { address: this.processes.find(name).peer!, key: this.key }
+    return { address: this.group.find(name).peer!, key: this.key }
   }
 }
 
--- a/packages/stand-ins/src/deployment.ts
+++ b/packages/stand-ins/src/deployment.ts
@@ -29,16 +29,10 @@
   adapters?: string[]
 }
 
-/** A named template. */
-export interface NamedTemplate {
+/** A template or client account with its name. */
+export interface Named<Value> {
   name: string
-  value: Template
-}
-
-/** A named client account. */
-export interface NamedAccount {
-  name: string
-  value: Account
+  value: Value
 }
 
 /** A whole deployment. */
@@ -47,8 +41,8 @@
   failureDomains: string[]
   entries: number
   pools: PoolDeployment[]
-  templates: NamedTemplate[]
-  accounts: NamedAccount[]
+  templates: Named<Template>[]
+  accounts: Named<Account>[]
 }
 
 /** The language model that every deployment serves. */
@@ -64,7 +58,7 @@
 }
 
 /** The four stages of every pipeline: encode, retrieve, rerank and generate. */
-function createTemplate({ name, deadlineMs, tokens, priority, unrepeatable = false }: TemplateOptions): NamedTemplate {
+function createTemplate({ name, deadlineMs, tokens, priority, unrepeatable = false }: TemplateOptions): Named<Template> {
   const value = templateSchema.parse({
     stages: [
       { name: 'encode', service: 'encoder', costPerCall: 1 },
@@ -86,7 +80,7 @@
   return { name, value }
 }
 
-function createAccount(name: string, share: number): NamedAccount {
+function createAccount(name: string, share: number): Named<Account> {
   return { name, value: accountSchema.parse({ share }) }
 }
 
@@ -113,20 +107,20 @@
   return { service, kind: BackendKind.Plain, replicas, slots: 32, baseMs: 2, tokenMs: 0 }
 }
 
-const COVENTRY_TEMPLATES: NamedTemplate[] = [
+const COVENTRY_TEMPLATES: Named<Template>[] = [
   createTemplate({ name: 'rider-answer', deadlineMs: 1000, tokens: 24, priority: Priority.High }),
   createTemplate({ name: 'disruption-digest', deadlineMs: 2000, tokens: 48, priority: Priority.Normal }),
   createTemplate({ name: 'feed-tag', deadlineMs: 5000, tokens: 12, priority: Priority.Low }),
   createTemplate({ name: 'departure-alert', deadlineMs: 1000, tokens: 12, priority: Priority.High, unrepeatable: true }),
 ]
 
-const MONTEVIDEO_TEMPLATES: NamedTemplate[] = [
+const MONTEVIDEO_TEMPLATES: Named<Template>[] = [
   createTemplate({ name: 'attestation', deadlineMs: 2000, tokens: 32, priority: Priority.High, unrepeatable: true }),
   createTemplate({ name: 'manifest-explanation', deadlineMs: 1000, tokens: 24, priority: Priority.Normal }),
   createTemplate({ name: 'provenance-summary', deadlineMs: 5000, tokens: 48, priority: Priority.Low }),
 ]
 
-const COVENTRY_ACCOUNTS: NamedAccount[] = [
+const COVENTRY_ACCOUNTS: Named<Account>[] = [
   createAccount('rider-app', 8),
   createAccount('depot-control', 4),
   createAccount('council-warwick', 1),
@@ -134,7 +128,7 @@
   createAccount('feed-desk', 2),
 ]
 
-const MONTEVIDEO_ACCOUNTS: NamedAccount[] = [
+const MONTEVIDEO_ACCOUNTS: Named<Account>[] = [
   createAccount('medidores-sur', 6),
   createAccount('placas-oriental', 4),
   createAccount('red-electrica', 2),
--- a/packages/stand-ins/src/launcher.ts
+++ b/packages/stand-ins/src/launcher.ts
@@ -45,7 +45,7 @@
   directory: string
   /** Shared key of the system's processes. */
   key: string
-  processes: ProcessGroup
+  group: ProcessGroup
 }
 
 interface Launch extends LaunchPlace {
@@ -66,21 +66,21 @@
 
 /** Starts every process and publishes the configuration; the VMs are not listed yet. Throws where a process does not listen. */
 export async function launchProcesses(options: LaunchOptions, place: LaunchPlace): Promise<PlatformUrls> {
-  const platform = await startPlatform(place.processes, options.retentionMs ?? DAY_MS)
+  const platform = await startPlatform(place.group, options.retentionMs ?? DAY_MS)
   const launch: Launch = { ...place, options, platform }
   await startBackends(launch)
   await startEntries(launch)
   await publish(launch)
-  const entryUrls = place.processes.list(ProcessKind.Entry).map(entry => entry.url!)
+  const entryUrls = place.group.list(ProcessKind.Entry).map(entry => entry.url!)
   writeCommandLineSettings(place.directory, platform, place.key, entryUrls)
   return platform
 }
 
-async function startPlatform(processes: ProcessGroup, retentionMs: number): Promise<PlatformUrls> {
+async function startPlatform(group: ProcessGroup, retentionMs: number): Promise<PlatformUrls> {
   const [log, virtualMachines, weightStore] = await Promise.all([
-    startStandIn(processes, ProcessKind.Platform, 'log', ['log', '--retention-ms', String(retentionMs)]),
-    startStandIn(processes, ProcessKind.Platform, 'virtual-machines', ['virtual-machines']),
-    startStandIn(processes, ProcessKind.Platform, 'weights', ['weights']),
+    startStandIn(group, ProcessKind.Platform, 'log', ['log', '--retention-ms', String(retentionMs)]),
+    startStandIn(group, ProcessKind.Platform, 'virtual-machines', ['virtual-machines']),
+    startStandIn(group, ProcessKind.Platform, 'weights', ['weights']),
   ])
   return { log: log.url!, virtualMachines: virtualMachines.url!, weightStore: weightStore.url! }
 }
@@ -94,7 +94,7 @@
 /** Starts a backend server and the side beside it. */
 async function startBackend(launch: Launch, pool: PoolDeployment, index: number): Promise<void> {
   const name = backendName(pool, index)
-  const backend = await startStandIn(launch.processes, ProcessKind.Backend, `${name}.backend`, [
+  const backend = await startStandIn(launch.group, ProcessKind.Backend, `${name}.backend`, [
     'backend',
     ...['--kind', pool.kind],
     ...['--slots', String(pool.slots)],
@@ -112,8 +112,8 @@
 }
 
 /** Publishes templates, accounts and backend servers in one append. */
-async function publish({ options, platform, processes }: Launch): Promise<void> {
-  const changes = createFirstConfiguration(options.deployment, name => processes.find(name).peer!)
+async function publish({ options, platform, group }: Launch): Promise<void> {
+  const changes = createFirstConfiguration(options.deployment, name => group.find(name).peer!)
   const client = new HttpLogClient({ url: platform.log })
   const appended = await client.append(CONFIGURATION_STREAM, changes)
   await client.close()
@@ -121,8 +121,8 @@
     throw new Error(`the configuration could not be published: ${appended.error.message}`)
 }
 
-function startStandIn(processes: ProcessGroup, kind: ProcessKind, name: string, parameters: string[]): Promise<LaunchedProcess> {
-  return processes.start(kind, name, [STAND_IN_PROGRAM, ...parameters])
+function startStandIn(group: ProcessGroup, kind: ProcessKind, name: string, parameters: string[]): Promise<LaunchedProcess> {
+  return group.start(kind, name, [STAND_IN_PROGRAM, ...parameters])
 }
 
 async function startDaemon(
@@ -142,7 +142,7 @@
     platformSettings: options.platformSettings,
     roleSettings,
   })
-  await launch.processes.start(kind, name, [DAEMON_PROGRAM, '--settings', file])
+  await launch.group.start(kind, name, [DAEMON_PROGRAM, '--settings', file])
 }
 
 /** Runs starts, at most so many at once. */
--- a/packages/stand-ins/src/process-group.ts
+++ b/packages/stand-ins/src/process-group.ts
@@ -8,7 +8,7 @@
 import { once } from 'node:events'
 import { openSync } from 'node:fs'
 import path from 'node:path'
-import { isRunning, readFirstLine } from './child-process.js'
+import { createInterface } from 'node:readline'
 
 /** What a launched process is. */
 export enum ProcessKind {
@@ -41,14 +41,20 @@
   caller?: string
 }
 
+/**
+ * Milliseconds for a child to listen. Not measured: half as long fails starts on
+ * a busy machine, twice as long only delays the report of a child that hangs.
+ */
+const START_TIMEOUT_MS = 30_000
+
 /** Processes by name. */
 export class ProcessGroup {
-  readonly byName = new Map<string, LaunchedProcess>()
+  readonly processes = new Map<string, LaunchedProcess>()
   /** Parameters that each process was started with. */
   private readonly parameters = new Map<string, string[]>()
 
   /** @param directory Where the processes' standard error goes, one file each. */
-  constructor(private readonly directory: string) {}
+  constructor(readonly directory: string) {}
 
   /** Starts a process and waits until it listens; throws where it ends before. */
   async start(kind: ProcessKind, name: string, parameters: string[]): Promise<LaunchedProcess> {
@@ -57,20 +63,20 @@
     const child = spawn(process.execPath, parameters, { stdio: ['ignore', 'pipe', logFile] })
     const { pid, url, peer, caller } = JSON.parse(await readFirstLine(child, name)) as ListeningLine
     const launched = { kind, name, pid, url: url ?? (caller && `http://${caller}`), peer, child }
-    this.byName.set(name, launched)
+    this.processes.set(name, launched)
     return launched
   }
 
   /** Processes of one kind. */
   list(kind: ProcessKind): LaunchedProcess[] {
-    return [...this.byName.values()].filter(launched => launched.kind === kind)
+    return [...this.processes.values()].filter(launched => launched.kind === kind)
   }
 
   /** Throws where no process has the name. */
   find(name: string): LaunchedProcess {
-    const launched = this.byName.get(name)
+    const launched = this.processes.get(name)
     if (!launched)
-      throw new Error(`no process is named ${name}; use one of ${[...this.byName.keys()].join(', ')}`)
+      throw new Error(`no process is named ${name}; use one of ${[...this.processes.keys()].join(', ')}`)
     return launched
   }
 
@@ -99,7 +105,31 @@
 
   /** Ends every process at once. */
   async stop(): Promise<void> {
-    await Promise.all([...this.byName.keys()].map(name => this.end(name, 'SIGKILL')))
-    this.byName.clear()
+    await Promise.all([...this.processes.keys()].map(name => this.end(name, 'SIGKILL')))
+    this.processes.clear()
   }
 }
+
+/** Whether a child has not ended. */
+export function isRunning(child: ChildProcess): boolean {
+  return child.exitCode === null && child.signalCode === null
+}
+
+/** The first line that a child prints; throws if it ends before. */
+async function readFirstLine(child: ChildProcess, name: string): Promise<string> {
+  const lines = createInterface({ input: child.stdout! })
+  const timeout = AbortSignal.timeout(START_TIMEOUT_MS)
+  const line = await Promise.race([
+    once(lines, 'line', { signal: timeout }).then(([text]) => String(text)),
+    once(child, 'exit', { signal: timeout }).then(() => undefined),
+  ])
+  if (line === undefined)
+    throw new Error(`${name} ended before it listened`)
+  return line
+}
+
+/** Waits for a child's end, if it has not come. */
+export async function untilEnded(child: ChildProcess): Promise<void> {
+  if (isRunning(child))
+    await once(child, 'exit')
+}
--- a/packages/stand-ins/src/running-system.ts
+++ b/packages/stand-ins/src/running-system.ts
@@ -5,7 +5,7 @@
  */
 import type { ProcessStatus } from '@eidermast/daemon'
 import type { StandInFaults } from './faults.js'
-import type { LaunchOptions, LaunchPlace } from './launcher.js'
+import type { LaunchOptions } from './launcher.js'
 import type { LaunchedProcess } from './process-group.js'
 import type { PlatformUrls } from './settings-files.js'
 import type { ListedVirtualMachine } from './virtual-machine-list-service.js'
@@ -15,11 +15,10 @@
 import path from 'node:path'
 import { HttpLogClient, ObjectKind, publishChange, PublishOutcome, readConfiguration, VirtualMachineRole } from '@eidermast/daemon'
 import { request } from 'undici'
-import { isRunning, untilEnded } from './child-process.js'
 import { DaemonStatus } from './daemon-status.js'
 import { failureDomain } from './deployment.js'
 import { launchProcesses } from './launcher.js'
-import { ProcessGroup, ProcessKind } from './process-group.js'
+import { isRunning, ProcessGroup, ProcessKind, untilEnded } from './process-group.js'
 import { countRuns, runTimes } from './run-counts.js'
 import { commandLineSettingsFile } from './settings-files.js'
 
@@ -27,54 +26,33 @@
 const KEY_BYTES = 24
 
 /** A running deployment. */
-export class RunningSystem {
-  readonly directory: string
+export class RunningSystem extends ProcessGroup {
   /** Shared key of the system's processes. */
-  readonly key: string
-  private readonly group: ProcessGroup
-  private readonly status: DaemonStatus
+  readonly key = randomBytes(KEY_BYTES).toString('hex')
+  private readonly status = new DaemonStatus(this, this.key)
+  /** Set once the processes are launched. */
+  private platform!: PlatformUrls
   private virtualMachines: ListedVirtualMachine[] = []
 
-  private constructor(private readonly options: LaunchOptions, place: LaunchPlace, private readonly platform: PlatformUrls) {
-    this.directory = place.directory
-    this.key = place.key
-    this.group = place.processes
-    this.status = new DaemonStatus(this.group, this.key)
+  private constructor(private readonly options: LaunchOptions) {
+    super(mkdtempSync(path.join(tmpdir(), 'eidermast-')))
   }
 
   /** Starts every process, publishes the configuration and waits until it is in force; throws, with all ended, where that fails. */
   static async launch(options: LaunchOptions): Promise<RunningSystem> {
-    const directory = mkdtempSync(path.join(tmpdir(), 'eidermast-'))
-    const processes = new ProcessGroup(directory)
-    const place = { directory, key: randomBytes(KEY_BYTES).toString('hex'), processes }
+    const system = new RunningSystem(options)
     try {
-      const platform = await launchProcesses(options, place)
-      const system = new RunningSystem(options, place, platform)
+      system.platform = await launchProcesses(options, { directory: system.directory, key: system.key, group: system })
       await system.listVirtualMachines()
       await system.waitUntilReady()
       return system
     }
     catch (error) {
-      await stopAll(processes, directory)
+      await system.stop()
       throw error
     }
   }
 
-  /** Processes by name. */
-  get processes(): ReadonlyMap<string, LaunchedProcess> {
-    return this.group.byName
-  }
-
-  /** Processes of one kind. */
-  list(kind: ProcessKind): LaunchedProcess[] {
-    return this.group.list(kind)
-  }
-
-  /** Throws where no process has the name. */
-  find(name: string): LaunchedProcess {
-    return this.group.find(name)
-  }
-
   /** URLs of the entries for callers. */
   get entryUrls(): string[] {
     return this.list(ProcessKind.Entry).map(entry => entry.url!)
@@ -97,19 +75,9 @@
     return this.platform.virtualMachines
   }
 
-  /** Sends a signal to a process by its id. */
-  signal(name: string, signal: NodeJS.Signals): void {
-    this.group.signal(name, signal)
-  }
-
-  /** Sends a signal and waits for the process's end; returns its exit code. */
-  end(name: string, signal: NodeJS.Signals): Promise<number | null> {
-    return this.group.end(name, signal)
-  }
-
   /** Starts an ended process again and lists its VM under its new address. */
-  async restart(name: string): Promise<void> {
-    await this.group.restart(name)
+  override async restart(name: string): Promise<void> {
+    await super.restart(name)
     const { kind, peer } = this.find(name)
     if (kind === ProcessKind.Entry || kind === ProcessKind.Side)
       await this.setVirtualMachines(this.virtualMachines.map(listed => listed.name === name ? { ...listed, address: peer! } : listed))
@@ -194,8 +162,9 @@
   }
 
   /** Ends every process by its id, at once; for a planned stop see `end`. */
-  stop(): Promise<void> {
-    return stopAll(this.group, this.directory)
+  override async stop(): Promise<void> {
+    await super.stop()
+    rmSync(this.directory, { recursive: true, force: true })
   }
 
   private async revive({ name, kind, url, child, pid }: LaunchedProcess): Promise<void> {
@@ -219,18 +188,8 @@
   }
 }
 
-async function stopAll(processes: ProcessGroup, directory: string): Promise<void> {
-  await processes.stop()
-  rmSync(directory, { recursive: true, force: true })
-}
-
-interface PostAnswer {
-  status: number
-  text: string
-}
-
 /** Posts a value to a stand-in. */
-async function post(url: string, value: object): Promise<PostAnswer> {
+async function post(url: string, value: object) {
   const response = await request(url, { method: 'POST', body: JSON.stringify(value) })
   return { status: response.statusCode, text: await response.body.text() }
 }
