--- a/test/system/callers-interface.test.ts
+++ b/test/system/callers-interface.test.ts
@@ -138,7 +138,7 @@
 
   test('that never read their answer are cut off', async () => {
     const body = 'x'.repeat(2_500_000)
-    const head = `POST /v1/services/rider-app-backend/echo HTTP/1.1\r\nHost: entry\r\nEidermast-Account: ${DEFAULT_ACCOUNT}\r\nContent-Length: ${body.length}\r\n\r\n`
+    const head = `POST /v1/services/rider-app-backend/echo HTTP/1.1\r\nHost: entry\r\nEidermast-Account: ${DEFAULT_ACCOUNT}\r\nEidermast-Deadline-Ms: 60000\r\nContent-Length: ${body.length}\r\n\r\n`
     const socket = openCaller(head + body + head + body + head + body + head + body)
     socket.pause()
     // A paused socket hears of its end only when it writes.
