--- a/packages/gateway/src/process/gateway-metrics.ts
+++ b/packages/gateway/src/process/gateway-metrics.ts
@@ -11,6 +11,7 @@
 
 /** Upper bounds in seconds. Not measured; around the latency targets of routes, which lie between tenths and some seconds. */
 const SECONDS_BUCKETS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 4, 8, 16]
+/** Converts between seconds and milliseconds. */
 const MILLISECONDS_PER_SECOND = 1000
 
 /** The parts of a gateway whose values are read at the time of a scrape. */
