--- a/test/platform/resting-backends.test.ts
+++ b/test/platform/resting-backends.test.ts
@@ -1,4 +1,5 @@
 import type { Arrival, NoticeBackend } from './support/notice-pool.js'
+import { wait } from '@eidermast/common'
 import { afterEach, beforeEach, describe, expect, test, vi } from 'vitest'
 import { NoticeDeployment } from './support/notice-deployment.js'
 import { mostWithin } from './support/notice-pool.js'
@@ -14,6 +15,11 @@
 const MEASURED_MS = 400
 const POOL_SIZE = 10
 const REQUESTS_PER_SECOND = 40
+/** Above the measured rate, so that all gateways are told well within one rest. */
+const SET_UP_REQUESTS_PER_SECOND = 120
+const SET_UP_ROUND_MS = 50
+/** Milliseconds; with MEASURED_MS less than a rest. */
+const SET_UP_TIMEOUT_MS = 2500
 const REPORT_PATH = '/-/report'
 /** Milliseconds; far below the deadline of the requests. */
 const REFUSED_WITHIN_MS = 300
@@ -33,13 +39,31 @@
   return Math.max(0, ...turnedAwayAt.map(answer => inRest(answer).length))
 }
 
-/** Sends until each backend server has turned each gateway away. */
+/**
+ * Sends until each of these backend servers has turned each gateway away. The others
+ * hold their answers meanwhile: a gateway calls the backend server with the fewest
+ * calls of its own under way, so that each request goes to one that has not yet
+ * turned it away, and no choice is left to chance.
+ */
 async function sendUntilAllAreTold(resting: readonly NoticeBackend[]): Promise<void> {
   const told = ({ turnedAwayAt }: NoticeBackend): number => new Set(turnedAwayAt.map(({ gateway }) => gateway)).size
-  await vi.waitFor(async () => {
-    await deployment.sendFor(100, REQUESTS_PER_SECOND)
-    expect(resting.map(told)).toEqual(resting.map(() => deployment.gateways.length))
-  }, { timeout: 2500 })
+  const others = deployment.pool.filter(backend => !resting.includes(backend))
+  let release = (): void => {}
+  const held = new Promise<void>(resolve => (release = resolve))
+  for (const backend of others)
+    backend.heldUntil = held
+  const rounds: Promise<unknown>[] = []
+  try {
+    await vi.waitFor(async () => {
+      rounds.push(deployment.sendFor(SET_UP_ROUND_MS, SET_UP_REQUESTS_PER_SECOND))
+      await wait(SET_UP_ROUND_MS)
+      expect(resting.map(told)).toEqual(resting.map(() => deployment.gateways.length))
+    }, { timeout: SET_UP_TIMEOUT_MS })
+  }
+  finally {
+    release()
+    await Promise.all(rounds)
+  }
 }
 
 describe('a backend server that turns a gateway away and asks for rest', () => {
--- a/test/platform/support/notice-pool.ts
+++ b/test/platform/support/notice-pool.ts
@@ -66,12 +66,16 @@
   /** Requests that were turned away, at the time of the answer. */
   readonly turnedAwayAt: Arrival[] = []
   readonly periods: NoticePeriod[] = []
+  /** Its answers to requests, but not to reports, wait until this is resolved. @default none wait */
+  heldUntil: Promise<void> | undefined
 
   constructor(readonly stand: StandInBackend, { workMs = 0, respond = answerWhole(), senderOf = senderById }: NoticeBackendOptions = {}) {
     stand.respond = async (seen, response) => {
       const arrival = { gateway: senderOf(seen), requestId: String(seen.headers['attempt-id']), path: seen.path, at: seen.at }
       this.arrivals.push(arrival)
       await wait(workMs)
+      if (seen.path !== REPORT_PATH)
+        await this.heldUntil
       const notice = this.tell(arrival.gateway)
       for (const [name, value] of Object.entries(notice?.headers ?? {}))
         response.setHeader(name, value)
