--- a/packages/gateway/src/request/answers/answer-relay.ts
+++ b/packages/gateway/src/request/answers/answer-relay.ts
@@ -1,9 +1,9 @@
 /**
- * Passes one backend server's answer on: whole ones after they were read to
- * their end, streams by whole events as they come. What may have been cut
- * short is never framed as complete. It holds a whole answer's bytes until
- * they are sent, and of a stream the event that isn't complete yet; both are
- * lost with the process, whose connections break.
+ * Forwards a backend server's response to the client. Non-streaming responses
+ * are buffered to the end first; streams are forwarded event by event. A
+ * response that may be truncated is never framed as complete. Holds the bytes
+ * of a buffered response until they are sent, and of a stream only the
+ * incomplete event; if the process dies, both are lost and the connections break.
  */
 import type { Result } from 'ts-results-es'
 import type { BackendAnswer } from '../../connection/backends/backend-client.js'
@@ -17,55 +17,55 @@
 import { SilenceWatch } from './silence-watch.js'
 
 /**
- * Bytes; a larger whole answer counts as broken, since it is held in memory
- * until its end. Half could refuse large answers, twice lets a few of them fill
- * the process's memory.
+ * A larger non-streaming response is treated as broken, because it is buffered
+ * in memory. Half would reject legitimate large responses; with twice, a few
+ * large responses could exhaust the process's memory.
  */
-const MAX_WHOLE_ANSWER_BYTES = 8_000_000
+const MAX_BUFFERED_RESPONSE_BYTES = 8_000_000
 
-/** A whole answer that was read to its end. */
+/** A non-streaming response that was read to its end. */
 export interface WholeAnswer {
   answer: BackendAnswer
   body: Buffer
 }
 
-/** Reads a whole answer; an error where it breaks off, is too large or the time in milliseconds is over. */
+/** Buffers a response; returns an error if it breaks off, is too large or takes longer than `remainingMs`. */
 export async function readWhole(
   answer: BackendAnswer,
   controller: AbortController,
   remainingMs: number,
 ): Promise<Result<WholeAnswer, string>> {
   const timer = setTimeout(() => controller.abort(), atLeastOne(remainingMs))
-  const body = await readBody(answer.body, MAX_WHOLE_ANSWER_BYTES)
+  const body = await readBody(answer.body, MAX_BUFFERED_RESPONSE_BYTES)
   clearTimeout(timer)
   if (body.isErr()) {
     answer.destroy()
-    return Err(body.error.kind === BodyFailureKind.TooLarge ? `the answer is ${body.error.message}` : body.error.message)
+    return Err(body.error.kind === BodyFailureKind.TooLarge ? `response body is ${body.error.message}` : body.error.message)
   }
   return Ok({ answer, body: body.value })
 }
 
-/** Passes a whole answer on, with the framing that its backend server gave it. */
+/** Sends a buffered response to the client, with the same framing as the backend server used. */
 export function passWhole({ answer, body }: WholeAnswer, client: ClientAnswer): void {
   if (answer.framed)
     return client.sendWhole(answer.status, answer.headers, body)
   client.beginUnframed(answer.status, answer.headers)
-  // Sending fails only where the client left: nobody waits for the rest.
+  // Sending fails only if the client disconnected; the error needs no handling.
   void client.send(body).then(() => client.end(), () => {})
 }
 
-/** What the relay of a stream works with. */
+/** Dependencies and limits of a stream relay. */
 export interface RelayParts {
-  /** Aborts the call when the time is over or the backend server is silent. */
+  /** Aborts the call when the time runs out or the backend server stops responding. */
   controller: AbortController
   /** Milliseconds until the request's deadline. */
   remainingMs: number
   probe: Probe
-  /** An event is about to be passed on. */
+  /** Called just before an event is forwarded. */
   onEvent: (id: string | undefined) => void
 }
 
-/** Passes the events of one answer on; an error where it breaks off, is cut or the time is over. */
+/** Forwards the events of one response; returns an error if it breaks off, is truncated or runs out of time. */
 export async function relayStream(answer: BackendAnswer, client: ClientAnswer, parts: RelayParts): Promise<Result<void, string>> {
   const { controller } = parts
   const timer = setTimeout(() => controller.abort(), atLeastOne(parts.remainingMs))
@@ -73,9 +73,9 @@
   try {
     const resumed = client.started
     beginStream(answer, client)
-    await passEvents(answer, client, watch, parts.onEvent)
+    await forwardEvents(answer, client, watch, parts.onEvent)
     if (resumed && !answer.framed)
-      return Err('the rest of the stream came without a length: its end cannot be told from a cut')
+      return Err('resumed stream has no content length or chunked framing: cannot tell whether it is complete')
     client.end()
     return Ok(undefined)
   }
@@ -98,7 +98,7 @@
     client.beginUnframed(answer.status, answer.headers)
 }
 
-async function passEvents(
+async function forwardEvents(
   answer: BackendAnswer,
   client: ClientAnswer,
   watch: SilenceWatch,
--- a/packages/gateway/src/request/answers/event-splitter.ts
+++ b/packages/gateway/src/request/answers/event-splitter.ts
@@ -1,36 +1,34 @@
 /**
- * Splits a byte stream of server-sent events into whole events. It owns the
- * bytes of the event that isn't complete yet, until the stream ends; half an
- * event of a broken stream is dropped with it.
+ * Splits a byte stream of server-sent events into complete events. Buffers the
+ * bytes of the incomplete event; if the stream breaks, the caller drops the
+ * incomplete event with it.
  */
 
-/** One event with its bytes as they came. */
+/** One event with its bytes as received. */
 export interface StreamEvent {
   bytes: Buffer
   id: string | undefined
 }
 
-/** Byte that ends a line. */
 const LINE_FEED = 0x0A
-/** Byte that may stand before it. */
 const CARRIAGE_RETURN = 0x0D
 const ID_FIELD = /^id:\s?(.*)$/m
 
-/** Collects bytes until an event is whole. */
+/** Buffers bytes until an event is complete. */
 export class EventSplitter {
   private rest: Buffer = Buffer.alloc(0)
 
-  /** Whether part of an event is waiting for its end. */
+  /** Whether an incomplete event is buffered. */
   get hasPartial(): boolean {
     return this.rest.length > 0
   }
 
-  /** Bytes of the event that is not whole. */
+  /** Bytes of the incomplete event. */
   get partial(): Buffer {
     return this.rest
   }
 
-  /** The events that the bytes complete. */
+  /** Adds bytes and returns the events that they complete. */
   push(bytes: Buffer): StreamEvent[] {
     const buffer = this.rest.length === 0 ? bytes : Buffer.concat([this.rest, bytes])
     const events: StreamEvent[] = []
@@ -44,7 +42,7 @@
   }
 }
 
-/** Place after the blank line that ends the event, or -1. */
+/** Index after the blank line that terminates the event, or -1. Accepts LF and CRLF line endings. */
 function findEnd(buffer: Buffer, start: number): number {
   for (let index = buffer.indexOf(LINE_FEED, start); index >= 0; index = buffer.indexOf(LINE_FEED, index + 1)) {
     const next = buffer[index + 1] === CARRIAGE_RETURN ? index + 2 : index + 1
--- a/packages/gateway/src/request/answers/silence-watch.ts
+++ b/packages/gateway/src/request/answers/silence-watch.ts
@@ -1,60 +1,62 @@
 /**
- * Decides when a stream is abandoned because its backend server is silent.
+ * Decides when a call is aborted because its backend server has stopped
+ * responding.
  *
- * Inputs: time since the last bytes of the answer (ms), probes in a row that
- * the backend server did not answer.
- * Rule: a silent stream has its backend server probed; any answer to a probe
- * counts as a sign of life, probes in a row without one abandon the stream.
- * Why: a frozen or cut-off backend server breaks no connection, and a pause
- * between events is normal; a probe tells the two apart, a time limit can't.
- * Log event: `call-failed` (kind `aborted` before the head, `broken` after it).
+ * Inputs: time since the last bytes of the response (ms), consecutive probes
+ * that the backend server did not answer.
+ * Rule: once a stream is idle, its backend server is probed. Any reply to a
+ * probe resets the idle time; consecutive unanswered probes abort the call.
+ * Why: a frozen or partitioned backend server does not break the connection, and
+ * pauses between events are normal. A probe can tell the two apart, a plain idle
+ * timeout cannot.
+ * Log event: `call-failed` (kind `aborted` before the response head, `broken` after it).
  *
- * State: the last sign of life, until the watch is stopped.
+ * State: the time of the last activity, until the detector is stopped.
  */
 
-/** Whether the backend server answers at all within a time in milliseconds. */
+/** Whether the backend server responds at all within a time in milliseconds. */
 export type Probe = (timeoutMs: number) => Promise<boolean>
 
 /**
- * Milliseconds of silence before a probe. Half probes in ordinary pauses, twice
- * comes after clients have left.
+ * Idle time before a probe. Half would probe during ordinary pauses; with twice,
+ * clients have disconnected before the stall is detected.
  */
-const SILENCE_MS = 900
-/** Milliseconds between looks at the silence; a third of it, so that it is noticed at most that much late. */
-const CHECK_INTERVAL_MS = SILENCE_MS / 3
+const IDLE_BEFORE_PROBE_MS = 900
+/** Interval of the idle check; a third of the idle time bounds how late a stall is noticed. */
+const CHECK_INTERVAL_MS = IDLE_BEFORE_PROBE_MS / 3
 /**
- * Milliseconds for a probe's answer. Half fails on a busy backend server, twice
- * delays the other attempt.
+ * Time for the reply to a probe. Half fails on a busy backend server, twice
+ * delays the next attempt.
  */
 const PROBE_TIMEOUT_MS = 500
 /**
- * Probes in a row without an answer. One would abandon on a single lost packet,
- * four come after clients have left.
+ * Consecutive unanswered probes. With one, a single lost packet would abort the
+ * call; with four, clients have disconnected before the abort.
  */
 const MAX_FAILED_PROBES = 2
 
-/** What is known of a stream's silence. */
-interface Silence {
-  silentMs: number
+/** Inputs of the decision on an idle call. */
+interface IdleState {
+  idleMs: number
   failedProbes: number
 }
 
-/** What is done about a stream's silence. */
-enum SilenceDecision {
+/** What to do about an idle call. */
+enum IdleDecision {
   Wait,
   Probe,
-  Abandon,
+  Abort,
 }
 
-function decideOnSilence({ silentMs, failedProbes }: Silence): SilenceDecision {
+function decideOnIdle({ idleMs, failedProbes }: IdleState): IdleDecision {
   if (failedProbes >= MAX_FAILED_PROBES)
-    return SilenceDecision.Abandon
-  return silentMs >= SILENCE_MS ? SilenceDecision.Probe : SilenceDecision.Wait
+    return IdleDecision.Abort
+  return idleMs >= IDLE_BEFORE_PROBE_MS ? IdleDecision.Probe : IdleDecision.Wait
 }
 
-/** Watches one answer until it is stopped. */
+/** Monitors one response until it is stopped. */
 export class SilenceWatch {
-  private heardAt = performance.now()
+  private lastActivityAt = performance.now()
   private failedProbes = 0
   private stopped = false
   private timer: NodeJS.Timeout
@@ -63,9 +65,9 @@
     this.timer = this.schedule()
   }
 
-  /** Bytes of the answer came, or the backend server answered a probe. */
+  /** Called when bytes of the response arrive; also when the backend server answers a probe. */
   heard(): void {
-    this.heardAt = performance.now()
+    this.lastActivityAt = performance.now()
     this.failedProbes = 0
   }
 
@@ -79,18 +81,18 @@
   }
 
   private async check(): Promise<void> {
-    if (this.decide() === SilenceDecision.Probe)
+    if (this.decide() === IdleDecision.Probe)
       await this.probeOnce()
     if (this.stopped)
       return
-    if (this.decide() === SilenceDecision.Abandon)
+    if (this.decide() === IdleDecision.Abort)
       this.abandon()
     else
       this.timer = this.schedule()
   }
 
-  private decide(): SilenceDecision {
-    return decideOnSilence({ silentMs: performance.now() - this.heardAt, failedProbes: this.failedProbes })
+  private decide(): IdleDecision {
+    return decideOnIdle({ idleMs: performance.now() - this.lastActivityAt, failedProbes: this.failedProbes })
   }
 
   private async probeOnce(): Promise<void> {
--- a/packages/gateway/src/request/attempts/backend-attempt.ts
+++ b/packages/gateway/src/request/attempts/backend-attempt.ts
@@ -1,9 +1,9 @@
 /**
- * One attempt of a request at one backend server: the call, the limit on its
- * time, and its answer on the way to the client. It owns the call's abort
- * signal and timers until the attempt ends; the connection belongs to the
- * backend client. When the process dies, both connections break, and the client
- * sees that its answer isn't whole.
+ * One attempt of a request at one backend server: makes the call, limits its
+ * time and forwards the response to the client. Owns the call's abort signal and
+ * timers until the attempt ends; the connection belongs to the backend client.
+ * If the process dies, both connections break, so that the client can tell that
+ * the response is incomplete.
  */
 import type { BackendAnswer, BackendCall, BackendClient, CallFailure } from '../../connection/backends/backend-client.js'
 import type { Backend } from '../../connection/backends/backend.js'
@@ -16,33 +16,33 @@
 import { SilenceWatch } from '../answers/silence-watch.js'
 import { AttemptEnd, endOfFailure } from './retry-rule.js'
 
-/** First status that isn't a success (RFC 9110, section 15). */
+/** Statuses below this one count as success (RFC 9110, section 15). */
 const SUCCESS_STATUS_END = 300
-/** First status of a failure of the server's own (RFC 9110, section 15.6). */
+/** First status of the server error class (RFC 9110, section 15.6). */
 const SERVER_ERROR_STATUS = 500
 
 /** How one attempt ended. */
 export interface AttemptResult {
   end: AttemptEnd
-  /** Why no answer came; absent where one did. */
+  /** Why there was no response; undefined if there was one. */
   failure?: CallFailure
-  /** The answer said where it ends: one that does not may have been cut by the end of its backend server. @default false */
+  /** Whether the response head says where the body ends; an unframed response may have been truncated by the exit of its backend server. @default false */
   framed?: boolean
-  /** A whole failure answer, to be passed on where nothing better comes. */
+  /** A complete server error response, sent to the client if no later attempt succeeds. */
   fallback?: WholeAnswer
 }
 
-/** What one attempt works with. */
+/** Dependencies of one attempt. */
 export interface AttemptParts {
   client: BackendClient
   backend: Backend
   request: RoutedRequest
   answer: ClientAnswer
-  /** An event of a stream is about to be passed on. */
+  /** Called just before an event of a stream is forwarded. */
   onEvent: (id: string | undefined) => void
 }
 
-/** Sends a request to one backend server and passes its answer on. */
+/** Sends a request to one backend server and forwards the response. */
 export class BackendAttempt {
   private readonly controller = new AbortController()
   private readonly probe: Probe
@@ -51,12 +51,12 @@
     this.probe = timeoutMs => parts.client.probe(parts.backend, timeoutMs)
   }
 
-  /** Whether the attempt was abandoned or its client left. */
+  /** Whether this gateway abandoned the attempt or the client disconnected. */
   get aborted(): boolean {
     return this.controller.signal.aborted
   }
 
-  /** Calls the backend server; its answer's head has to come within the time, in milliseconds. */
+  /** Calls the backend server, which has to send the response head within `headTimeMs`. */
   async run(call: BackendCall, headTimeMs: number, clientSignal: AbortSignal): Promise<AttemptResult> {
     const abort = (): void => this.controller.abort()
     const timer = setTimeout(abort, headTimeMs)
@@ -76,7 +76,7 @@
     }
   }
 
-  /** Probes the backend server of a stream while no head comes. */
+  /** Probes the backend server of a stream until the response head arrives. */
   private async watchHead<Head>(head: Promise<Head>): Promise<Head> {
     if (!this.parts.request.route.streaming)
       return head
@@ -97,7 +97,6 @@
     return this.takeWhole(answer)
   }
 
-  /** Passes events on as they come. */
   private async relay(answer: BackendAnswer): Promise<AttemptResult> {
     const ended = await relayStream(answer, this.parts.answer, {
       controller: this.controller,
@@ -108,13 +107,13 @@
     return ended.isOk() ? { end: AttemptEnd.Answered } : broken(ended.error)
   }
 
-  /** A stream that has begun cannot end with another answer's head. */
+  /** Rejects a non-streaming response to a resumed stream, whose head has already been sent. */
   private refuseWhole(answer: BackendAnswer): AttemptResult {
     answer.destroy()
-    return broken(`status ${answer.status} in place of the rest of the stream`)
+    return broken(`got status ${answer.status} while resuming a stream that has already started`)
   }
 
-  /** Reads a whole answer before any of it is passed on, so that a broken one never looks whole. */
+  /** Buffers the whole response before sending it, so that a truncated one is never framed as complete. */
   private async takeWhole(answer: BackendAnswer): Promise<AttemptResult> {
     const whole = await readWhole(answer, this.controller, this.remainingMs())
     if (whole.isErr())
--- a/packages/gateway/src/request/attempts/backend-choice.ts
+++ b/packages/gateway/src/request/attempts/backend-choice.ts
@@ -1,17 +1,17 @@
 /**
  * Decides the order in which backend servers are tried for a request.
  *
- * Inputs: the backend servers of the service that take new work and weren't
- * tried; the calls of this process under way at each (now); the load that each
- * reported with an answer (at most LOAD_LIFETIME_MS old); for model engines also
+ * Inputs: the backend servers of the service that accept work and were not tried
+ * yet; this process's calls in flight at each (current); the load that each
+ * reported with a response (at most LOAD_LIFETIME_MS old); for model engines also
  * the prompt's parts (tokens) and the stage results to fetch (bytes).
- * Rule: the least predicted cost first. Plain services: load for each slot, with
- * a surcharge for another failure domain. Model engines, in milliseconds: shared
- * prompt tokens to read again, requests at work there, bytes from another
- * failure domain.
- * Why: prompt parts shared by requests stay in a backend server's memory; one
- * server for each shared part, found by rendezvous hashing, lets all gateways
- * agree without a message, and load still moves requests away from it.
+ * Rule: lowest predicted cost first. Plain services: load per slot, plus a
+ * penalty for another failure domain. Model engines, in milliseconds: shared
+ * prompt tokens to process again, requests in progress there, bytes to fetch
+ * from another failure domain.
+ * Why: backend servers cache the prompt parts that requests share. Rendezvous
+ * hashing maps each shared part to one server, so that all gateways agree without
+ * exchanging messages; the load term still moves requests away from a busy server.
  * Log event: `route`.
  */
 import type { EjectionPolicy } from '@eidermast/common'
@@ -19,29 +19,29 @@
 import type { PromptPart } from '../../connection/clients/client-codec.js'
 import { countTokens, findHome, sharedParts } from '../prompt-parts.js'
 
-/** What a choice goes by. */
+/** The request properties that selection depends on. */
 export interface ChoiceSubject {
-  /** Parts of the prompt in order; the last one belongs to the request itself. */
+  /** Parts of the prompt in order; the last one is specific to the request. */
   promptParts: readonly PromptPart[]
-  /** Failure domain of the caller, or where most of what the backend server fetches lies. */
+  /** Failure domain of the caller, or the one that holds most of the data that the backend server fetches. */
   failureDomain: string
   /** Bytes that the backend server fetches from that failure domain. */
   bytes: number
 }
 
-/** A way to choose among backend servers. */
+/** A load balancing policy. */
 export interface BackendChoice {
-  /** The candidates that aren't ejected, the best first; empty where there is none. */
+  /** The candidates that are not ejected, in order of preference; empty if there are none. */
   order: (candidates: readonly Backend[], subject: ChoiceSubject) => Backend[]
 }
 
 /**
- * Milliseconds; older reports of load count for nothing. Half ignores servers
- * that answer seldom, twice avoids servers that are idle again.
+ * Older load reports are ignored. Half would ignore servers that respond rarely,
+ * twice would avoid servers that have become idle since.
  */
 const LOAD_LIFETIME_MS = 1500
 
-/** Requests that a backend server works on or holds, as far as this process knows. */
+/** Requests in progress or queued at a backend server, as far as this process knows. */
 function knownLoad(backend: Backend, now: number): number {
   const isRecent = now - backend.loadAt < LOAD_LIFETIME_MS
   const reported = backend.load && isRecent ? backend.load.running + backend.load.waiting : 0
@@ -49,18 +49,17 @@
 }
 
 /**
- * Load for each slot that a call to another failure domain weighs. Half crosses
- * domains for small differences of load, twice lets the own domain fill up
- * first.
+ * Load per slot that a call to another failure domain is worth. Half crosses
+ * domains for small differences in load, twice fills the own domain first.
  */
 const OTHER_DOMAIN_COST = 0.3
 /**
- * Load for each slot, at random, that spreads calls of several gateways over
- * servers with like loads. It only has to be smaller than one call's share.
+ * Upper bound of the random load per slot that spreads the calls of several
+ * gateways over equally loaded servers. Must be less than the load of one call.
  */
 const MAX_TIE_BREAK = 0.01
 
-/** Plain services: the least load for each slot, the own failure domain where loads are alike. */
+/** For plain services: the lowest load per slot, with a preference for the own failure domain. */
 export class LeastLoadChoice implements BackendChoice {
   constructor(private readonly ejection: EjectionPolicy) {}
 
@@ -77,23 +76,23 @@
 }
 
 /**
- * Milliseconds for each prompt token read again. Well above the reading time,
- * since it also takes the server's time from others.
+ * Cost of a prompt token that is not cached. Well above the processing time of
+ * a token, because processing also delays the server's other requests.
  */
 const TOKEN_COST_MS = 0.05
 /**
- * Milliseconds for each request at work beside this one. Half keeps shared
- * prompts on busy servers, twice scatters them.
+ * Cost of each other request in progress. Half keeps shared prompts on busy
+ * servers, twice scatters them.
  */
 const RUNNING_COST_MS = 8
 /**
  * Bytes from another failure domain that cost one millisecond. Half moves
- * requests to busy servers to save bytes, twice crosses domains for small
- * differences of load.
+ * requests to busy servers to save transfers, twice crosses domains for small
+ * differences in load.
  */
 const OTHER_DOMAIN_BYTES_PER_MS = 40_000
 
-/** Model engines: cached prompt parts, load, and bytes from other failure domains. */
+/** For model engines: cached prompt parts, load, and bytes from other failure domains. */
 export class PrefixAwareChoice implements BackendChoice {
   constructor(private readonly ejection: EjectionPolicy) {}
 
@@ -101,9 +100,9 @@
     const now = performance.now()
     const usable = this.ejection.filter(candidates)
     const sharedTokens = countTokens(sharedParts(subject.promptParts))
-    const home = findHome(subject.promptParts, usable)
+    const preferred = findHome(subject.promptParts, usable)
     return orderByCost(usable, (backend) => {
-      const read = backend === home ? 0 : sharedTokens * TOKEN_COST_MS
+      const read = backend === preferred ? 0 : sharedTokens * TOKEN_COST_MS
       const fetch = backend.failureDomain === subject.failureDomain ? 0 : subject.bytes / OTHER_DOMAIN_BYTES_PER_MS
       return read + fetch + knownLoad(backend, now) * RUNNING_COST_MS
     })
--- a/packages/gateway/src/request/attempts/backend-run.ts
+++ b/packages/gateway/src/request/attempts/backend-run.ts
@@ -1,8 +1,8 @@
 /**
- * One request on its way through the backend servers of its service: attempts,
- * one after the other, until one answers or the retry rule says that there is
- * no other. It owns what the attempts have brought so far, until the request
- * ends; nothing of it outlives the process.
+ * Runs one request at the backend servers of its service: attempts follow one
+ * another until one brings a response or the retry rule ends the run. Holds the
+ * results of the attempts so far until the request ends; nothing outlives the
+ * process.
  */
 import type { EjectionPolicy } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
@@ -26,29 +26,29 @@
 import { decideHealthSign, recordHealthSign } from './ejection-feed.js'
 import { AttemptEnd, decideAfterAttempt, decideBeforeAttempt, isFreeToRetry, mayRunAfterNext, needsBudget, RetryDecision } from './retry-rule.js'
 
-/** The backend servers that are known; implemented by the process's registry. */
+/** The known backend servers; implemented by the process's registry. */
 export interface KnownBackends {
-  /** Backend servers of a service that take new work. */
+  /** Backend servers of a service that accept new work. */
   available: (service: string) => Backend[]
-  /** Sends nothing to a backend server from now on. */
+  /** Stops sending to a backend server. */
   removeBackend: (backend: Backend, reason: string) => void
 }
 
-/** What a run works with. */
+/** Dependencies of a run. */
 export interface BackendRunParts {
   registry: KnownBackends
   client: BackendClient
   ejection: EjectionPolicy
   budget: RetryBudget
   crashes: CrashWatch
-  /** When a request may go to a backend server that says what it takes. */
+  /** Says when a request may be sent to a backend server that limits its intake. */
   intake: Pick<IntakeGate, 'waitMs'>
   log: RequestLog
   /** Whether a service's backend servers are model engines. */
   isEngine: (service: string) => boolean
 }
 
-/** The best backend server that was not tried; undefined where there is none. */
+/** Selects the preferred backend server that was not tried; returns undefined if there is none. */
 export type ChooseBackend = (request: RoutedRequest, inputs: RunInputs, tried: ReadonlySet<string>) => Backend | undefined
 
 /** Runs one request. */
@@ -61,7 +61,7 @@
   private firstEventAt: number | undefined
   private lastFailure: CallFailure | undefined
   private fallback: WholeAnswer | undefined
-  /** Milliseconds until some backend server takes a request, as of the last choice that found none; 0 before one. */
+  /** Milliseconds until a backend server accepts a request, as of the last selection that found none; 0 before that. */
   private waitMs = 0
 
   constructor(
@@ -73,7 +73,7 @@
     this.lastEventId = subject.request.head.lastEventId
   }
 
-  /** Answers the request, or says why there is no answer. */
+  /** Answers the request, or returns why it could not be answered. */
   async run(): Promise<RunEnd> {
     const { request, signal } = this.subject
     let decision = signal.aborted ? RetryDecision.Cancelled : RetryDecision.Proceed
@@ -84,17 +84,17 @@
       const result = await this.attempt(next.value)
       if (result.end === AttemptEnd.Answered)
         return { firstEventAt: this.firstEventAt }
-      this.takeFailure(next.value, result)
+      this.recordFailure(next.value, result)
       decision = decideAfterAttempt(this.history, request.route, signal.aborted)
     }
     return this.end(decision)
   }
 
   /**
-   * Provides what the next attempt needs and chooses its backend server, or
-   * says why there is none. A retry is taken from the budget before stage
-   * results are made again, so that none are made for nothing. That takes
-   * seconds, and so the server is chosen after it.
+   * Selects the backend server for the next attempt and recreates the inputs if
+   * needed, or returns why there is no further attempt. The retry is taken from
+   * the budget first, so that stage results are not recreated in vain. Recreating
+   * them takes seconds, so the server is selected again afterwards.
    */
   private async prepareAttempt(): Promise<Result<Backend, RetryDecision>> {
     const { budget } = this.parts
@@ -102,11 +102,11 @@
     const isRetry = needsBudget(this.history)
     if (this.parts.crashes.refusal(this.subject.request.fingerprint) !== undefined)
       return Err(RetryDecision.Quarantined)
-    const early = this.chooseForAttempt()
-    if (early.isOk() && isRetry && !budget.takeRetry(service))
+    const candidate = this.chooseForAttempt()
+    if (candidate.isOk() && isRetry && !budget.takeRetry(service))
       return Err(RetryDecision.BudgetUsed)
-    if (early.isErr() || !this.inputsRead)
-      return early
+    if (candidate.isErr() || !this.inputsRead)
+      return candidate
     const isRenewed = await this.renewInputs()
     const choice = isRenewed ? this.chooseForAttempt() : Err(RetryDecision.InputsGone)
     if (choice.isErr() && isRetry)
@@ -114,14 +114,14 @@
     return choice
   }
 
-  /** The backend server for the next attempt, or why none is made. */
+  /** Selects the backend server for the next attempt, or returns why there is no attempt. */
   private chooseForAttempt(): Result<Backend, RetryDecision> {
     const backend = this.chooseBackend()
     const decision = decideBeforeAttempt({ history: this.history, hasBackend: backend !== undefined, remainingMs: this.remainingMs() })
     return backend && decision === RetryDecision.Proceed ? Ok(backend) : Err(decision)
   }
 
-  /** The best backend server that was not tried. A turn at one may begin between the choice and the look at when there is one. */
+  /** Selects the preferred backend server that was not tried. Selects again if a wait has ended between the selection and the look-up of the shortest wait. */
   private chooseBackend(): Backend | undefined {
     const { request, inputs } = this.subject
     const backend = this.choose(request, inputs, this.tried)
@@ -131,7 +131,7 @@
     return this.waitMs === 0 ? this.choose(request, inputs, this.tried) : undefined
   }
 
-  /** Makes the stage results again, which an earlier attempt read or lost. */
+  /** Recreates the stage results that an earlier attempt consumed or lost. */
   private async renewInputs(): Promise<boolean> {
     this.handles = await this.subject.inputs.renew?.()
     this.inputsRead = false
@@ -142,10 +142,10 @@
     const { request, answer, signal } = this.subject
     this.tried.add(backend.id)
     this.parts.log.attemptStarted({ request, backend, attempt: this.history.attempts, remainingMs: this.remainingMs() })
-    const attempt = new BackendAttempt({ client: this.parts.client, backend, request, answer, onEvent: id => this.takeEvent(id) })
+    const attempt = new BackendAttempt({ client: this.parts.client, backend, request, answer, onEvent: id => this.recordEvent(id) })
     const startedAt = performance.now()
-    const result = await attempt.run(this.describe(), this.attemptTime(), signal)
-    this.judge(backend, result, performance.now() - startedAt, attempt.aborted)
+    const result = await attempt.run(this.buildCall(), this.attemptTime(), signal)
+    this.reportResult(backend, result, performance.now() - startedAt, attempt.aborted)
     return result
   }
 
@@ -158,7 +158,7 @@
     })
   }
 
-  private describe(): BackendCall {
+  private buildCall(): BackendCall {
     const { request } = this.subject
     return {
       requestId: request.head.requestId,
@@ -174,8 +174,8 @@
     }
   }
 
-  /** The first event shows that the backend server has read its inputs; each one is where a resumed stream goes on. */
-  private takeEvent(id: string | undefined): void {
+  /** The first event shows that the backend server has fetched its inputs; the last event id is where a resumed stream continues. */
+  private recordEvent(id: string | undefined): void {
     this.firstEventAt ??= performance.now()
     if (!this.inputsRead && this.subject.inputs.handles) {
       this.inputsRead = true
@@ -184,7 +184,7 @@
     this.lastEventId = id ?? this.lastEventId
   }
 
-  private judge(backend: Backend, result: AttemptResult, tookMs: number, aborted: boolean): void {
+  private reportResult(backend: Backend, result: AttemptResult, tookMs: number, aborted: boolean): void {
     const { request, signal } = this.subject
     const { failure } = result
     const sign = decideHealthSign({
@@ -198,10 +198,10 @@
     if (failure)
       this.parts.log.attemptFailed({ requestId: request.head.requestId, backend, failure, tookMs })
     if (failure?.kind === CallFailureKind.Misdirected)
-      this.parts.registry.removeBackend(backend, 'another backend server has its address')
+      this.parts.registry.removeBackend(backend, 'address is now used by another backend server')
   }
 
-  /** An answer that does not say where it ends looks whole also where the end of its backend server cut it. */
+  /** An unframed response looks complete even if a crash of its backend server truncated it, so it does not count as answered. */
   private reportToCrashWatch(backend: Backend, { failure, framed }: AttemptResult): void {
     const { fingerprint } = this.subject.request
     if (!failure && framed)
@@ -210,7 +210,7 @@
       void this.parts.crashes.noteBroken(backend, fingerprint)
   }
 
-  private takeFailure(backend: Backend, { end, failure, fallback }: AttemptResult): void {
+  private recordFailure(backend: Backend, { end, failure, fallback }: AttemptResult): void {
     this.history.attempts++
     this.history.lastEnd = end
     if (end !== AttemptEnd.NotRun)
@@ -246,7 +246,7 @@
   }
 }
 
-/** Milliseconds until some backend server of a service takes a request, by their own word; Infinity where none takes work. */
+/** Milliseconds until a backend server of a service accepts a request, as the servers report; Infinity if none accepts work. */
 export function shortestWaitMs({ registry, intake }: Pick<BackendRunParts, 'registry' | 'intake'>, service: string): number {
   return Math.min(...registry.available(service).map(backend => intake.waitMs(backend)))
 }
--- a/packages/gateway/src/request/attempts/backend-runner.ts
+++ b/packages/gateway/src/request/attempts/backend-runner.ts
@@ -1,7 +1,7 @@
 /**
- * Runs requests at the backend servers of their services. It lives as long as
- * the process, owns nothing that changes, and relies on the registry for the
- * candidates and on `backend-choice` for their order.
+ * Runs requests at the backend servers of their services. Lives as long as the
+ * process and has no mutable state; takes the candidates from the registry and
+ * their order from the policies in `backend-choice.ts`.
  */
 import type { EventLog } from '@eidermast/common'
 import type { Backend } from '../../connection/backends/backend.js'
@@ -16,24 +16,25 @@
 import { NO_INPUTS } from './run-subject.js'
 
 /**
- * Milliseconds after which a limit is asked about by a request in this gateway's
- * next turn. Half moves more requests from the engines that hold their prompts,
- * twice leaves a backend server without work that has ended its limit.
+ * Age after which a known limit is refreshed by sending a request in this
+ * gateway's next time slot. Half moves more requests away from the engines that
+ * cache their prompts; twice leaves a backend server idle longer after it has
+ * lifted its limit.
  */
 const LIMIT_REFRESH_MS = 1000
 
-/** What the runner works with. */
+/** Dependencies of the runner. */
 export interface BackendRunnerParts extends Omit<BackendRunParts, 'log'> {
   /** Failure domain of this process. */
   failureDomain: string
   plainChoice: BackendChoice
   engineChoice: BackendChoice
-  /** How often this process may send to a cold backend server that no coordinator assigned. */
+  /** Limits what this process sends to cold backend servers without an assignment by a coordinator. */
   coldPace: Pick<ColdPace, 'mayTake' | 'note'>
   log: EventLog
 }
 
-/** Chooses backend servers and runs requests at them. */
+/** Selects backend servers and runs requests at them. */
 export class BackendRunner {
   private readonly runParts: BackendRunParts
 
@@ -41,23 +42,23 @@
     this.runParts = { ...parts, log: new RequestLog(parts.log) }
   }
 
-  /** Failure domain of the backend server that would be chosen now. */
+  /** Failure domain of the backend server that would be selected now. */
   preferredFailureDomain(request: RoutedRequest): string {
     return this.choose(request, NO_INPUTS, new Set())?.failureDomain ?? this.parts.failureDomain
   }
 
-  /** Milliseconds until some backend server of the request's service takes a request, by their own word; Infinity where none takes work. */
+  /** Milliseconds until a backend server of the request's service accepts a request, as the servers report; Infinity if none accepts work. */
   shortestWaitMs({ service }: RoutedRequest): number {
     return shortestWaitMs(this.parts, service)
   }
 
-  /** Answers the request, or says why there is no answer. */
+  /** Answers the request, or returns why it could not be answered. */
   async run(subject: RunSubject): Promise<RunEnd> {
     this.parts.budget.countRequest(subject.request.service)
     return new BackendRun(this.runParts, this.chooseForCall.bind(this), subject).run()
   }
 
-  /** As `choose`, for a call that follows. */
+  /** Selects a backend server for a call and counts the call against the cold start limit. */
   private chooseForCall(request: RoutedRequest, inputs: RunInputs, tried: ReadonlySet<string>): Backend | undefined {
     const backend = this.choose(request, inputs, tried)
     if (backend && backend.id !== inputs.engine)
@@ -65,7 +66,7 @@
     return backend
   }
 
-  /** The best backend server that was not tried. */
+  /** The preferred backend server among those that were not tried. */
   private choose(request: RoutedRequest, inputs: RunInputs, tried: ReadonlySet<string>): Backend | undefined {
     const candidates = this.parts.registry.available(request.service).filter(backend => !tried.has(backend.id))
     const now = performance.now()
@@ -85,7 +86,7 @@
   }
 }
 
-/** Whether it may have ended its limit since it named it: only the answer to a request tells. */
+/** Whether the limit may have been lifted since it was reported; only the response to a request can tell. */
 function isLimitOld({ limitPerSecond, limitNamedAt }: IntakeState, now: number): boolean {
   return limitPerSecond !== undefined && now - limitNamedAt > LIMIT_REFRESH_MS
 }
--- a/packages/gateway/src/request/attempts/cold-pace.ts
+++ b/packages/gateway/src/request/attempts/cold-pace.ts
@@ -1,63 +1,64 @@
 /**
- * Decides whether one more request may go to a cold backend server now, so that
- * all gateways together stay within what it withstands. Answers the load that
- * meets backend servers that have just started, a whole failure domain of them
- * at times: empty and idle, each of them seems the best choice to everybody.
+ * Decides whether one more request may be sent to a cold backend server now, so
+ * that all gateways together stay within the rate that it can take. This
+ * protects backend servers that have just started, at times a whole failure
+ * domain of them: they are empty and idle, so that every gateway prefers them.
  *
  * Inputs: since when and until when the backend server is cold (ms, as its
- * entry or its answers say, as of now); the requests a second that this process
- * may send there (from the configuration and the number of gateways); when it
- * sent the last one.
- * Rule: time since the beginning is divided into turns, one for each request
- * that this process may send. A turn is open for MAX_OPEN_MS, and takes one
- * request. Turns of different gateways begin at different moments, by a hash of
- * their names.
- * Why: the bound is a sum over all gateways, also those that do not know each
- * other, and no message is sent for it. A turn that stayed open would let all
- * gateways use saved turns in the same second; gateways whose turns began
- * together would all send at once when a backend server comes back.
+ * entry or its responses report, current); the rate at which this process may
+ * send to it (from the configuration and the number of gateways); when this
+ * process last sent a request there.
+ * Rule: the time since the cold start is divided into time slots, one for each
+ * request that this process may send. A time slot is open for MAX_OPEN_MS and
+ * admits one request. The time slots of different gateways are offset by a hash
+ * of their names.
+ * Why: the limit is a sum over all gateways, including those that do not know
+ * each other, and no messages are exchanged for it. If unused time slots stayed
+ * open, all gateways could use them in the same second; without the offset, all
+ * gateways would send at once when a backend server restarts.
  * Log event: `route`, `backend-cold`.
  *
- * State: when the last request went to each backend server, until it is removed.
+ * State: when the last request was sent to each backend server, until its removal.
  */
 import type { Backend } from '../../connection/backends/backend.js'
 import { HASH_RANGE, hashText } from '../rendezvous.js'
 
-/** What a cold backend server may get from all gateways together, over the rate that it withstands. */
+/** The rate at which all gateways together may send to a cold backend server, relative to the rate that it can take. */
 export interface ColdAllowance {
-  /** Factor on the rate. */
+  /** Factor on that rate. */
   overshoot: number
-  /** Requests in a second beside that. */
+  /** Additional requests per second. */
   slack: number
 }
 
 /**
- * Part of the allowance that coordinators assign together. The rest covers
- * gateways that choose by themselves, and two coordinators in a moment of change.
+ * Share of the allowance for assignments by all coordinators together. The rest
+ * is reserved for gateways that select by themselves, and for the short time in
+ * which two coordinators are active during a change.
  */
 export const COORDINATED_SHARE = 0.4
-/** Part of the allowance that gateways use which choose by themselves, all together. */
+/** Share of the allowance for gateways that select by themselves, all together. */
 export const OWN_SHARE = 0.15
-/** Milliseconds. A second meets the open turns of one and a half seconds; with longer ones, of two. */
+/** With 500 ms, any second overlaps the open time slots of at most 1.5 s; longer ones raise that to 2 s. */
 const MAX_OPEN_MS = 500
 const MILLISECONDS_PER_SECOND = 1000
 
-/** Requests a second to one cold backend server of a service; undefined where there is no bound. */
+/** Requests per second to one cold backend server of a service; undefined if there is no limit. */
 export type ColdRate = (service: string) => number | undefined
 
-/** Requests a second that all gateways together may send to a cold backend server that withstands a rate. */
-export function coldAllowancePerSecond(withstands: number, { overshoot, slack }: ColdAllowance): number {
-  return withstands * overshoot + slack
+/** Requests per second that all gateways together may send to a cold backend server that can take `sustainableRate`. */
+export function coldAllowancePerSecond(sustainableRate: number, { overshoot, slack }: ColdAllowance): number {
+  return sustainableRate * overshoot + slack
 }
 
-/** Spaces the requests of one process to each cold backend server. */
+/** Limits the rate of requests from one process to each cold backend server. */
 export class ColdPace {
   private readonly lastSentAt = new WeakMap<Backend, number>()
 
-  /** Takes the name of this gateway and the rate that it may use. */
+  /** `name` is the name of this gateway, `rate` the rate that it may use. */
   constructor(private readonly name: string, private readonly rate: ColdRate) {}
 
-  /** Whether a request may go there now; always where the backend server is not cold. */
+  /** Whether a request may be sent there now; always true if the backend server is not cold. */
   mayTake(backend: Backend, now: number): boolean {
     const rate = backend.isCold(now) ? this.rate(backend.service) : undefined
     if (rate === undefined)
@@ -66,18 +67,18 @@
     return openFor !== undefined && (this.lastSentAt.get(backend) ?? Number.NEGATIVE_INFINITY) < now - openFor
   }
 
-  /** A request goes there. */
+  /** Records that a request is sent. */
   note(backend: Backend, now: number): void {
     if (backend.isCold(now))
       this.lastSentAt.set(backend, now)
   }
 
-  /** Milliseconds for which a turn has been open; undefined where none is. */
-  private openFor(backend: Backend, turnMs: number, now: number): number | undefined {
-    const firstAt = backend.coldSince + turnMs * hashText(`${this.name}\n${backend.life}`) / HASH_RANGE
+  /** Milliseconds for which the current time slot has been open; undefined if none is open. */
+  private openFor(backend: Backend, slotMs: number, now: number): number | undefined {
+    const firstAt = backend.coldSince + slotMs * hashText(`${this.name}\n${backend.life}`) / HASH_RANGE
     if (now < firstAt)
       return undefined
-    const sinceTurn = (now - firstAt) % turnMs
-    return sinceTurn < MAX_OPEN_MS ? sinceTurn : undefined
+    const sinceSlotStart = (now - firstAt) % slotMs
+    return sinceSlotStart < MAX_OPEN_MS ? sinceSlotStart : undefined
   }
 }
--- a/packages/gateway/src/request/attempts/ejection-feed.ts
+++ b/packages/gateway/src/request/attempts/ejection-feed.ts
@@ -1,32 +1,34 @@
 /**
- * Decides what the end of an attempt says of its backend server, for ejection.
+ * Decides what the result of an attempt tells outlier ejection about the health
+ * of the backend server.
  *
  * Inputs: how the attempt ended, the kind of its failure, whether this gateway
- * or the client abandoned it. All are of the attempt that just ended.
- * Rule: a broken or unreachable call counts as a failure; one that this gateway
- * abandoned counts as slow; whole answers count as successes with their time.
- * Refusals say nothing of a backend server's health, nor does its leaving, nor
- * a client that leaves, nor the time of a stream, which its length sets.
- * Why: counting refusals would eject a pool's servers because they are busy.
- * Log events: `call-failed` (`kind`); ejection logs its part itself.
+ * or the client aborted it; all of the attempt that has just ended.
+ * Rule: a broken or unreachable call counts as a failure, and one that this
+ * gateway abandoned as slow. Non-streaming responses count as successes with
+ * their latency. These say nothing about health: refusals, shutdown of the
+ * backend server, disconnected clients, and the duration of a stream, which
+ * depends on its length.
+ * Why: counting refusals would eject a pool's servers for being busy.
+ * Log events: `call-failed` (`kind`); ejection logs its own decisions.
  */
 import type { EjectionPolicy } from '@eidermast/common'
 import type { Backend } from '../../connection/backends/backend.js'
 import { CallFailureKind } from '../../connection/backends/backend-client.js'
 import { AttemptEnd } from './retry-rule.js'
 
-/** The end of an attempt, as ejection sees it. */
+/** The inputs of the health decision, from one attempt. */
 export interface AttemptEvidence {
   end: AttemptEnd
-  /** Absent where an answer came. */
+  /** Undefined if there was a response. */
   failureKind: CallFailureKind | undefined
-  /** The answer was a stream. */
+  /** The response was a stream. */
   streaming: boolean
-  /** This gateway abandoned the attempt while its client waited. */
+  /** This gateway aborted the attempt while its client was still waiting. */
   abandonedHere: boolean
 }
 
-/** What an attempt says of its backend server. */
+/** What an attempt says about the health of its backend server. */
 export enum BackendHealthSign {
   Success = 'success',
   Failure = 'failure',
@@ -34,7 +36,7 @@
   None = 'none',
 }
 
-/** Decides what an attempt says of its backend server. */
+/** Decides what an attempt says about the health of its backend server. */
 export function decideHealthSign(evidence: AttemptEvidence): BackendHealthSign {
   if (evidence.end === AttemptEnd.Answered && !evidence.streaming)
     return BackendHealthSign.Success
@@ -49,7 +51,7 @@
   return kind === CallFailureKind.Aborted || kind === CallFailureKind.AbandonedUnsent
 }
 
-/** Hands a sign to ejection; the time is that of the whole attempt, in milliseconds. */
+/** Reports a health signal to outlier ejection; `tookMs` is the duration of the whole attempt. */
 export function recordHealthSign(ejection: EjectionPolicy, backend: Backend, sign: BackendHealthSign, tookMs: number): void {
   switch (sign) {
     case BackendHealthSign.Success:
--- a/packages/gateway/src/request/attempts/retry-budget.ts
+++ b/packages/gateway/src/request/attempts/retry-budget.ts
@@ -1,46 +1,46 @@
 /**
- * Decides whether a service's calls may be retried once more, so that retries
- * never multiply the load of a pool that fails.
+ * Decides whether a call of a service may be retried, so that retries do not
+ * multiply the load on a failing pool.
  *
  * Inputs: requests and retries of the service at this gateway over a sliding
- * window (its length in ms), the number of gateways, the allowance of all of
- * them together (settings `[retry]`).
- * Rule: retries in the window stay within a share of the requests in it, plus
- * this gateway's part of a fixed allowance.
- * Why: each gateway counts its own requests and takes its part of the fixed
- * allowance, so the sum holds without a message between gateways; a shared
- * count would fail when it is needed most.
+ * window (its length in ms), the number of gateways, the retry allowance of all
+ * of them together (settings `[retry]`).
+ * Rule: retries in the window are limited to a share of the requests in the
+ * window, plus this gateway's part of a fixed allowance.
+ * Why: each gateway counts its own requests and uses its part of the fixed
+ * allowance, so that the total holds without messages between gateways; a shared
+ * counter would be unavailable exactly when it is needed.
  * Log event: `request-ended` (`retry` is `budget-used`).
  *
- * State: counts of the last window. A new process begins with none, so a
- * restart grants its fixed part once more.
+ * State: the counts of the current window. A new process starts with none, so a
+ * restart grants the fixed part once more.
  */
 
-/** The allowance of all gateways together. */
+/** The retry allowance of all gateways together. */
 export interface RetryBudgetSettings {
-  /** Retries allowed for each request, from 0 to 1. */
+  /** Retries allowed per request, from 0 to 1. */
   ratio: number
-  /** Retries allowed in a window beside those. */
+  /** Additional retries allowed per window. */
   extra: number
   windowMs: number
 }
 
-/** Parts that the window slides by. Fewer forget retries in larger steps, more cost memory and time. */
+/** Resolution of the sliding window: fewer buckets expire counts in larger steps, more cost memory and time. */
 const BUCKETS = 20
 /**
- * Part of the allowance that is used. The rest covers gateways that this one
- * doesn't know yet; a larger part may exceed the allowance while gateways join.
+ * Share of the allowance that is used. The rest covers gateways that this one
+ * does not know yet; a larger share could exceed the allowance while gateways join.
  */
 const USED_SHARE = 0.8
 
-/** Counts of one part of the window. */
+/** Counts of one bucket of the window. */
 interface Bucket {
   index: number
   requests: number
   retries: number
 }
 
-/** Counts requests and retries of services over a sliding window. */
+/** Counts requests and retries per service over a sliding window. */
 export class RetryBudget {
   private readonly services = new Map<string, Bucket[]>()
   private readonly bucketMs: number
@@ -58,7 +58,7 @@
     this.bucket(service).requests++
   }
 
-  /** Takes one retry from the allowance; false where there is none. */
+  /** Takes one retry from the allowance; returns false if it is used up. */
   takeRetry(service: string): boolean {
     const buckets = this.recent(service)
     const requests = buckets.reduce((sum, bucket) => sum + bucket.requests, 0)
@@ -69,7 +69,7 @@
     return true
   }
 
-  /** Gives a retry back that was taken and not made. The oldest count is lowered, so that later windows never count too few. */
+  /** Returns a retry that was not made. Lowers the oldest count, so that later windows never undercount. */
   returnRetry(service: string): void {
     const taken = this.recent(service).find(bucket => bucket.retries > 0)
     if (taken)
--- a/packages/gateway/src/request/attempts/retry-rule.ts
+++ b/packages/gateway/src/request/attempts/retry-rule.ts
@@ -1,18 +1,18 @@
 /**
- * Decides whether a request that a backend server didn't answer is sent to
+ * Decides whether a request that a backend server did not answer is sent to
  * another one.
  *
  * Inputs: how the attempts so far ended, the route's flags and its limit of
- * runs, time left (ms, read at the decision), whether a backend server is left
- * that wasn't tried.
- * Rule: a request that provably did not run is sent again. One that ran, or may
- * have, is sent again only where the route allows that, and to no more backend
- * servers than the route says. Both need time for an answer and, if the call
- * reached a backend server or was abandoned while it waited for one, a retry
- * from the budget (retry-budget.ts).
- * Why: a request that runs twice without leave is a wrong answer, which is worse
- * than none. A call that reached nobody costs the pool nothing, so it is free;
- * every other retry adds load where calls fail already.
+ * runs, time left (ms, current), whether there is a backend server that was not
+ * tried.
+ * Rule: a request that provably did not run is sent again. One that ran or may
+ * have run is sent again only if the route allows that, and runs at most as often
+ * as the route says. Both need enough time for a response and, if the call
+ * reached a backend server or was abandoned while it waited for a connection, a
+ * retry from the budget (retry-budget.ts).
+ * Why: running a request twice without permission gives a wrong result, which is
+ * worse than none. A call that reached no backend server costs the pool nothing,
+ * so its retry is free; every other retry adds load where calls already fail.
  * Log events: `call-failed` for each attempt, `request-ended` (`retry`) for the
  * decision that ended the attempts.
  */
@@ -21,14 +21,14 @@
 import { CallFailureKind } from '../../connection/backends/backend-client.js'
 
 /**
- * Milliseconds; the least time worth an attempt. Half would send calls that
- * can't be answered in time, twice would refuse some that can.
+ * Least remaining time for another attempt. Half would send calls that cannot be
+ * answered in time, twice would refuse some that can.
  */
 const MIN_USEFUL_MS = 30
 /**
- * Attempts of one request, those included that did not run. Half would end
- * requests while a pool is being replaced, twice would queue for long in a full
- * pool.
+ * Attempts per request, including those that did not run. Half would fail
+ * requests while a pool is being replaced, twice would retry for too long while
+ * a pool is full.
  */
 const MAX_ATTEMPTS = 6
 
@@ -38,62 +38,62 @@
 /** How one attempt ended. */
 export enum AttemptEnd {
   Answered = 'answered',
-  /** It provably did not run there. */
+  /** It provably did not run. */
   NotRun = 'not-run',
-  /** It was sent, and nothing shows whether it ran. */
+  /** It was sent, and there is no evidence whether it ran. */
   MayHaveRun = 'may-have-run',
-  /** The backend server ran it and answered with a failure of its own. */
+  /** The backend server ran it and responded with a server error. */
   ServerError = 'server-error',
 }
 
 /** The attempts of a request so far. */
 export interface AttemptHistory {
   attempts: number
-  /** Attempts that ran, or may have. */
+  /** Attempts that ran or may have run. */
   runs: number
-  /** How the last one ended; absent before the first. */
+  /** How the last one ended; undefined before the first. */
   lastEnd?: AttemptEnd
-  /** Whether a byte of the last one reached a backend server. */
+  /** Whether any byte of the last one reached a backend server. */
   reachedBackend: boolean
 }
 
-/** Whether there is another attempt, and if not, why. */
+/** Whether there is another attempt; if not, why. */
 export enum RetryDecision {
   Proceed = 'proceed',
-  /** It ran or may have, and the route doesn't allow a second run. */
+  /** It ran or may have run, and the route does not allow a second run. */
   NotRepeatable = 'not-repeatable',
-  /** It ran, or may have, as often as the route allows. */
+  /** It ran or may have run as often as the route allows. */
   RunsUsed = 'runs-used',
   AttemptsUsed = 'attempts-used',
-  /** The client left. */
+  /** The client disconnected. */
   Cancelled = 'cancelled',
   NoBackend = 'no-backend',
   NoTime = 'no-time',
-  /** The service's retries are used up. */
+  /** The service's retry budget is used up. */
   BudgetUsed = 'budget-used',
-  /** Requests like it end the backend servers that run them. */
+  /** Identical requests have crashed the backend servers that ran them. */
   Quarantined = 'quarantined',
-  /** Its stage results are gone and couldn't be made again. */
+  /** Its stage results are gone and could not be recreated. */
   InputsGone = 'inputs-gone',
 }
 
-/** How an attempt ended that brought no answer. */
+/** How an attempt ended whose call failed. */
 export function endOfFailure(failure: CallFailure): AttemptEnd {
   const mayHaveRun = failure.kind === CallFailureKind.Broken || failure.kind === CallFailureKind.Aborted
   return mayHaveRun ? AttemptEnd.MayHaveRun : AttemptEnd.NotRun
 }
 
-/** Whether a call cost its backend server nothing, so that another one needs no retry from the budget. */
+/** Whether a failed call cost its backend server nothing, so that a retry needs no budget. */
 export function isFreeToRetry(failure: CallFailure): boolean {
   return FREE_TO_RETRY.has(failure.kind)
 }
 
-/** Whether the request may run once more if the attempt that begins now brings no answer. */
+/** Whether the request may run again if the attempt that starts now fails. */
 export function mayRunAfterNext(history: AttemptHistory, route: Route): boolean {
   return !route.streaming && route.repeatable && history.runs + 1 < route.maxAttempts
 }
 
-/** Decides after an attempt without an answer whether another one is safe. */
+/** Decides after a failed attempt whether another one is safe. */
 export function decideAfterAttempt(history: AttemptHistory, route: Route, cancelled: boolean): RetryDecision {
   if (cancelled)
     return RetryDecision.Cancelled
@@ -105,16 +105,16 @@
   return history.attempts >= MAX_ATTEMPTS ? RetryDecision.AttemptsUsed : RetryDecision.Proceed
 }
 
-/** What the decision before an attempt follows from. */
+/** Inputs of the decision before an attempt. */
 export interface NextAttemptInputs {
   history: AttemptHistory
-  /** Whether a backend server is left that wasn't tried. */
+  /** Whether there is a backend server that was not tried. */
   hasBackend: boolean
   /** Milliseconds until the request's deadline. */
   remainingMs: number
 }
 
-/** Decides before an attempt whether it can bring an answer; the first one is always made. */
+/** Decides before an attempt whether it can succeed; the time left does not prevent the first one. */
 export function decideBeforeAttempt({ history, hasBackend, remainingMs }: NextAttemptInputs): RetryDecision {
   if (!hasBackend)
     return RetryDecision.NoBackend
@@ -123,7 +123,7 @@
   return RetryDecision.Proceed
 }
 
-/** Whether the next attempt is a retry that the budget counts. */
+/** Whether the next attempt is a retry that counts against the budget. */
 export function needsBudget(history: AttemptHistory): boolean {
   return history.attempts > 0 && history.reachedBackend
 }
--- a/packages/gateway/src/request/attempts/run-subject.ts
+++ b/packages/gateway/src/request/attempts/run-subject.ts
@@ -1,43 +1,43 @@
 /**
- * What a run at backend servers begins with, and how it ends.
+ * Input and result of running a request at backend servers.
  */
 import type { RequestError } from '@eidermast/common'
 import type { ClientAnswer } from '../../connection/clients/client-answer.js'
 import type { RoutedRequest } from '../routed-request.js'
 import type { RetryDecision } from './retry-rule.js'
 
-/** Stage results that a request's backend server reads. */
+/** Stage results that the request's backend server reads. */
 export interface RunInputs {
   handles: readonly string[] | undefined
-  /** Failure domain where most of their bytes lie. */
+  /** Failure domain that holds most of their bytes. */
   failureDomain: string | undefined
   bytes: number
-  /** Id of the backend server that shall read them, if it can; chosen with them. */
+  /** Id of the backend server that should read them, if it can; selected together with them. */
   engine?: string
-  /** The backend server has read them. */
+  /** Called when the backend server has read them. */
   onRead?: () => void
-  /** Makes them again; undefined where that failed. */
+  /** Recreates them; resolves with undefined if that fails. */
   renew?: () => Promise<readonly string[] | undefined>
 }
 
-/** Inputs of a request that has no stages. */
+/** Inputs of a request without stages. */
 export const NO_INPUTS: RunInputs = { handles: undefined, failureDomain: undefined, bytes: 0 }
 
-/** How a request's run ended. */
+/** The result of running a request. */
 export interface RunEnd {
-  /** Absent where the request was answered. */
+  /** Undefined if the request was answered. */
   error?: RequestError
-  /** Why there was no further attempt; absent where one answered. */
+  /** Why there was no further attempt; undefined if an attempt succeeded. */
   retry?: RetryDecision
-  /** When the first event of a stream was passed on: milliseconds of the process clock. */
+  /** When the first event of a stream was forwarded, on the process clock in milliseconds. */
   firstEventAt?: number
 }
 
-/** One request, and where its answer goes. */
+/** One request and the destination of its response. */
 export interface RunSubject {
   request: RoutedRequest
   inputs: RunInputs
   answer: ClientAnswer
-  /** Aborts when the client leaves. */
+  /** Aborts when the client disconnects. */
   signal: AbortSignal
 }
--- a/packages/gateway/src/request/client-retries.ts
+++ b/packages/gateway/src/request/client-retries.ts
@@ -1,33 +1,32 @@
 /**
- * Decides whether a request is a client's retry: one that was refused before
- * and is sent again.
+ * Decides whether a request is a client's retry of a request that was rejected.
  *
  * Inputs: the deadline that the client sent (ms), and the longest one that any
- * client of the route sent to this process since the route is configured (ms).
- * Rule: a request is a retry where its deadline is clearly shorter than the
- * route's longest one, since a client that retries has the rest of its first
- * deadline left.
- * Why: requests carry no count of attempts, and refused request ids aren't kept
- * across gateways; the deadline is the only trace that reaches all of them.
+ * client of the route has sent to this process since the route was configured (ms).
+ * Rule: a request is a retry if its deadline is clearly shorter than the route's
+ * longest one, because a client that retries sends what is left of its original
+ * deadline.
+ * Why: requests carry no attempt count, and the ids of rejected requests are not
+ * shared between gateways; the deadline is the only evidence that every gateway sees.
  * Log event: `stages-admission` shows the decision that takes it as an input.
  *
- * State: one number a route, until the route leaves the configuration. A new
- * process takes the first request of each route as its first attempt.
+ * State: one number per route, until the route is removed from the configuration.
+ * A new process takes the first request of each route as a first attempt.
  */
 
 /**
- * Share of the route's longest deadline. A smaller one overlooks retries that
- * come soon after the refusal, a larger one counts the jitter of first attempts
- * as retries.
+ * Share of the route's longest deadline. A smaller one misses retries sent soon
+ * after the rejection; a larger one mistakes jitter in the deadlines of first
+ * attempts for retries.
  */
 const RETRY_DEADLINE_SHARE = 0.985
 
-/** Recognizes retries of clients by their deadlines. */
+/** Detects client retries by their deadlines. */
 export class ClientRetries {
   /** Longest deadline by route name, in milliseconds. */
   private readonly longestDeadlines = new Map<string, number>()
 
-  /** Whether a request with this deadline is a retry; one without a deadline never is. */
+  /** Whether a request with this deadline is a retry; never true without a deadline. */
   isRetry(routeName: string, deadlineMs: number | undefined): boolean {
     if (deadlineMs === undefined)
       return false
@@ -36,7 +35,7 @@
     return deadlineMs < longest * RETRY_DEADLINE_SHARE
   }
 
-  /** Forgets routes that aren't among these. */
+  /** Removes all routes but these. */
   keepRoutes(routeNames: ReadonlySet<string>): void {
     for (const name of this.longestDeadlines.keys()) {
       if (!routeNames.has(name))
--- a/packages/gateway/src/request/crash-watch.ts
+++ b/packages/gateway/src/request/crash-watch.ts
@@ -1,17 +1,17 @@
 /**
- * What the way of a request tells and asks of requests under which backend
- * servers end; implemented by the process.
+ * Interface between request handling and the tracking of requests that crash
+ * backend servers; implemented by the process.
  */
 import type { Backend } from '../connection/backends/backend.js'
 
-/** Follows the ends of calls, for backend servers that end while requests run there. */
+/** Correlates failed calls with crashes of backend servers. */
 export interface CrashWatch {
-  /** A request was sent to a backend server and its call broke, or may have; resolves when it is known whether the backend server ended. */
+  /** Records that a call to a backend server broke, or may have; resolves when it is known whether the backend server exited. */
   noteBroken: (backend: Backend, fingerprint: string) => Promise<void>
-  /** The backend server of a request's service answered it to the end. */
+  /** Records that a backend server of the request's service sent a complete response. */
   noteAnswered: (fingerprint: string) => void
-  /** Ends of backend servers that count against requests with this fingerprint. */
+  /** Crashes of backend servers attributed to requests with this fingerprint. */
   crashCount: (fingerprint: string) => number
-  /** Why requests with this fingerprint are sent to no backend server; undefined where they are. */
+  /** Why requests with this fingerprint are not sent to any backend server; undefined if they are. */
   refusal: (fingerprint: string) => string | undefined
 }
--- a/packages/gateway/src/request/deadlines.ts
+++ b/packages/gateway/src/request/deadlines.ts
@@ -1,89 +1,90 @@
 /**
- * Decides when a request is abandoned: the time by which its answer has to be
- * complete, the time by which its first event has to be sent, and how long one
- * attempt may wait for the head of an answer.
+ * Decides the time limits of a request: when its response has to be complete,
+ * when its first event has to be sent, and how long one attempt may wait for the
+ * response head.
  *
- * Inputs: the deadline that the client sent (ms from the request's arrival),
- * the route's timeout, target and longest gap (ms, of the configuration in
- * force when the request came), time left (ms, read at each attempt).
- * Rule: the shorter of client's deadline and route's timeout bounds the whole
- * request; clients of streams also stop waiting when nothing comes for a time
- * that follows from the route. An attempt that another one may follow is
- * abandoned once the answer misses its target; the last one may use all time
- * that is left.
- * Why: work for a client that stopped waiting takes a slot from one that waits.
- * A fixed time for an attempt would either cut off slow routes or leave fast
- * ones without time for a second attempt.
+ * Inputs: the deadline that the client sent (ms from the request's arrival); the
+ * route's timeout, target latency and longest gap (ms, of the configuration in
+ * effect on arrival); time left (ms, read at each attempt).
+ * Rule: the whole request is limited by the shorter of the client's deadline and
+ * the route's timeout. Clients of streams also give up if no event arrives for a
+ * time that depends on the route. An attempt that may be followed by another one
+ * is abandoned once its response misses the target latency; the last one may use
+ * all the time left.
+ * Why: work for a client that has given up occupies a slot that another request
+ * could use. A fixed attempt timeout would either cut off slow routes or leave
+ * fast ones no time for a second attempt.
  * Log events: `route` (`remainingMs`), `call-failed` (kind `aborted`).
  */
 import type { Route } from '../version/configuration.js'
 
 /**
- * Milliseconds; for clients that send no deadline. Half would cut off long
- * answers, twice would hold slots longer.
+ * For clients that send no deadline. Half would cut off long responses, twice
+ * would occupy slots longer.
  */
 const DEFAULT_DEADLINE_MS = 10_000
 /**
- * Milliseconds kept for the answer's way to the client. Too little answers
- * after the client left, too much refuses work.
+ * Reserved for sending the response to the client. With too little, the response
+ * arrives after the client has given up; with too much, requests are rejected
+ * that could still be answered.
  */
-const ANSWER_MARGIN_MS = 20
+const RESPONSE_MARGIN_MS = 20
 
-/** Milliseconds; clients wait at least this long for an event of a stream. */
-const MIN_SILENCE_MS = 2000
-/** Targets of the route that clients wait for an event. Their own limit, as above. */
-const SILENCE_TARGETS = 4
-/** Longest gaps of the route that clients wait for an event. Their own limit, as above. */
-const SILENCE_GAPS = 8
+/** Clients wait at least this long for an event of a stream; this and the two factors are limits of the clients. */
+const MIN_EVENT_WAIT_MS = 2000
+/** How long clients wait for an event, in multiples of the route's target latency. */
+const EVENT_WAIT_TARGETS = 4
+/** How long clients wait for an event, in multiples of the route's longest gap. */
+const EVENT_WAIT_GAPS = 8
 
 /**
- * Milliseconds; an attempt that another may follow gets at least this long.
- * Half would abandon sound calls of routes with a short target, twice would
- * leave those routes no second attempt.
+ * Minimum time of an attempt that may be followed by another one. Half would
+ * abandon healthy calls of routes with a short target, twice would leave those
+ * routes no time for a second attempt.
  */
 const MIN_ATTEMPT_MS = 150
 
-/** When a request is abandoned: milliseconds of the process clock. */
+/** Deadlines of a request, on the process clock in milliseconds. */
 export interface RequestDeadlines {
-  /** The answer has to be complete. */
+  /** When the response has to be complete. */
   deadlineAt: number
-  /** The first event has to be sent; the same as `deadlineAt` or earlier. */
+  /** When the first event has to be sent; not later than `deadlineAt`. */
   firstEventBy: number
 }
 
-/** Decides the deadlines of a request that arrived at a time of the process clock, in milliseconds. */
+/** Computes the deadlines of a request; `arrivedAt` is on the process clock in milliseconds. */
 export function decideDeadlines(arrivedAt: number, clientDeadlineMs: number | undefined, route: Route): RequestDeadlines {
   const allowedMs = Math.min(clientDeadlineMs ?? DEFAULT_DEADLINE_MS, route.timeoutMs)
-  const deadlineAt = arrivedAt + allowedMs - ANSWER_MARGIN_MS
-  const firstEventBy = arrivedAt + maxSilence(route) - ANSWER_MARGIN_MS
+  const deadlineAt = arrivedAt + allowedMs - RESPONSE_MARGIN_MS
+  const firstEventBy = arrivedAt + maxEventWaitMs(route) - RESPONSE_MARGIN_MS
   return { deadlineAt, firstEventBy: Math.min(deadlineAt, firstEventBy) }
 }
 
 /** How long clients wait for an event of a route, in milliseconds. */
-function maxSilence(route: Route): number {
+function maxEventWaitMs(route: Route): number {
   if (!route.streaming)
     return route.timeoutMs
-  return Math.max(MIN_SILENCE_MS, SILENCE_TARGETS * route.targetLatencyMs, SILENCE_GAPS * route.targetGapMs)
+  return Math.max(MIN_EVENT_WAIT_MS, EVENT_WAIT_TARGETS * route.targetLatencyMs, EVENT_WAIT_GAPS * route.targetGapMs)
 }
 
-/** What the time of one attempt follows from. */
+/** Inputs of the time limit of one attempt. */
 export interface AttemptTimeInputs {
-  /** Milliseconds until the request's deadline; negative where it has passed. */
+  /** Milliseconds until the request's deadline; negative if it has passed. */
   remainingMs: number
   targetLatencyMs: number
-  /** Whether the request may run once more after this attempt. */
+  /** Whether the request may run again after this attempt. */
   mayRunAgain: boolean
 }
 
-/** Decides how long one attempt may wait for the head of an answer, in milliseconds. */
+/** Computes how long one attempt may wait for the response head, in milliseconds. */
 export function decideAttemptTime({ remainingMs, targetLatencyMs, mayRunAgain }: AttemptTimeInputs): number {
-  const wholeMs = atLeastOne(remainingMs)
+  const availableMs = atLeastOne(remainingMs)
   if (!mayRunAgain)
-    return wholeMs
-  return Math.min(wholeMs, Math.max(MIN_ATTEMPT_MS, targetLatencyMs))
+    return availableMs
+  return Math.min(availableMs, Math.max(MIN_ATTEMPT_MS, targetLatencyMs))
 }
 
-/** A time for a timer: what is past its end fires at once, never before it was set. */
+/** Converts a remaining time to a timer delay of at least 1 ms, so that a deadline that has passed fires at once. */
 export function atLeastOne(milliseconds: number): number {
   return Math.max(1, milliseconds)
 }
--- a/packages/gateway/src/request/pass-through.ts
+++ b/packages/gateway/src/request/pass-through.ts
@@ -1,8 +1,8 @@
 /**
- * The way of one request: it is routed, its stages are prepared, a backend
- * server answers it, and its end is counted and logged. It lives as long as the
- * process and owns no state of requests: each is held by its own call of `serve`
- * and is lost with the process; its client sees the connection break.
+ * Handles client requests end to end: routes each one, prepares its stages, has
+ * a backend server answer it, then counts and logs the result. Lives as long as
+ * the process. The state of a request is local to its call of `serve`; if the
+ * process dies, it is lost and the client's connection breaks.
  */
 import type { EventLog, RequestError } from '@eidermast/common'
 import type { ClientAnswer } from '../connection/clients/client-answer.js'
@@ -20,15 +20,15 @@
 import { outcomeOf, RequestLog } from './request-log.js'
 import { RequestRouter } from './request-router.js'
 
-/** Label of requests without a route in the metrics. */
+/** Metrics label of requests without a route. */
 const NO_ROUTE = 'none'
 
-/** Counts requests for the metrics page; implemented by the process. */
+/** Counts requests for the metrics endpoint; implemented by the process. */
 export interface RequestMetrics {
   countRequest: (route: string, outcome: string, milliseconds: number) => void
 }
 
-/** What the pass-through works with. */
+/** Dependencies of the request handler. */
 export interface PassThroughParts {
   configuration: ConfigurationHolder
   preparer: Preparer
@@ -48,7 +48,7 @@
     this.log = new RequestLog(parts.log)
   }
 
-  /** Answers a request; the signal aborts when its client leaves. */
+  /** Answers a request; the signal aborts when its client disconnects. */
   async serve(request: ClientRequest, answer: ClientAnswer, signal: AbortSignal): Promise<void> {
     const routed = this.router.route(request)
     if (routed.isErr())
@@ -58,7 +58,7 @@
     this.finish(request, routed.value.route.name, answer, end)
   }
 
-  /** The error of a request that is sent to no backend server; undefined for others. */
+  /** Returns the error for a request that must not be sent to any backend server; undefined for others. */
   private refuse({ fingerprint }: RoutedRequest): RequestError | undefined {
     const refusal = this.parts.crashes.refusal(fingerprint)
     return refusal === undefined ? undefined : createError(ErrorKind.Quarantined, refusal)
@@ -77,13 +77,13 @@
     if (Number.isFinite(waitMs) && waitMs > firstEventMs)
       return { error: errorOfWithheld(request.service, waitMs) }
     const stagesSignal = AbortSignal.any([signal, AbortSignal.timeout(atLeastOne(firstEventMs))])
-    const prepared = await this.parts.preparer.prepare(this.describe(request), stagesSignal)
+    const prepared = await this.parts.preparer.prepare(this.describeStageWork(request), stagesSignal)
     if (prepared.isErr())
       return { error: this.refuse(request) ?? errorOfPreparation(prepared.error) }
     const inputs: RunInputs = {
       ...prepared.value,
       onRead: () => this.parts.preparer.release(requestId),
-      renew: () => this.renew(request, stagesSignal),
+      renew: () => this.recreateInputs(request, stagesSignal),
     }
     try {
       return await this.parts.runner.run({ request, inputs, answer, signal })
@@ -93,14 +93,14 @@
     }
   }
 
-  /** Makes the inputs again, after the first ones were read or lost. */
-  private async renew(request: RoutedRequest, signal: AbortSignal): Promise<readonly string[] | undefined> {
-    const prepared = await this.parts.preparer.prepare(this.describe(request), signal)
-    // The coordinator logged why as `stages-ended`; the run ends with what its attempt brought.
+  /** Recreates the inputs after the first ones were consumed or lost. */
+  private async recreateInputs(request: RoutedRequest, signal: AbortSignal): Promise<readonly string[] | undefined> {
+    const prepared = await this.parts.preparer.prepare(this.describeStageWork(request), signal)
+    // The coordinator logged the reason as `stages-ended`; the run ends with the result of its attempt.
     return prepared.isOk() ? prepared.value.handles : undefined
   }
 
-  private describe(request: RoutedRequest): PreparationRequest {
+  private describeStageWork(request: RoutedRequest): PreparationRequest {
     const now = performance.now()
     return {
       requestId: request.head.requestId,
--- a/packages/gateway/src/request/prompt-parts.ts
+++ b/packages/gateway/src/request/prompt-parts.ts
@@ -1,21 +1,22 @@
 /**
- * What the parts of a prompt say of where it should be read. Keeps no state.
+ * Routing by prompt prefix: the shared parts of a prompt, their size, and the
+ * model engine that they prefer. Stateless.
  */
 import type { Backend } from '../connection/backends/backend.js'
 import type { PromptPart } from '../connection/clients/client-codec.js'
 import { rankByRendezvous } from './rendezvous.js'
 
-/** The parts that other requests may begin with too: all but the last one, which belongs to the request itself. */
+/** The parts that other prompts may start with as well: all but the last one, which is specific to the request. */
 export function sharedParts(prompt: readonly PromptPart[]): readonly PromptPart[] {
   return prompt.slice(0, -1)
 }
 
-/** Tokens of some parts together. */
+/** Total tokens of the parts. */
 export function countTokens(parts: readonly PromptPart[]): number {
   return parts.reduce((sum, part) => sum + part.tokens, 0)
 }
 
-/** The engine that all processes that know the same ones prefer for a prompt's shared parts; undefined where it has none. */
+/** The model engine that every process with the same list of engines prefers for a prompt's shared parts; undefined if the prompt has none. */
 export function findHome(prompt: readonly PromptPart[], engines: readonly Backend[]): Backend | undefined {
   const last = sharedParts(prompt).at(-1)
   return last && rankByRendezvous(last.id, engines, engine => engine.id)[0]
--- a/packages/gateway/src/request/rendezvous.ts
+++ b/packages/gateway/src/request/rendezvous.ts
@@ -1,10 +1,10 @@
 /**
- * Rendezvous hashing: every process that knows the same candidates puts them
- * in the same order for a key, and a candidate that joins or leaves moves no
- * key between others. It owns no state.
+ * Rendezvous hashing: every process that knows the same candidates ranks them in
+ * the same order for a key, and a candidate that joins or leaves does not move
+ * keys between the others. Stateless.
  */
 
-/** Number of values of the hash. */
+/** Number of distinct hash values. */
 export const HASH_RANGE = 2 ** 32
 
 /** Offset basis of 32-bit FNV-1a, a constant of the algorithm. */
@@ -12,7 +12,7 @@
 /** Prime of 32-bit FNV-1a, a constant of the algorithm. */
 const FNV_PRIME = 16777619
 
-/** 32-bit FNV-1a with the final mix of MurmurHash3, so that near keys land far apart. */
+/** 32-bit FNV-1a with the finalizer of MurmurHash3, so that similar keys get unrelated hashes. */
 export function hashText(text: string): number {
   let hash = FNV_OFFSET
   for (let index = 0; index < text.length; index++)
@@ -24,7 +24,7 @@
   return (hash ^ (hash >>> 16)) >>> 0
 }
 
-/** Candidates in the order of preference for a key. */
+/** Candidates in order of preference for a key. */
 export function rankByRendezvous<Candidate>(
   key: string,
   candidates: readonly Candidate[],
--- a/packages/gateway/src/request/request-errors.ts
+++ b/packages/gateway/src/request/request-errors.ts
@@ -1,14 +1,15 @@
 /**
- * Decides which error answers a request that no backend server answered, or
- * whose stages brought no results.
+ * Decides which error to return for a request that no backend server answered,
+ * or whose stages produced no results.
  *
- * Inputs: how often the request ran or may have, the last failure, whether its
- * client left, when the first backend server takes a request (ms); for stages the kind of their failure and the time after which a
- * retry is worth while (ms).
- * Rule: "did not run" is said only where it is proved, since clients send such a
- * request again. A request that may have run ends as of unknown outcome; one
- * that every backend server refused, as an overload with a short wait, and one
- * that none takes by its own word, as an overload until the first of them does.
+ * Inputs: how often the request ran or may have run, the last failure, whether
+ * its client disconnected, when the first backend server accepts a request (ms);
+ * for stages the kind of their failure and the delay after which a retry is
+ * useful (ms).
+ * Rule: "did not run" is reported only if it is proven, because clients send such
+ * a request again. A request that may have run ends with an unknown outcome. One
+ * that every backend server refused ends as overload with a short retry delay;
+ * one that no backend server accepts yet, as overload until the first one does.
  * Why: a wrong "did not run" makes a client run the request twice.
  * Log event: `request-ended` (`outcome`, `ran`, `reason`, `retryAfterMs`).
  */
@@ -20,48 +21,48 @@
 import { PreparationFailureKind } from '../connection/peers/preparation.js'
 
 /**
- * Milliseconds until a client retries after every backend server refused. Half
- * brings retries into a pool that is still full, twice wastes free slots.
+ * Retry delay for clients after every backend server refused. Half sends retries
+ * to a pool that is still full, twice leaves free slots unused.
  */
 const REFUSED_RETRY_MS = 200
 
-/** A request without an answer. */
+/** A request that was not answered. */
 export interface UnansweredRequest {
   service: string
-  /** Its client left. */
+  /** Its client disconnected. */
   cancelled: boolean
-  /** Attempts that ran, or may have. */
+  /** Attempts that ran or may have run. */
   runs: number
-  /** Why such requests are sent to no backend server; absent where they are. */
+  /** Why identical requests are not sent to any backend server; undefined if they are. */
   refusal: string | undefined
-  /** Milliseconds until some backend server of the service takes a request; 0 where one does now, Infinity where none takes work. */
+  /** Milliseconds until a backend server of the service accepts a request; 0 if one does now, Infinity if none accepts work. */
   waitMs: number
-  /** Of the last attempt; absent where there was none or it answered with a failure of its own. */
+  /** Of the last attempt; undefined if there was none or it ended with a server error. */
   lastFailure: CallFailure | undefined
 }
 
 /** Decides the error of a request that no backend server answered. */
 export function errorOfUnanswered({ service, cancelled, runs, refusal, lastFailure, waitMs }: UnansweredRequest): RequestError {
   if (cancelled)
-    return createError(ErrorKind.Cancelled, 'the client left', { ran: runs > 0 ? Ran.Unknown : Ran.None })
+    return createError(ErrorKind.Cancelled, 'client disconnected', { ran: runs > 0 ? Ran.Unknown : Ran.None })
   if (runs > 0)
-    return createError(ErrorKind.OutcomeUnknown, lastFailure?.message ?? 'no answer came', { ran: Ran.Unknown })
+    return createError(ErrorKind.OutcomeUnknown, lastFailure?.message ?? 'backend server sent no response', { ran: Ran.Unknown })
   if (refusal !== undefined)
     return createError(ErrorKind.Quarantined, refusal)
   if (waitMs > 0 && Number.isFinite(waitMs))
     return errorOfWithheld(service, waitMs)
   if (lastFailure && lastFailure.kind !== CallFailureKind.Leaving)
-    return createError(ErrorKind.Overloaded, `no backend server took it: ${lastFailure.message}`, { retryAfterMs: REFUSED_RETRY_MS })
-  return createError(ErrorKind.NoBackend, `no backend server of ${service} can be used`, { ran: Ran.None })
+    return createError(ErrorKind.Overloaded, `no backend server accepted the request: ${lastFailure.message}`, { retryAfterMs: REFUSED_RETRY_MS })
+  return createError(ErrorKind.NoBackend, `no backend server of service ${service} is available`, { ran: Ran.None })
 }
 
-/** The error of a request that no backend server takes now, by their own word; takes the time until one does, in milliseconds. */
+/** The error of a request that no backend server accepts yet; `waitMs` is the time until one does. */
 export function errorOfWithheld(service: string, waitMs: number): RequestError {
-  const message = `no backend server of ${service} takes a request before ${Math.ceil(waitMs)} ms have passed`
+  const message = `no backend server of service ${service} accepts a request within the next ${Math.ceil(waitMs)} ms`
   return createError(ErrorKind.Overloaded, message, { retryAfterMs: waitMs })
 }
 
-/** Decides the error of a request whose stages brought no results. */
+/** Decides the error of a request whose stages produced no results. */
 export function errorOfPreparation({ kind, message, retryAfterMs }: PreparationFailure): RequestError {
   return createError(errorKindOf(kind), message, { ran: Ran.None, retryAfterMs })
 }
--- a/packages/gateway/src/request/request-log.ts
+++ b/packages/gateway/src/request/request-log.ts
@@ -1,6 +1,6 @@
 /**
- * The log events of requests, one function an event. It holds nothing but the
- * process's log; an event over its rate is counted there and left out.
+ * Log events of requests, one method per event. Stateless; events over the rate
+ * limit are counted by the process's log and dropped there.
  */
 import type { EventLog, RequestError } from '@eidermast/common'
 import type { CallFailure } from '../connection/backends/backend-client.js'
@@ -9,7 +9,7 @@
 import type { RoutedRequest } from './routed-request.js'
 import { countTokens } from './prompt-parts.js'
 
-/** One attempt that begins. */
+/** An attempt that starts. */
 export interface AttemptStart {
   request: RoutedRequest
   backend: Backend
@@ -19,7 +19,7 @@
   remainingMs: number
 }
 
-/** One attempt that brought no answer. */
+/** An attempt that failed. */
 export interface AttemptFailure {
   requestId: string
   backend: Backend
@@ -30,19 +30,19 @@
 /** The end of a request. */
 export interface RequestEnd {
   requestId: string
-  /** Name of the route; absent where none was found. */
+  /** Name of the route; undefined if none matched. */
   route: string | undefined
-  /** Absent where it was answered. */
+  /** Undefined if the request was answered. */
   error: RequestError | undefined
-  /** Why there was no further attempt; absent where no attempt failed. */
+  /** Why there was no further attempt; undefined if no attempt failed. */
   retry: RetryDecision | undefined
   tookMs: number
-  /** Milliseconds from its arrival to the first event of a stream; absent where there was none. */
+  /** Milliseconds from arrival to the first event of a stream; undefined if there was none. */
   firstEventMs: number | undefined
   configurationVersion: number
 }
 
-/** An outcome as logs and metrics name it. */
+/** The outcome as it appears in logs and metrics. */
 export function outcomeOf(error: RequestError | undefined): string {
   return error?.kind ?? 'answered'
 }
@@ -51,7 +51,7 @@
 export class RequestLog {
   constructor(private readonly log: EventLog) {}
 
-  /** A backend server was chosen: what was known of it, and how old that was. */
+  /** Logs the selected backend server with what was known about it, and how old that information was. */
   attemptStarted({ request, backend, attempt, remainingMs }: AttemptStart): void {
     this.log.write('route', {
       request: request.head.requestId,
--- a/packages/gateway/src/request/request-router.ts
+++ b/packages/gateway/src/request/request-router.ts
@@ -2,13 +2,13 @@
  * Decides whether a request is served, on which route, for which client account
  * and by which service.
  *
- * Inputs: the request's head, and the configuration in force when it came, whose
+ * Inputs: the request's head, and the configuration in effect on arrival, whose
  * look-ups are in version/route-table.
  * Rule: a request needs a route, and the key of a client account unless the
- * route is public or no accounts are configured. A hash of the request id picks
+ * route is public or no accounts are configured. A hash of the request id selects
  * the service by the weights of the route.
- * Why by a hash: a client's retry with the same id goes to the same service at
- * every gateway.
+ * Why a hash: a client's retry with the same id goes to the same service at every
+ * gateway.
  * Log events: `request-ended` (`route`, or the error's kind), `route` (`service`).
  *
  * State: the longest deadlines of routes, see client-retries.ts.
@@ -28,7 +28,7 @@
 import { HASH_RANGE, hashText } from './rendezvous.js'
 import { fingerprintOf } from './request-fingerprint.js'
 
-/** Routes requests by the configuration in force. */
+/** Routes requests by the configuration in effect. */
 export class RequestRouter {
   private readonly retries = new ClientRetries()
 
@@ -36,11 +36,11 @@
     configuration.onChange(table => this.retries.keepRoutes(new Set(table.configuration.routes.map(route => route.name))))
   }
 
-  /** Routes a request, or returns the error that answers it. */
+  /** Routes a request, or returns the error to respond with. */
   route(request: ClientRequest): Result<RoutedRequest, RequestError> {
     const { table } = this.configuration
     if (!table)
-      return Err(createError(ErrorKind.NotReady, 'no configuration is known yet; come back'))
+      return Err(createError(ErrorKind.NotReady, 'no configuration loaded yet; retry later'))
     const path = request.path.split('?', 1)[0]
     const route = table.findRoute(request.head.host, path)
     if (!route)
@@ -71,10 +71,10 @@
   }
 }
 
-/** The account that holds the key; undefined where none is needed. */
+/** The account that the key belongs to; undefined if none is needed. */
 function findAccount(table: RouteTable, route: Route, key: string | undefined): Result<ClientAccount | undefined, RequestError> {
   if (route.public || !table.needsKeys)
     return Ok(undefined)
   const account = key === undefined ? undefined : table.findAccount(key)
-  return account ? Ok(account) : Err(createError(ErrorKind.Unauthenticated, 'the key is not known'))
+  return account ? Ok(account) : Err(createError(ErrorKind.Unauthenticated, 'API key missing or unknown'))
 }
--- a/packages/gateway/src/request/stages/request-stages.ts
+++ b/packages/gateway/src/request/stages/request-stages.ts
@@ -1,11 +1,11 @@
 /**
- * The stage work of one request at its coordinator: each stage starts when the
- * stages that it depends on are done, and results are freed when their last
- * reader has fetched them. Owns the state of the stages from admission until
- * the request releases its results or another coordinator takes over; relies
- * on the queues of the services. When the process dies, the requesting gateway
- * asks the next coordinator, which restarts the work, and results left behind
- * expire at their backend servers.
+ * Runs the stages of one request at its coordinator: each stage starts when the
+ * stages that it depends on are complete, and results are freed when their last
+ * reader has fetched them. Owns the state of the stages from admission until the
+ * request releases its results or another coordinator takes over; uses the
+ * queues of the services. If the process dies, the requesting gateway asks the
+ * next coordinator, which restarts the work, and orphaned results expire at
+ * their backend servers.
  */
 import type { Result } from 'ts-results-es'
 import type { ItemFailure } from '../../connection/backends/stage-client.js'
@@ -20,21 +20,21 @@
 import { StageStates } from './stage-states.js'
 
 /**
- * Milliseconds after which a client may retry failed stage work. Half of it
- * doubles the retries while backend servers fail.
+ * Delay after which a client may retry failed stage work. Half doubles the
+ * retries while backend servers fail.
  */
 const RETRY_AFTER_MS = 1000
 
-/** A request whose stages run, and what was decided of it when it came. */
+/** A request whose stages run, and the decisions made on its admission. */
 export interface StageWork {
   request: PreparationRequest
-  /** Place in the order; the least goes first. */
+  /** Position in the processing order; the lowest goes first. */
   rank: number
   /** Expected time from the end of the stages to the first event, in milliseconds. */
   answerMs: number
 }
 
-/** Called once with how the stage work ended. */
+/** Called once with the result of the stage work. */
 export type PreparationListener = (result: Result<PreparedInputs, PreparationFailure>) => void
 
 /** Runs the stages of one request. */
@@ -43,9 +43,9 @@
   private restarts = 0
   private ended = false
   private handingOver = false
-  /** Looks again at stages whose start is put off. */
+  /** Retries the start of deferred stages. */
   private delayTimer: NodeJS.Timeout | undefined
-  /** Used once: a restart runs every stage. */
+  /** Consumed by the first start, because a restart runs every stage. */
   private progress: readonly StageProgress[] | undefined
   private readonly graph: StageGraph
   private readonly targetAt: number
@@ -80,8 +80,8 @@
   }
 
   /**
-   * Lets another coordinator continue: at once, or when the items in calls have
-   * their results. The results stay at their backend servers.
+   * Hands the work over to another coordinator: immediately, or once the items
+   * in flight have their results. Results stay at their backend servers.
    */
   handOver(): void {
     this.handingOver = true
@@ -95,7 +95,7 @@
     this.listener(Err({ kind: PreparationFailureKind.HandedOver, message: 'the coordinator is stopping', retryAfterMs: 0, progress }))
   }
 
-  /** Items of a service without a result. */
+  /** Items of a service that have no result yet. */
   remainingItems(service: string): number {
     if (this.ended)
       return 0
@@ -103,7 +103,7 @@
     return open.reduce((sum, stage) => sum + stage.items, 0)
   }
 
-  /** Cancels what is under way and frees all results. */
+  /** Cancels the work in flight and frees all results. */
   release(): void {
     this.ended = true
     clearTimeout(this.delayTimer)
@@ -112,7 +112,7 @@
 
   private advance(): void {
     for (let stage = 0; stage < this.request.stages.length && !this.ended; stage++) {
-      if (this.states.isReady(stage) && !this.putOff(stage))
+      if (this.states.isReady(stage) && !this.deferStart(stage))
         this.startStage(stage)
     }
     if (this.ended || !this.states.isDone)
@@ -121,8 +121,8 @@
     this.listener(Ok(this.states.describeInputs(this.request.failureDomain)))
   }
 
-  /** Puts the start of a stage off where the others take longer; false where it should start now. */
-  private putOff(stage: number): boolean {
+  /** Defers the start of a stage if the other stages take longer; returns false if it should start now. */
+  private deferStart(stage: number): boolean {
     const now = performance.now()
     const delayMs = decideStageDelay(stage, this.graph, {
       callMs: other => this.callMs(other),
@@ -135,7 +135,7 @@
     return true
   }
 
-  /** Expected time of a stage's call, in milliseconds. */
+  /** Expected duration of a stage's call, in milliseconds. */
   private callMs(stage: number): number {
     const { service, items } = this.request.stages[stage]
     return items === 0 ? 0 : this.queueOf(service)?.typicalCallMs() ?? 0
@@ -149,8 +149,8 @@
       return states.complete(stage, [])
     const queue = this.queueOf(service)
     if (!queue)
-      return this.fail(PreparationFailureKind.NoBackend, `no service ${service}`)
-    // The submission may restart the stages; its task belongs to the states before.
+      return this.fail(PreparationFailureKind.NoBackend, `no stage service ${service} in the configuration`)
+    // Submitting may restart the stages; the task then belongs to the replaced states.
     states.setTask(stage, queue.submit(this.createTask(stage)))
   }
 
@@ -174,7 +174,7 @@
       listener: {
         inputsFetched: () => this.states.markFetched(stage),
         completed: results => this.complete(stage, results),
-        failed: failure => this.takeFailure(stage, failure),
+        failed: failure => this.handleFailure(stage, failure),
       },
     }
   }
@@ -187,7 +187,7 @@
       this.advance()
   }
 
-  private takeFailure(stage: number, failure: ItemFailure): void {
+  private handleFailure(stage: number, failure: ItemFailure): void {
     if (this.ended)
       return
     this.states.setTask(stage, undefined)
@@ -196,7 +196,7 @@
       case StageFailureDecision.HandOver:
         return this.handOver()
       case StageFailureDecision.TooLate:
-        return this.fail(PreparationFailureKind.TooLate, `stage ${stage} cannot be done in time`)
+        return this.fail(PreparationFailureKind.TooLate, `stage ${stage} cannot be completed before the deadline`)
       case StageFailureDecision.Abandon:
         return this.fail(PreparationFailureKind.Failed, `stage ${stage} failed: ${failure}`)
       case StageFailureDecision.Restart:
--- a/packages/gateway/src/request/stages/stage-delay.ts
+++ b/packages/gateway/src/request/stages/stage-delay.ts
@@ -1,35 +1,35 @@
 /**
- * Decides for how long the start of a stage is put off.
+ * Decides how long the start of a stage is deferred.
  *
- * Inputs: which stages the request's backend server reads; expected time of
- * each stage's call (ms, configured), and what is left of it (ms, as of now).
- * Rule: a stage that no other stage reads starts so that it is expected to be
- * done START_MARGIN_SHARE of its own call before the last other one.
- * Why: its results would use result memory until the others are done, while
- * more urgent work waits for that memory.
+ * Inputs: which stages the request's backend server reads; the expected duration
+ * of each stage's call (ms, configured), and what is left of it (ms, current).
+ * Rule: a stage that no other stage reads starts so that it is expected to end
+ * START_MARGIN_SHARE of its own call duration before the last of the others.
+ * Why: started earlier, its results would occupy result memory until the others
+ * are complete, while more urgent work waits for that memory.
  * Log event: `stage-call`.
  */
 import type { StageGraph } from './stage-graph.js'
 
-/** Part of the stage's own call that is kept for the wait before it: less risks the target, more holds memory. */
+/** Share of the stage's own call duration that is reserved for queueing before it: less risks the target, more occupies memory longer. */
 const START_MARGIN_SHARE = 0.6
-/** Milliseconds; a shorter delay is not worth a timer. */
+/** A shorter delay is not worth a timer. */
 const MIN_DELAY_MS = 20
 
-/** What is expected of the stages, by their numbers; in milliseconds. */
+/** Expected times of the stages by number, in milliseconds. */
 export interface StageTimes {
-  /** Of a whole call. */
+  /** Of a complete call. */
   callMs: (stage: number) => number
-  /** Left of a stage's own call; 0 where it is done. */
+  /** What is left of a stage's own call; 0 if it is complete. */
   remainingMs: (stage: number) => number
 }
 
-/** Milliseconds until a stage that is ready should start; 0 for now. */
+/** Milliseconds until a ready stage should start; 0 for now. */
 export function decideStageDelay(stage: number, graph: StageGraph, { callMs, remainingMs }: StageTimes): number {
   if (!graph.isFinal(stage) || callMs(stage) === 0)
     return 0
   const others = graph.finalStages.filter(other => other !== stage)
-  const doneIn = Math.max(0, ...others.map(other => graph.doneIn(other, remainingMs)))
-  const delayMs = doneIn - callMs(stage) * (1 + START_MARGIN_SHARE)
+  const othersRemainingMs = Math.max(0, ...others.map(other => graph.remainingUntilDoneMs(other, remainingMs)))
+  const delayMs = othersRemainingMs - callMs(stage) * (1 + START_MARGIN_SHARE)
   return delayMs >= MIN_DELAY_MS ? delayMs : 0
 }
--- a/packages/gateway/src/request/stages/stage-failure.ts
+++ b/packages/gateway/src/request/stages/stage-failure.ts
@@ -1,33 +1,33 @@
 /**
- * Decides what follows for a request when one of its stages fails.
+ * Decides how a request continues when one of its stages fails.
  *
  * Inputs: why the stage failed, how often the request's stage work was
  * restarted, whether this coordinator is handing its work over (all current).
- * Rule: a coordinator that hands over lets the next one redo the stage. Work
- * that is late ends, and so does work that ends the backend servers that run
- * it. Anything else restarts all stages of the request, at most
- * MAX_RESTARTS times; single items have been retried before.
- * Why: the inputs of the failed stage may be freed already, and a lost input
- * usually means a lost backend server, which held results of other stages too;
- * running only the failed stage again could not start.
+ * Rule: during a hand-over, the next coordinator runs the stage again. Stage work
+ * that is too late ends, as does work that crashes the backend servers that run
+ * it. Any other failure restarts all stages of the request, at most MAX_RESTARTS
+ * times; individual items have already been retried by then.
+ * Why: the inputs of the failed stage may already be freed, and a lost input
+ * usually means a lost backend server, which also held results of other stages;
+ * the failed stage alone could not be started again.
  * Log event: `stages-ended` (its reason); a restart shows as further
  * `stage-call` lines of the request.
  */
 import { ItemFailure } from '../../connection/backends/stage-client.js'
 
 /**
- * Restarts of a request's stage work. At half as many, a request that loses a
- * backend server twice fails, at twice as many, work without a chance takes
- * calls from other requests until its deadline.
+ * Restarts of a request's stage work. With half, a request that loses a backend
+ * server twice fails; with twice, hopeless work takes calls from other requests
+ * until its deadline.
  */
 const MAX_RESTARTS = 2
 
-/** What follows for the request. */
+/** How the request continues. */
 export enum StageFailureDecision {
   HandOver = 'hand-over',
-  /** It ends: its time is up. */
+  /** It ends because its time is up. */
   TooLate = 'too-late',
-  /** It ends: it was restarted too often, or may not be sent again. */
+  /** It ends because it was restarted too often or may not be sent again. */
   Abandon = 'abandon',
   Restart = 'restart',
 }
@@ -40,7 +40,7 @@
   handingOver: boolean
 }
 
-/** Decides on a request after a failed stage. */
+/** Decides how a request continues after a failed stage. */
 export function decideStageFailure({ failure, restarts, handingOver }: StageFailureCase): StageFailureDecision {
   if (handingOver)
     return StageFailureDecision.HandOver
--- a/packages/gateway/src/request/stages/stage-graph.ts
+++ b/packages/gateway/src/request/stages/stage-graph.ts
@@ -1,15 +1,15 @@
 /**
- * The dependencies between the stages of one request: who reads whose results,
- * and how long the way from a stage to the first event of the answer is.
- * Made from the request alone; relies on stages being listed after those that
- * they depend on.
+ * The dependency graph of the stages of one request: which stage reads whose
+ * results, and the critical path from a stage to the first event of the response.
+ * Built from the request alone; stages must be listed after those that they
+ * depend on.
  */
 import type { PreparationStage } from '../../connection/peers/preparation.js'
 
-/** Expected time of a stage's call, in milliseconds. */
+/** Expected duration of a stage's call, in milliseconds. */
 export type CallTime = (stage: number) => number
 
-/** Stages by their numbers in the route. */
+/** Dependency graph; stages are identified by their index in the route. */
 export class StageGraph {
   private readonly readers: number[][]
 
@@ -22,9 +22,9 @@
     return this.readers[stage]
   }
 
-  /** Milliseconds until a stage is expected to be done, by what each stage's own call still takes. */
-  doneIn(stage: number, remainingMsOf: (stage: number) => number): number {
-    const dependencies = this.stages[stage].dependsOn.map(dependency => this.doneIn(dependency, remainingMsOf))
+  /** Expected time until a stage is complete, in milliseconds; `remainingMsOf` is the time left of each stage's own call. */
+  remainingUntilDoneMs(stage: number, remainingMsOf: (stage: number) => number): number {
+    const dependencies = this.stages[stage].dependsOn.map(dependency => this.remainingUntilDoneMs(dependency, remainingMsOf))
     return Math.max(0, ...dependencies) + remainingMsOf(stage)
   }
 
@@ -38,11 +38,11 @@
     return this.readers[stage].length === 0
   }
 
-  /** Expected time of the longest way from a stage's end to that of the last one that needs it, in milliseconds. */
+  /** Expected duration of the critical path from the end of a stage to the end of the last stage that depends on it, in milliseconds. */
   remainingAfter(stage: number, callMsOf: CallTime): number {
-    const ways = this.readers[stage]
+    const paths = this.readers[stage]
       .filter(reader => this.stages[reader].items > 0)
       .map(reader => callMsOf(reader) + this.remainingAfter(reader, callMsOf))
-    return Math.max(0, ...ways)
+    return Math.max(0, ...paths)
   }
 }
--- a/packages/gateway/src/request/stages/stage-progress.ts
+++ b/packages/gateway/src/request/stages/stage-progress.ts
@@ -1,28 +1,29 @@
 /**
- * Decides which stages of a request need not run at the next coordinator.
+ * Decides which stages of a request the next coordinator does not have to run.
  *
- * Inputs: the finished stages and their results as the coordinator before
- * reported them; the backend servers that this process knows now.
- * Rule: a stage whose readers are all done needs no results and counts as
- * done. Any other stage is done where all of its results are listed and their
- * backend servers are known; else it runs again, and so do its readers.
- * Why: results live at the backend servers, so a change of coordinator costs
- * only what was under way. A stage reported without results is not trusted
- * while a reader has to run: the reader would be asked for without its inputs.
+ * Inputs: the completed stages and their results as reported by the previous
+ * coordinator; the backend servers that this process knows (current).
+ * Rule: a stage whose readers are all complete needs no results and counts as
+ * complete. Any other stage is complete if all of its results are listed and
+ * their backend servers are known; otherwise it runs again, and so do its readers.
+ * Why: results are stored at the backend servers, so that a change of coordinator
+ * only loses the work in flight. A stage reported without results does not count
+ * while one of its readers has to run, because the reader would be called without
+ * its inputs.
  * Log event: `stage-call` (stages that run again), `stages-ended`.
  */
 import type { PreparationStage, StageProgress } from '../../connection/peers/preparation.js'
 import type { StageGraph } from './stage-graph.js'
 import type { StageResult, StageTaskQueues } from './stage-task.js'
 
-/** A stage that needs no run. */
+/** A stage that does not have to run. */
 export interface AdoptedStage {
   stage: number
-  /** Empty where all readers of the stage are done. */
+  /** Empty if all readers of the stage are complete. */
   results: StageResult[]
 }
 
-/** Takes the results over that an earlier coordinator reported. */
+/** Adopts the results that an earlier coordinator reported. */
 export function adoptProgress(
   stages: readonly PreparationStage[],
   graph: StageGraph,
--- a/packages/gateway/src/request/stages/stage-states.ts
+++ b/packages/gateway/src/request/stages/stage-states.ts
@@ -1,8 +1,8 @@
 /**
- * How far the stages of one request are: which have started, which have
- * results, and who still has to fetch them. Owned by the request's stage work,
- * with a new instance for each restart; frees results when their last reader
- * has fetched them. Gone with the process, as the stage work is.
+ * The progress of the stages of one request: which have started, which have
+ * results, and which readers have not fetched them yet. Owned by the request's
+ * stage work, with a new instance for each restart; frees results when their last
+ * reader has fetched them. Lost with the process, like the stage work itself.
  */
 import type { PreparationStage, PreparedInputs, StageProgress } from '../../connection/peers/preparation.js'
 import type { StageGraph } from './stage-graph.js'
@@ -14,14 +14,14 @@
   started: boolean
   /** When it started, on the process clock in milliseconds. */
   startedAt: number
-  /** Stages that read the results and have not fetched them. */
+  /** Stages that read the results and have not fetched them yet. */
   readersLeft: number
-  /** Its own inputs are fetched. */
+  /** Whether its own inputs have been fetched. */
   hasInputs: boolean
   task: SubmittedTask | undefined
 }
 
-/** The states of all stages, by their numbers in the route. */
+/** The states of all stages, by their index in the route. */
 export class StageStates {
   private readonly states: StageState[]
 
@@ -44,7 +44,7 @@
     return this.states.every(state => state.results)
   }
 
-  /** Whether all items of some stage that have no result are in calls. */
+  /** Whether there is a stage whose items without a result are all in flight. */
   get isUnderWay(): boolean {
     return this.states.some(state => state.task?.isUnderWay())
   }
@@ -53,7 +53,7 @@
     return this.states[stage]?.results !== undefined
   }
 
-  /** Whether a stage has not started and all that it depends on is done. */
+  /** Whether a stage has not started and everything that it depends on is complete. */
   isReady(stage: number): boolean {
     return !this.states[stage].started && this.stages[stage].dependsOn.every(dependency => this.hasResults(dependency))
   }
@@ -62,7 +62,7 @@
     return this.stages[stage].dependsOn.flatMap(dependency => this.states[dependency].results ?? [])
   }
 
-  /** Counts stages as done that an earlier coordinator has finished. */
+  /** Marks stages as complete that an earlier coordinator has finished. */
   adopt(adopted: readonly AdoptedStage[]): void {
     for (const { stage, results } of adopted) {
       this.markStarted(stage)
@@ -77,7 +77,7 @@
     this.states[stage].startedAt = performance.now()
   }
 
-  /** Milliseconds that a stage's own call is still expected to take, of those that it takes in all; 0 where it is done. */
+  /** Expected time left of a stage's own call, given its total duration `callMs`; 0 if it is complete. */
   remainingMs(stage: number, callMs: number, now: number): number {
     const { results, started, startedAt } = this.states[stage]
     if (results)
@@ -96,7 +96,7 @@
     this.markFetched(stage)
   }
 
-  /** The stage needs its inputs no more; frees those that it was the last to read. */
+  /** Marks the stage's inputs as fetched; frees those that it was the last to read. */
   markFetched(stage: number): void {
     const state = this.states[stage]
     if (state.hasInputs)
@@ -111,9 +111,9 @@
   }
 
   /**
-   * Describes the final stages' results, which the request's backend server
-   * reads, with the failure domain that holds most of their bytes; without
-   * results, the given one.
+   * Describes the results of the final stages, which the request's backend server
+   * reads, and the failure domain that holds most of their bytes; if there are no
+   * results, the given domain.
    */
   describeInputs(defaultDomain: string): PreparedInputs {
     const results = this.states.flatMap((state, stage) => this.graph.isFinal(stage) ? state.results ?? [] : [])
@@ -128,7 +128,7 @@
     }
   }
 
-  /** Describes the finished stages for the next coordinator, without results that all readers have fetched. */
+  /** Describes the completed stages for the next coordinator; omits results that all readers have fetched. */
   describeProgress(now: number): StageProgress[] {
     return this.states.flatMap(({ results, readersLeft }, stage) => {
       if (!results)
@@ -139,7 +139,7 @@
     })
   }
 
-  /** Cancels the tasks and leaves the results where they are. */
+  /** Cancels the tasks and keeps the results. */
   cancelTasks(): void {
     for (const state of this.states)
       state.task?.cancel()
--- a/packages/gateway/src/request/stages/stage-task.ts
+++ b/packages/gateway/src/request/stages/stage-task.ts
@@ -1,29 +1,29 @@
 /**
- * One stage of one request as it is submitted to the queue of its service, and
- * what the request's stages rely on: a queue that runs the items and holders
- * that keep the results. The process floor gives both; nothing here has state.
+ * A stage of one request as submitted to the queue of its service, and the
+ * interfaces that the request's stages depend on: a queue that runs the items and
+ * holders that store the results, both implemented by the process. Stateless.
  */
 import type { Backend } from '../../connection/backends/backend.js'
 import type { ItemFailure } from '../../connection/backends/stage-client.js'
 import type { StageProgress } from '../../connection/peers/preparation.js'
 
 /**
- * Keeps results in the memory of one backend server, as far as this process
- * knows; times are on the process clock.
+ * What this process knows of the results in the memory of one backend server;
+ * times are on the process clock in milliseconds.
  */
 export interface ResultHolder {
   readonly backend: Backend
   readonly failureDomain: string
   /** Whether a reader can still fetch a result. */
   isReadable: (handle: string, now: number) => boolean
-  /** Milliseconds until the backend server drops a result by itself. */
+  /** Milliseconds until the backend server drops a result on its own. */
   remainingLifetimeMs: (handle: string, now: number) => number
   /**
-   * Marks a result for deletion; false where it is unknown or marked already.
-   * Its bytes stay counted until it is dropped.
+   * Marks a result for deletion; returns false if it is unknown or already
+   * marked. Its bytes stay accounted for until it is dropped.
    */
   markFreeing: (handle: string) => boolean
-  /** The backend server no longer holds the result; its bytes are free. */
+  /** Removes a result that the backend server no longer holds and releases its bytes. */
   drop: (handle: string) => void
 }
 
@@ -34,9 +34,9 @@
   bytes: number
 }
 
-/** What a task reports. */
+/** Callbacks of a task. */
 export interface StageTaskListener {
-  /** The backend servers have fetched all inputs of all items, by estimate. */
+  /** Called when the backend servers are estimated to have fetched all inputs of all items. */
   inputsFetched: () => void
   completed: (results: StageResult[]) => void
   failed: (failure: ItemFailure) => void
@@ -45,22 +45,22 @@
 /** The items of one stage of one request. */
 export interface StageTask {
   requestId: string
-  /** Of the request; absent where its gateway does not tell it. */
+  /** Fingerprint of the request; undefined if its gateway does not report one. */
   fingerprint: string | undefined
   stage: number
   service: string
   items: number
-  /** Bytes of one result. */
+  /** Expected size of one result. */
   resultBytes: number
   key: string | undefined
   inputs: readonly StageResult[]
-  /** Failure domain of the backend server that reads the results, where that is not another stage's. */
+  /** Failure domain of the backend server that reads the results; undefined if another stage reads them. */
   readerDomain: string | undefined
-  /** Place in the order; the least goes first. */
+  /** Position in the processing order; the lowest goes first. */
   rank: number
-  /** When the request's answer misses its target, on the process clock in milliseconds. */
+  /** When the request's response misses its target, on the process clock in milliseconds. */
   targetAt: number
-  /** When the client stops waiting, on the process clock in milliseconds. */
+  /** When the client gives up, on the process clock in milliseconds. */
   deadlineAt: number
   /** Expected time of everything after this stage, in milliseconds. */
   remainingMs: number
@@ -69,23 +69,23 @@
 
 /** A task that a queue has accepted. */
 export interface SubmittedTask {
-  /** Ends it without a report; results of items under way are freed when they arrive. */
+  /** Cancels it without calling the listener; results of items in flight are freed on arrival. */
   cancel: () => void
-  /** Whether every item without a result is in a call. */
+  /** Whether every item without a result is in flight. */
   isUnderWay: () => boolean
 }
 
 /** Runs the tasks of one stage service. */
 export interface StageTaskQueue {
-  /** Accepts a task; may report to its listener before it returns. */
+  /** Accepts a task; may call its listener before returning. */
   submit: (task: StageTask) => SubmittedTask
-  /** Takes results of an earlier coordinator over; undefined where the backend server of one of them is unknown. */
+  /** Adopts the results of an earlier coordinator; undefined if the backend server of one of them is unknown. */
   adopt: (progress: StageProgress) => StageResult[] | undefined
   /** Deletes a result at its backend server. */
   free: (result: StageResult) => void
-  /** Expected time of one call, in milliseconds. */
+  /** Expected duration of one call, in milliseconds. */
   typicalCallMs: () => number
 }
 
-/** The queue of a service; undefined where the configuration has no such stage service. */
+/** Returns the queue of a service; undefined if the configuration has no such stage service. */
 export type StageTaskQueues = (service: string) => StageTaskQueue | undefined
