--- a/test/gateway/attempt-ends.test.ts
+++ b/test/gateway/attempt-ends.test.ts
@@ -3,27 +3,27 @@
 import { AttemptEnd, BackendHealthSign, CallFailureKind, decideHealthSign, errorOfUnanswered } from '@eidermast/gateway'
 import { describe, expect, test } from 'vitest'
 
-describe('what an attempt says of its backend server', () => {
+describe('health signal of an attempt', () => {
   const FAILED: AttemptEvidence = { end: AttemptEnd.MayHaveRun, failureKind: undefined, streaming: false, abandonedHere: false }
 
   test.each<[string, Partial<AttemptEvidence>, BackendHealthSign]>([
-    ['a whole answer', { end: AttemptEnd.Answered }, BackendHealthSign.Success],
-    ['a whole stream', { end: AttemptEnd.Answered, streaming: true }, BackendHealthSign.None],
-    ['a broken answer', { failureKind: CallFailureKind.Broken }, BackendHealthSign.Failure],
+    ['a complete non-streaming response', { end: AttemptEnd.Answered }, BackendHealthSign.Success],
+    ['a complete stream', { end: AttemptEnd.Answered, streaming: true }, BackendHealthSign.None],
+    ['a broken response', { failureKind: CallFailureKind.Broken }, BackendHealthSign.Failure],
     ['a failed connection', { end: AttemptEnd.NotRun, failureKind: CallFailureKind.NotSent }, BackendHealthSign.Failure],
     ['a refusal', { end: AttemptEnd.NotRun, failureKind: CallFailureKind.Refused }, BackendHealthSign.None],
-    ['a call that this gateway abandoned', { failureKind: CallFailureKind.Aborted, abandonedHere: true }, BackendHealthSign.Abandoned],
-    ['a call that this gateway abandoned while it waited for a connection', { end: AttemptEnd.NotRun, failureKind: CallFailureKind.AbandonedUnsent, abandonedHere: true }, BackendHealthSign.Abandoned],
-    ['a call whose client left while it waited for a connection', { end: AttemptEnd.NotRun, failureKind: CallFailureKind.AbandonedUnsent }, BackendHealthSign.None],
-    ['a call that was turned away since its backend server is leaving', { end: AttemptEnd.NotRun, failureKind: CallFailureKind.Leaving }, BackendHealthSign.None],
-    ['a call whose client left', { failureKind: CallFailureKind.Aborted }, BackendHealthSign.None],
-    ['a failure of its own', { end: AttemptEnd.ServerError }, BackendHealthSign.None],
+    ['a call aborted by this gateway', { failureKind: CallFailureKind.Aborted, abandonedHere: true }, BackendHealthSign.Abandoned],
+    ['a call aborted by this gateway while waiting for a connection', { end: AttemptEnd.NotRun, failureKind: CallFailureKind.AbandonedUnsent, abandonedHere: true }, BackendHealthSign.Abandoned],
+    ['a call whose client disconnected while it waited for a connection', { end: AttemptEnd.NotRun, failureKind: CallFailureKind.AbandonedUnsent }, BackendHealthSign.None],
+    ['a call rejected because its backend server is shutting down', { end: AttemptEnd.NotRun, failureKind: CallFailureKind.Leaving }, BackendHealthSign.None],
+    ['a call whose client disconnected', { failureKind: CallFailureKind.Aborted }, BackendHealthSign.None],
+    ['a server error', { end: AttemptEnd.ServerError }, BackendHealthSign.None],
   ])('%s', (_name, evidence, sign) => {
     expect(decideHealthSign({ ...FAILED, ...evidence })).toBe(sign)
   })
 })
 
-describe('a request without an answer', () => {
+describe('an unanswered request', () => {
   const REFUSED: UnansweredRequest = {
     service: 'plain',
     cancelled: false,
@@ -34,13 +34,13 @@
   }
 
   test.each<[string, Partial<UnansweredRequest>, ErrorKind, Ran]>([
-    ['did not run where everybody refused', {}, ErrorKind.Overloaded, Ran.None],
-    ['did not run where no backend server was found', { lastFailure: undefined }, ErrorKind.NoBackend, Ran.None],
-    ['may have run where an attempt may have', { runs: 1 }, ErrorKind.OutcomeUnknown, Ran.Unknown],
-    ['did not run where requests like it end backend servers', { refusal: 'ended 3' }, ErrorKind.Quarantined, Ran.None],
-    ['may have run where it was one of those that ended them', { refusal: 'ended 3', runs: 1 }, ErrorKind.OutcomeUnknown, Ran.Unknown],
-    ['did not run where its client left before', { cancelled: true }, ErrorKind.Cancelled, Ran.None],
-    ['may have run where its client left during an attempt', { cancelled: true, runs: 1 }, ErrorKind.Cancelled, Ran.Unknown],
+    ['did not run if every backend server refused it', {}, ErrorKind.Overloaded, Ran.None],
+    ['did not run if no backend server was found', { lastFailure: undefined }, ErrorKind.NoBackend, Ran.None],
+    ['may have run if an attempt may have', { runs: 1 }, ErrorKind.OutcomeUnknown, Ran.Unknown],
+    ['did not run if identical requests are quarantined', { refusal: 'ended 3' }, ErrorKind.Quarantined, Ran.None],
+    ['may have run if it caused one of the crashes behind the quarantine', { refusal: 'ended 3', runs: 1 }, ErrorKind.OutcomeUnknown, Ran.Unknown],
+    ['did not run if its client disconnected before any attempt', { cancelled: true }, ErrorKind.Cancelled, Ran.None],
+    ['may have run if its client disconnected during an attempt', { cancelled: true, runs: 1 }, ErrorKind.Cancelled, Ran.Unknown],
   ])('%s', (_name, request, kind, ran) => {
     expect(errorOfUnanswered({ ...REFUSED, ...request })).toMatchObject({ kind, ran })
   })
--- a/test/gateway/backend-choice.test.ts
+++ b/test/gateway/backend-choice.test.ts
@@ -15,39 +15,39 @@
   return ['a', 'b', 'c', 'd'].map((id, index) => new Backend(createRecord({ id, capacity: 64, ...overrides(index) })))
 }
 
-describe('choosing a model backend server', () => {
+describe('selecting a model engine', () => {
   const choice = new PrefixAwareChoice(new NoEjection())
 
-  test('is the same at every gateway for the same shared part', () => {
+  test('all gateways select the same one for the same shared prompt part', () => {
     const first = choice.order(createBackends(), SHARED)[0].id
     const second = choice.order(createBackends().reverse(), SHARED)[0].id
     expect(second).toBe(first)
   })
 
-  test('avoids the backend server that keeps the shared part where too many requests run there', () => {
+  test('avoids the backend server that caches the shared part if too many requests run there', () => {
     const backends = createBackends()
-    const home = choice.order(backends, SHARED)[0]
-    home.outstanding = 60
-    expect(choice.order(backends, SHARED)[0].id).not.toBe(home.id)
+    const preferred = choice.order(backends, SHARED)[0]
+    preferred.outstanding = 60
+    expect(choice.order(backends, SHARED)[0].id).not.toBe(preferred.id)
   })
 
-  test('goes to the failure domain of many bytes where nothing else speaks against it', () => {
+  test('prefers the failure domain with many bytes to fetch if all else is equal', () => {
     const backends = createBackends(index => ({ failureDomain: index === 2 ? 'zone-a' : 'zone-b' }))
     expect(choice.order(backends, { ...SHORT, bytes: 2_000_000 })[0].failureDomain).toBe('zone-a')
   })
 })
 
-describe('choosing a plain backend server', () => {
+describe('selecting a plain backend server', () => {
   const choice = new LeastLoadChoice(new NoEjection())
 
-  test('takes the own failure domain while its backend server is not busier', () => {
+  test('prefers the own failure domain while its backend server is not busier', () => {
     const backends = createBackends(index => ({ capacity: 6, failureDomain: index === 1 ? 'zone-a' : 'zone-b' }))
     expect(choice.order(backends, SHORT)[0].id).toBe('b')
     backends[1].outstanding = 5
     expect(choice.order(backends, SHORT)[0].id).not.toBe('b')
   })
 
-  test('goes by the load that backend servers reported lately', () => {
+  test('uses the load that backend servers reported recently', () => {
     const backends = createBackends()
     backends.slice(1).forEach((backend) => {
       backend.load = { running: 40, waiting: 3, capacity: 64 }
--- a/test/gateway/backend-run.test.ts
+++ b/test/gateway/backend-run.test.ts
@@ -8,7 +8,7 @@
 
 const SERVICE = 'plain'
 
-/** An answer that is taken and forgotten. */
+/** A client connection that discards everything. */
 function createAnswer(): ClientAnswer {
   return { started: false, sendWhole: () => {}, begin: () => {}, beginUnframed: () => {}, send: async () => {}, end: () => {}, breakOff: () => {}, fail: () => {} }
 }
@@ -20,8 +20,8 @@
   return { method: 'POST', path: '/a/', body: undefined, head, route, account: undefined, service: SERVICE, priority: 0, deadlineAt: now + 5000, firstEventBy: now + 5000, isRetry: false } as unknown as RoutedRequest
 }
 
-/** A client whose first call finds an input gone; all others are answered. */
-class InputGoneOnce implements BackendClient {
+/** Its first call fails because an input is gone; all others succeed. */
+class InputGoneOnceClient implements BackendClient {
   readonly called: string[] = []
 
   async run(backend: { id: string }, call: BackendCall) {
@@ -39,55 +39,55 @@
   }
 }
 
-/** A request whose first attempt, at the server `first`, finds its input gone; `renew` makes its stage results again. */
+/** A request whose first attempt, at the server `first`, fails because its input is gone; `renew` recreates its stage results. */
 function createRun({ budgetExtra = 10, engine, renew }: { budgetExtra?: number, engine?: string, renew: (registry: BackendRegistry) => readonly string[] | undefined }) {
   const { log } = createLog()
   const registry = new BackendRegistry(log)
   for (const id of ['first', 'second'])
     registry.upsert(createRecord({ id, service: SERVICE }))
-  // The choice is by load.
+  // The least loaded server is selected first.
   registry.find('second')!.outstanding = 5
-  const client = new InputGoneOnce()
+  const client = new InputGoneOnceClient()
   const ejection = new OutlierEjection()
   const choice = new LeastLoadChoice(ejection)
   const budget = new RetryBudget({ ratio: 0, extra: budgetExtra, windowMs: 10_000 }, () => 1)
   const runner = new BackendRunner({ failureDomain: 'zone-a', registry, client, ejection, plainChoice: choice, engineChoice: choice, budget, coldPace: NO_COLD_BOUND, intake: OPEN_INTAKE, crashes: NO_CRASHES, log, isEngine: () => false })
-  const renewals = vi.fn(async () => renew(registry))
-  const inputs: RunInputs = { handles: ['lost'], failureDomain: undefined, bytes: 0, engine, renew: renewals }
+  const recreate = vi.fn(async () => renew(registry))
+  const inputs: RunInputs = { handles: ['lost'], failureDomain: undefined, bytes: 0, engine, renew: recreate }
   const run = () => runner.run({ request: createRequest(), inputs, answer: createAnswer(), signal: new AbortController().signal })
-  return { run, client, budget, renewals }
+  return { run, client, budget, recreate }
 }
 
-describe('a request whose stage results are made again', () => {
-  test('goes to a backend server that takes work when they are ready', async () => {
+describe('a request whose stage results are recreated', () => {
+  test('runs at a backend server that accepts work once they are ready', async () => {
     const { run, client } = createRun({ renew: (registry) => {
       registry.upsert(createRecord({ id: 'first', service: SERVICE, draining: true }))
-      return ['made-again']
+      return ['recreated']
     } })
     expect((await run()).error).toBeUndefined()
     expect(client.called).toEqual(['first', 'second'])
   })
 
-  test('goes first to the backend server that was chosen with them, then to another', async () => {
-    const { run, client } = createRun({ engine: 'second', renew: () => ['made-again'] })
+  test('runs first at the backend server selected with them, then at another', async () => {
+    const { run, client } = createRun({ engine: 'second', renew: () => ['recreated'] })
     await run()
     expect(client.called[0]).toBe('second')
   })
 
-  test('goes to another where the one that was chosen with them takes no work', async () => {
-    const { run, client } = createRun({ engine: 'gone', renew: () => ['made-again'] })
+  test('runs at another backend server if the one selected with them accepts no work', async () => {
+    const { run, client } = createRun({ engine: 'gone', renew: () => ['recreated'] })
     await run()
     expect(client.called[0]).toBe('first')
   })
 
-  test('has none made where the retry budget is used up', async () => {
-    const { run, client, renewals } = createRun({ budgetExtra: 0, renew: () => ['made-again'] })
+  test('does not recreate them if the retry budget is used up', async () => {
+    const { run, client, recreate } = createRun({ budgetExtra: 0, renew: () => ['recreated'] })
     expect(await run()).toMatchObject({ retry: RetryDecision.BudgetUsed })
-    expect(renewals).not.toHaveBeenCalled()
+    expect(recreate).not.toHaveBeenCalled()
     expect(client.called).toEqual(['first'])
   })
 
-  test('gives its retry back where they cannot be made', async () => {
+  test('returns its retry to the budget if they cannot be recreated', async () => {
     const { run, budget } = createRun({ budgetExtra: 2, renew: () => undefined })
     expect(await run()).toMatchObject({ retry: RetryDecision.InputsGone })
     expect(budget.takeRetry(SERVICE)).toBe(true)
@@ -95,10 +95,10 @@
   })
 })
 
-describe('the answer to a request', () => {
+describe('the response to a request', () => {
   test.each([
-    ['speaks for requests like it where it said where it ends', true, 1],
-    ['does not where it ended with its connection, and has that backend server asked for', false, 0],
+    ['counts as answered if it is framed', true, 1],
+    ['does not count as answered if it ends with its connection, and triggers a crash check of the backend server', false, 0],
   ])('%s', async (_name, framed, times) => {
     const { log } = createLog()
     const registry = new BackendRegistry(log)
@@ -121,16 +121,16 @@
   })
 })
 
-describe('a request whose backend servers all name a limit', () => {
-  /** Runs a request; takes what the looks at the gate find in turn, in milliseconds. */
-  async function runBehindGate(waits: readonly number[]) {
+describe('a request whose backend servers all report a limit', () => {
+  /** Runs a request; `waits` are the wait times in milliseconds that successive look-ups return. */
+  async function runWithWaits(waits: readonly number[]) {
     const { log } = createLog()
     const registry = new BackendRegistry(log)
     registry.upsert(createRecord({ id: 'first', service: SERVICE }))
     const left = [...waits]
     const intake = { waitMs: () => left.length > 1 ? left.shift()! : left[0] }
-    const client = new InputGoneOnce()
-    client.called.push('answers from now on')
+    const client = new InputGoneOnceClient()
+    client.called.push('first call done: all others succeed')
     const ejection = new OutlierEjection()
     const choice = new LeastLoadChoice(ejection)
     const budget = new RetryBudget({ ratio: 0, extra: 10, windowMs: 10_000 }, () => 1)
@@ -138,11 +138,11 @@
     return runner.run({ request: createRequest(), inputs: NO_INPUTS, answer: createAnswer(), signal: new AbortController().signal })
   }
 
-  test('is sent where a turn begins just after the choice found none', async () => {
-    expect((await runBehindGate([20, 0])).error).toBeUndefined()
+  test('is sent if a time slot begins just after the selection found none', async () => {
+    expect((await runWithWaits([20, 0])).error).toBeUndefined()
   })
 
-  test('is refused with the time of the next turn where none begins', async () => {
-    expect((await runBehindGate([20])).error).toMatchObject({ kind: ErrorKind.Overloaded, retryAfterMs: 20 })
+  test('is rejected with the time until the next time slot if none begins', async () => {
+    expect((await runWithWaits([20])).error).toMatchObject({ kind: ErrorKind.Overloaded, retryAfterMs: 20 })
   })
 })
--- a/test/gateway/cold-backends.test.ts
+++ b/test/gateway/cold-backends.test.ts
@@ -18,43 +18,43 @@
 const isCold = (id: string, afterMs = 0): boolean => registry.find(id)!.isCold(performance.now() + afterMs)
 
 describe('a backend server', () => {
-  test('of the first list is cold only where its entry says so', () => {
+  test('in the first list is cold only if its entry says so', () => {
     list.replaceAll({ revision: 5, entries: [listed({ id: 'warm' }), listed({ id: 'cold', coldMs: 1000 })] })
     expect([isCold('warm'), isCold('cold'), isCold('cold', 1001)]).toEqual([false, true, false])
   })
 
-  test('that is listed later has just started, also where it does not say that it is cold', () => {
+  test('that is listed later has just started, even if its entry does not say that it is cold', () => {
     list.replaceAll({ revision: 5, entries: [] })
     list.upsert(listed({ id: 'started' }, 6))
     expect([isCold('started', COLD_START_MS - 100), isCold('started', COLD_START_MS + 1)]).toEqual([true, false])
   })
 
-  test('of the list that a starting gateway takes from a peer is cold only where its entry says so', () => {
+  test('in the list that a starting gateway gets from a peer is cold only if its entry says so', () => {
     list.adopt({ revision: 5, entries: [listed({ id: 'warm' })] }, { name: 'gateway-1', address: '127.0.0.1:1' })
     expect(isCold('warm')).toBe(false)
   })
 
-  test('becomes cold once more by its entry', () => {
+  test('becomes cold again if its entry says so', () => {
     list.replaceAll({ revision: 5, entries: [listed({ id: 'warm' })] })
     list.upsert(listed({ id: 'warm', coldMs: 2000 }, 6))
     expect([isCold('warm', 1900), isCold('warm', 2001)]).toEqual([true, false])
   })
 
-  test('is not cold anew where the same entry is read again', () => {
+  test('does not become cold again if the same entry is read again', () => {
     const entries = [listed({ id: 'cold', coldMs: 1 })]
     list.replaceAll({ revision: 5, entries })
     list.replaceAll({ revision: 9, entries })
     expect(isCold('cold', 2)).toBe(false)
   })
 
-  test('counts as cold when the evacuation of its failure domain is taken back', () => {
+  test('counts as cold when the evacuation of its failure domain is revoked', () => {
     list.replaceAll({ revision: 5, entries: [listed({ id: 'a', failureDomain: 'zone-a' }), listed({ id: 'b', failureDomain: 'zone-b' })] })
     registry.setEvacuated(new Set(['zone-a']))
     registry.setEvacuated(new Set())
     expect([isCold('a'), isCold('b')]).toEqual([true, false])
   })
 
-  test('is as cold as its answers say', () => {
+  test('is cold for as long as its responses report', () => {
     list.replaceAll({ revision: 5, entries: [listed({ id: 'warm' })] })
     registry.find('warm')!.noteCold(500, performance.now())
     expect([isCold('warm', 400), isCold('warm', 501)]).toEqual([true, false])
--- a/test/gateway/cold-pace.test.ts
+++ b/test/gateway/cold-pace.test.ts
@@ -3,31 +3,31 @@
 import { createBackend } from './support/fakes.js'
 import { createRandom } from './support/random.js'
 
-/** What a cold backend server withstands, and what it may get at most in a second (the platform's bounds). */
-const WITHSTANDS = 10
+/** The rate that a cold backend server can take, and its limit in requests per second (as specified by the platform). */
+const SUSTAINABLE_RATE = 10
 const ALLOWANCE = { overshoot: 1.5, slack: 5 }
-const BOUND = coldAllowancePerSecond(WITHSTANDS, ALLOWANCE)
+const LIMIT = coldAllowancePerSecond(SUSTAINABLE_RATE, ALLOWANCE)
 const COLD_MS = 6000
 const STEP_MS = 10
-/** Milliseconds by which gateways hear of a start at different times. */
-const HEARD_LATE_MS = 400
+/** Maximum delay with which gateways learn of a start. */
+const MAX_NOTICE_DELAY_MS = 400
 
 interface Sender {
   pace: ColdPace
   backend: ReturnType<typeof createBackend>
 }
 
-/** A gateway that heard of the start at a moment; each has its own copy of the backend server. */
+/** A gateway that learned of the start at `heardAt`; each has its own copy of the backend server. */
 function createSender(name: string, ratePerSecond: number, heardAt: number): Sender {
   const backend = createBackend({ id: 'engine-a' })
   backend.noteCold(COLD_MS, heardAt)
   return { pace: new ColdPace(name, () => ratePerSecond), backend }
 }
 
-/** Moments of the requests of senders that always have one to send. */
-function playFullDemand(senders: readonly Sender[]): number[] {
+/** Times at which senders with unlimited demand send. */
+function simulateFullDemand(senders: readonly Sender[]): number[] {
   const sent: number[] = []
-  for (let now = HEARD_LATE_MS; now < COLD_MS; now += STEP_MS) {
+  for (let now = MAX_NOTICE_DELAY_MS; now < COLD_MS; now += STEP_MS) {
     for (const { pace, backend } of senders) {
       if (!pace.mayTake(backend, now))
         continue
@@ -38,59 +38,59 @@
   return sent
 }
 
-/** The most requests in any second. */
+/** The largest number of requests in any second. */
 function maxInSecond(sent: readonly number[]): number {
   return Math.max(0, ...sent.map(from => sent.filter(at => at >= from && at < from + 1000).length))
 }
 
-/** Gateways that choose by themselves, and coordinators of groups that hear only their own members. */
+/** Gateways that select by themselves, and coordinators of groups that only hear their own members. */
 function createSenders(gateways: number, groups: readonly number[], seed: number): Sender[] {
   const random = createRandom(seed)
-  const heardAt = (): number => random() * HEARD_LATE_MS
+  const heardAt = (): number => random() * MAX_NOTICE_DELAY_MS
   const own = Array.from({ length: gateways }, (_, index) =>
-    createSender(`gateway-${seed}-${index}`, BOUND * OWN_SHARE / countSharingGateways(gateways), heardAt()))
+    createSender(`gateway-${seed}-${index}`, LIMIT * OWN_SHARE / countSharingGateways(gateways), heardAt()))
   const coordinators = groups.map((members, index) =>
-    createSender(`coordinator-${seed}-${index}`, BOUND * COORDINATED_SHARE * coordinatorPart(members - 1, gateways), heardAt()))
+    createSender(`coordinator-${seed}-${index}`, LIMIT * COORDINATED_SHARE * coordinatorPart(members - 1, gateways), heardAt()))
   return [...own, ...coordinators]
 }
 
-const alone = (gateways: number): number[] => Array.from({ length: gateways }, () => 1)
+const isolated = (gateways: number): number[] => Array.from({ length: gateways }, () => 1)
 
 describe('requests to a cold backend server', () => {
   test.each([
     ['4 gateways with one coordinator', 4, [4]],
-    ['4 gateways that do not hear each other', 4, alone(4)],
+    ['4 gateways that do not hear each other', 4, isolated(4)],
     ['21 gateways with one coordinator', 21, [21]],
-    ['21 gateways in two groups that are cut off from each other', 21, [14, 7]],
-    ['21 gateways that do not hear each other', 21, alone(21)],
+    ['21 gateways in two partitioned groups', 21, [14, 7]],
+    ['21 gateways that do not hear each other', 21, isolated(21)],
     ['300 gateways with one coordinator', 300, [300]],
-    ['300 gateways that do not hear each other', 300, alone(300)],
-  ])('stay within the bound with %s, whatever comes', (_name, gateways, groups) => {
-    const maxima = [1, 2, 3, 4, 5, 6].map(seed => maxInSecond(playFullDemand(createSenders(gateways, groups, seed))))
-    expect(Math.max(...maxima)).toBeLessThanOrEqual(BOUND)
+    ['300 gateways that do not hear each other', 300, isolated(300)],
+  ])('stay within the limit with %s at any demand', (_name, gateways, groups) => {
+    const maxima = [1, 2, 3, 4, 5, 6].map(seed => maxInSecond(simulateFullDemand(createSenders(gateways, groups, seed))))
+    expect(Math.max(...maxima)).toBeLessThanOrEqual(LIMIT)
   })
 
-  test.each([4, 21, 300])('come close to what it withstands with %i gateways that have one coordinator', (gateways) => {
-    const sent = playFullDemand(createSenders(gateways, [gateways], 1))
-    expect(sent.length / (COLD_MS / 1000)).toBeGreaterThan(WITHSTANDS / 2)
+  test.each([4, 21, 300])('use more than half of the sustainable rate with %i gateways that have one coordinator', (gateways) => {
+    const sent = simulateFullDemand(createSenders(gateways, [gateways], 1))
+    expect(sent.length / (COLD_MS / 1000)).toBeGreaterThan(SUSTAINABLE_RATE / 2)
   })
 
-  test('are not bounded once it is warm, or where there is no bound', () => {
+  test('are not limited once it is warm or if there is no limit', () => {
     const { pace, backend } = createSender('gateway', 0.1, 0)
     expect(pace.mayTake(backend, COLD_MS + 1)).toBe(true)
     expect(new ColdPace('gateway', () => undefined).mayTake(backend, 10)).toBe(true)
   })
 
-  test('begin a turn anew after it is cold once more', () => {
+  test('get a new time slot after it becomes cold again', () => {
     const { pace, backend } = createSender('gateway', 10, 0)
     const later = 3 * COLD_MS
     backend.noteCold(COLD_MS, later)
     expect(backend.coldSince).toBe(later)
-    expect(playable(pace, backend, later)).toBe(true)
+    expect(opensWithinSecond(pace, backend, later)).toBe(true)
   })
 })
 
-/** Whether a turn opens within a second. */
-function playable(pace: ColdPace, backend: Sender['backend'], from: number): boolean {
+/** Whether a time slot opens within a second. */
+function opensWithinSecond(pace: ColdPace, backend: Sender['backend'], from: number): boolean {
   return Array.from({ length: 100 }, (_, step) => from + step * STEP_MS).some(now => pace.mayTake(backend, now))
 }
--- a/test/gateway/event-splitter.test.ts
+++ b/test/gateway/event-splitter.test.ts
@@ -4,8 +4,8 @@
 
 const SEED = 20261202
 
-describe('a stream of events', () => {
-  test('is split alike however its bytes are cut', () => {
+describe('the event splitter', () => {
+  test('finds the same events however the bytes are chunked', () => {
     const event = fc.record({ id: fc.nat(99), data: fc.stringMatching(/^[a-z ]{0,20}$/), ending: fc.constantFrom('\n\n', '\r\n\r\n') })
     const cuts = fc.array(fc.integer({ min: 1, max: 30 }), { minLength: 1 })
     fc.assert(fc.property(fc.array(event, { maxLength: 8 }), cuts, (events, sizes) => {
@@ -26,7 +26,7 @@
     }), { seed: SEED, numRuns: 300 })
   })
 
-  test('keeps half an event back', () => {
+  test('buffers an incomplete event', () => {
     const splitter = new EventSplitter()
     expect(splitter.push(Buffer.from('id: 1\ndata: x\n\nid: 2\nda'))).toHaveLength(1)
     expect(splitter.partial.toString()).toBe('id: 2\nda')
--- a/test/gateway/limit-turns.test.ts
+++ b/test/gateway/limit-turns.test.ts
@@ -3,14 +3,14 @@
 import { createBackend } from './support/fakes.js'
 import { createRandom } from './support/random.js'
 
-/** Milliseconds over which requests are counted, and how many more than the limit a span may have (the platform's bounds). */
+/** Time span over which requests are counted, and by how much the count may exceed the limit (as specified by the platform). */
 const SPAN_MS = 4000
 const FACTOR = 1.5
 const SLACK = 5
 const STEP_MS = 20
-/** Turns of each gateway that are played. */
-const TURNS = 3
-/** Milliseconds by which clocks of gateways differ. */
+/** Simulated time slots per gateway. */
+const SLOTS = 3
+/** Maximum difference between the clocks of the gateways. */
 const SKEW_MS = 50
 
 interface Sender {
@@ -18,7 +18,7 @@
   backend: ReturnType<typeof createBackend>
 }
 
-interface Play {
+interface Scenario {
   gateways: number
   limit: number
   /** Probability that a gateway has a request to send in a step. */
@@ -26,8 +26,8 @@
   seed: number
 }
 
-/** Gateways that know each other and the limit; each has its own copy of the backend server, and a clock of its own. */
-function createSenders({ gateways, limit, seed }: Play, clock: { now: number }): Sender[] {
+/** Gateways that know each other and the limit; each has its own copy of the backend server and its own clock skew. */
+function createSenders({ gateways, limit, seed }: Scenario, clock: { now: number }): Sender[] {
   const random = createRandom(seed)
   return Array.from({ length: gateways }, (_, place) => {
     const skewMs = random() * SKEW_MS
@@ -38,13 +38,13 @@
   })
 }
 
-/** Moments of the requests that the gateways send. */
-function play(options: Play): number[] {
+/** Times at which the gateways send. */
+function simulate(options: Scenario): number[] {
   const clock = { now: 0 }
   const senders = createSenders(options, clock)
   const random = createRandom(options.seed + 1)
   const sent: number[] = []
-  for (const endAt = TURNS * 1000 * options.gateways / options.limit; clock.now < endAt; clock.now += STEP_MS) {
+  for (const endAt = SLOTS * 1000 * options.gateways / options.limit; clock.now < endAt; clock.now += STEP_MS) {
     for (const { turns, backend } of senders) {
       if (random() >= options.demand || turns.waitMs(backend) > 0)
         continue
@@ -55,7 +55,7 @@
   return sent
 }
 
-function mostInSpan(sent: readonly number[]): number {
+function maxInSpan(sent: readonly number[]): number {
   let first = 0
   return sent.reduce((most, at, index) => {
     while (at - sent[first] > SPAN_MS)
@@ -64,27 +64,27 @@
   }, 0)
 }
 
-describe('requests of all gateways to a backend server that names a limit', () => {
+describe('requests of all gateways to a backend server that reports a limit', () => {
   test.each([4, 30, 300].flatMap(gateways => [1, 1.3, 5, 20].flatMap(limit => [1, 0.05].map(demand => ({ gateways, limit, demand })))))(
-    'stay within what it allows: $gateways gateways, limit $limit a second, demand $demand',
+    'stay within the limit: $gateways gateways, $limit requests per second, demand $demand',
     ({ gateways, limit, demand }) => {
-      const most = mostInSpan(play({ gateways, limit, demand, seed: gateways }))
-      expect(most).toBeLessThanOrEqual(FACTOR * limit * SPAN_MS / 1000 + SLACK)
+      const max = maxInSpan(simulate({ gateways, limit, demand, seed: gateways }))
+      expect(max).toBeLessThanOrEqual(FACTOR * limit * SPAN_MS / 1000 + SLACK)
     },
   )
 
-  test.each([4, 30, 300])('use most of the limit where there are enough of them: %i gateways', (gateways) => {
+  test.each([4, 30, 300])('use most of the limit at full demand: %i gateways', (gateways) => {
     const limit = 2
-    const sent = play({ gateways, limit, demand: 1, seed: 7 })
-    const listedPart = gateways / (gateways + 1)
-    expect(sent.length).toBeGreaterThan(0.9 * listedPart * TURNS * gateways)
+    const sent = simulate({ gateways, limit, demand: 1, seed: 7 })
+    const listedShare = gateways / (gateways + 1)
+    expect(sent.length).toBeGreaterThan(0.9 * listedShare * SLOTS * gateways)
   })
 })
 
-describe('the turns of a gateway', () => {
+describe('the time slots of a gateway', () => {
   const share = { place: 0, part: 0.25 }
 
-  test('come again after a time that is true', () => {
+  test('recur after the reported wait', () => {
     const clock = { now: 100_000 }
     const turns = new LimitTurns(() => share, () => clock.now, () => clock.now)
     const backend = createBackend()
@@ -97,18 +97,18 @@
     }
   })
 
-  test('are open at once where no limit is named', () => {
+  test('are always open if no limit is reported', () => {
     expect(new LimitTurns(() => share).waitMs(createBackend())).toBe(0)
   })
 
-  test('come also at a backend server that takes none, so that it can say that this has ended', () => {
+  test('recur even with a limit of 0, so that the backend server can report that the limit has ended', () => {
     const clock = { now: 0 }
     const backend = createBackend()
     backend.intake.limitPerSecond = 0
     expect(new LimitTurns(() => share, () => clock.now, () => clock.now).waitMs(backend)).toBeLessThan(60_000)
   })
 
-  test.each([2000, -2000])('bring no second request at once where the time of day jumps by %i ms', (jumpMs) => {
+  test.each([2000, -2000])('allow no immediate second request if the wall clock jumps by %i ms', (jumpMs) => {
     const clock = { now: 100_000, jump: 0 }
     const turns = new LimitTurns(() => share, () => clock.now, () => clock.now + clock.jump)
     const backend = createBackend()
--- a/test/gateway/request-fingerprint.test.ts
+++ b/test/gateway/request-fingerprint.test.ts
@@ -6,7 +6,7 @@
 const REQUEST: FingerprintInputs = { method: 'POST', host: 'host.example', path: '/a/b?c=d', account: 'account-a', body: Buffer.from('body') }
 
 describe('the fingerprint of a request', () => {
-  test('is the same each time that it is sent', () => {
+  test('is identical for repetitions of the request', () => {
     expect(fingerprintOf({ ...REQUEST, body: Buffer.from('body') })).toBe(fingerprintOf(REQUEST))
   })
 
@@ -16,11 +16,11 @@
     ['query', { path: '/a/b?c=e' }],
     ['client account', { account: 'account-b' }],
     ['body', { body: Buffer.from('bodY') }],
-  ])('differs where the %s does', (_part, other) => {
+  ])('differs if the %s differs', (_part, other) => {
     expect(fingerprintOf({ ...REQUEST, ...other })).not.toBe(fingerprintOf(REQUEST))
   })
 
-  test('does not mix what stands at the end of one part with the beginning of the next', () => {
+  test('keeps the end of one field apart from the start of the next', () => {
     const one = fingerprintOf({ ...REQUEST, account: 'a', body: Buffer.from('bc') })
     expect(fingerprintOf({ ...REQUEST, account: 'ab', body: Buffer.from('c') })).not.toBe(one)
   })
--- a/test/gateway/request-router.test.ts
+++ b/test/gateway/request-router.test.ts
@@ -18,7 +18,7 @@
   return { method: 'GET', path: '/a/', head, body: undefined, arrivedAt: 0 }
 }
 
-test('the longest deadline of a route, by which retries are recognized, is forgotten with the route', () => {
+test('the longest deadline of a route, which retry detection uses, is removed with the route', () => {
   const { log } = createLog()
   const configuration = new ConfigurationHolder(text => createConfiguration(JSON.parse(text)), log)
   const router = new RequestRouter(configuration)
--- a/test/gateway/restarted-backends.test.ts
+++ b/test/gateway/restarted-backends.test.ts
@@ -1,8 +1,8 @@
 /**
- * What callers would see: a backend server crashes and starts again under its
- * id, empty. Work would go to it by what was known of the process before: its
- * load, its slowness, the parts of prompts that it had read, connections to an
- * address that it may no longer have.
+ * A backend server crashes and restarts empty under the same id. Guards against
+ * routing work to it by what was known of the previous process: its load, its
+ * latency, the prompt parts that it had cached, and connections to an address
+ * that it may no longer have.
  */
 import { OutlierEjection } from '@eidermast/common'
 import { BackendConnections, BackendRegistry, EngineAssignments } from '@eidermast/gateway'
@@ -19,30 +19,30 @@
   registry.upsert(FIRST)
 })
 
-describe('a backend server that starts again under its id', () => {
-  test('is a new one of which nothing is known, and the one before is gone', () => {
+describe('a backend server that restarts under the same id', () => {
+  test('replaces the previous one and starts without any known state', () => {
     const before = registry.find('plain-a')!
     before.load = { running: 9, waiting: 9, capacity: 1 }
     before.outstanding = 3
-    const heard = { added: vi.fn(), removed: vi.fn() }
-    registry.listen(heard)
+    const listener = { added: vi.fn(), removed: vi.fn() }
+    registry.listen(listener)
     registry.upsert(SECOND)
     const after = registry.find('plain-a')!
     expect(after).not.toBe(before)
     expect([before.takesWork, after.takesWork, after.load, after.outstanding]).toEqual([false, true, undefined, 0])
-    expect(heard.removed).toHaveBeenCalledWith(before)
-    expect(heard.added).toHaveBeenCalledWith(after)
+    expect(listener.removed).toHaveBeenCalledWith(before)
+    expect(listener.added).toHaveBeenCalledWith(after)
     expect(registry.available('plain')).toEqual([after])
   })
 
-  test('is not removed by what its earlier process is found to be', () => {
+  test('is not removed because of its previous process', () => {
     const before = registry.find('plain-a')!
     registry.upsert(SECOND)
     registry.removeBackend(before, 'another backend server has its address')
     expect(registry.available('plain')).toHaveLength(1)
   })
 
-  test('is not ejected for the failures of its earlier process', () => {
+  test('is not ejected for failures of its previous process', () => {
     const ejection = new OutlierEjection()
     registry.upsert(createRecord({ id: 'plain-b', service: 'plain' }))
     registry.upsert(createRecord({ id: 'plain-c', service: 'plain' }))
@@ -61,17 +61,17 @@
     expect(connections.of(registry.find('plain-a')!)).not.toBe(before)
   })
 
-  test('is not taken for one that has read what its earlier process read', () => {
+  test('is not expected to have cached the prompts of its previous process', () => {
     const engines = new EngineAssignments()
     registry.listen({ removed: backend => engines.forget(backend.id) })
     const request = { requestId: 'id-1', prompt: [{ id: 'shared', tokens: 5000 }, { id: 'own', tokens: 10 }], failureDomain: 'zone-a', bytes: 0 }
     engines.assign(request, registry.available('plain'), 0)
-    const readAgain = engines.choose({ ...request, requestId: 'id-2' }, registry.available('plain'), 10)!.firstEventMs
+    const cachedMs = engines.choose({ ...request, requestId: 'id-2' }, registry.available('plain'), 10)!.firstEventMs
     registry.upsert(SECOND)
-    expect(engines.choose({ ...request, requestId: 'id-3' }, registry.available('plain'), 10)!.firstEventMs).not.toBe(readAgain)
+    expect(engines.choose({ ...request, requestId: 'id-3' }, registry.available('plain'), 10)!.firstEventMs).not.toBe(cachedMs)
   })
 
-  test('stays the same one where its start is told for the first time, or only its state changes', () => {
+  test('is not replaced if only its start time becomes known or its state changes', () => {
     registry.upsert(createRecord({ id: 'plain-b', service: 'plain' }))
     const before = registry.find('plain-b')
     registry.upsert(createRecord({ id: 'plain-b', service: 'plain', draining: true }))
--- a/test/gateway/retry-budget.test.ts
+++ b/test/gateway/retry-budget.test.ts
@@ -5,7 +5,7 @@
 const SEED = 20261202
 
 describe('the retry budget', () => {
-  test('never allows more than its share in any window', () => {
+  test('never exceeds its share in any window', () => {
     const step = fc.record({ waitMs: fc.integer({ min: 0, max: 2000 }), requests: fc.nat(20), retries: fc.nat(40) })
     fc.assert(fc.property(fc.array(step, { maxLength: 40 }), (steps) => {
       let now = 0
@@ -28,7 +28,7 @@
     }), { seed: SEED, numRuns: 200 })
   })
 
-  test('is whole again when the window has passed', () => {
+  test('recovers fully once the window has passed', () => {
     let now = 0
     const budget = new RetryBudget({ ratio: 0, extra: 10, windowMs: 1000 }, () => 1, () => now)
     const take = (): number => Array.from({ length: 20 }, () => budget.takeRetry('service')).filter(Boolean).length
--- a/test/gateway/stage-delay.test.ts
+++ b/test/gateway/stage-delay.test.ts
@@ -8,7 +8,7 @@
   return { service: 'encode', dependsOn, resultBytes: 10, items }
 }
 
-/** The delay of the first stage while of the others' calls some milliseconds are left. */
+/** The delay of the first stage; `left` is the time left of other stages' calls in milliseconds, by stage. */
 function delayOfFirst(stages: PreparationStage[], left: Record<number, number> = {}): number {
   const callMs = (number: number): number => stages[number].items === 0 ? 0 : CALL_MS
   return decideStageDelay(0, new StageGraph(stages), { callMs, remainingMs: number => left[number] ?? callMs(number) })
@@ -16,13 +16,13 @@
 
 describe('the delay of a stage', () => {
   test.each([
-    ['is none where it is the only one', [stage(1)], {}, 0],
-    ['is none where the others take no longer', [stage(1), stage(1)], {}, 0],
-    ['is none where others read its results', [stage(1), stage(1, [0]), stage(1, [1]), stage(1, [2])], {}, 0],
-    ['is none where it has no items', [stage(0), stage(1), stage(1, [1]), stage(1, [2])], {}, 0],
-    ['lets it end before the last of a longer chain', [stage(1), stage(1), stage(1, [1]), stage(1, [2])], {}, 1200 - 640],
-    ['counts what is left of a chain under way', [stage(1), stage(1), stage(1, [1]), stage(1, [2])], { 1: 100 }, 900 - 640],
-    ['is over once a chain is far enough', [stage(1), stage(1), stage(1, [1]), stage(1, [2])], { 1: 0, 2: 200 }, 0],
+    ['is 0 if it is the only one', [stage(1)], {}, 0],
+    ['is 0 if the others take no longer', [stage(1), stage(1)], {}, 0],
+    ['is 0 if other stages read its results', [stage(1), stage(1, [0]), stage(1, [1]), stage(1, [2])], {}, 0],
+    ['is 0 if it has no items', [stage(0), stage(1), stage(1, [1]), stage(1, [2])], {}, 0],
+    ['makes it end before the last stage of a longer chain', [stage(1), stage(1), stage(1, [1]), stage(1, [2])], {}, 1200 - 640],
+    ['accounts for the progress of a running chain', [stage(1), stage(1), stage(1, [1]), stage(1, [2])], { 1: 100 }, 900 - 640],
+    ['is 0 once the chain is close to its end', [stage(1), stage(1), stage(1, [1]), stage(1, [2])], { 1: 0, 2: 200 }, 0],
   ])('%s', (_name, stages, left, delayMs) => {
     expect(delayOfFirst(stages, left)).toBe(delayMs)
   })
