--- a/packages/gateway/src/request/attempts/backend-attempt.ts
+++ b/packages/gateway/src/request/attempts/backend-attempt.ts
@@ -8,12 +8,12 @@
 import type { BackendAnswer, BackendCall, BackendClient, CallFailure } from '../../connection/backends/backend-client.js'
 import type { Backend } from '../../connection/backends/backend.js'
 import type { ClientAnswer } from '../../connection/clients/client-answer.js'
-import type { WholeAnswer } from '../answers/answer-relay.js'
-import type { Probe } from '../answers/silence-watch.js'
+import type { BufferedResponse } from '../responses/response-relay.js'
+import type { Probe } from '../responses/stall-detector.js'
 import type { RoutedRequest } from '../routed-request.js'
 import { CallFailureKind } from '../../connection/backends/backend-client.js'
-import { passWhole, readWhole, relayStream } from '../answers/answer-relay.js'
-import { SilenceWatch } from '../answers/silence-watch.js'
+import { bufferResponse, relayStream, sendBuffered } from '../responses/response-relay.js'
+import { StallDetector } from '../responses/stall-detector.js'
 import { AttemptEnd, endOfFailure } from './retry-rule.js'
 
 /** Statuses below this one count as success (RFC 9110, section 15). */
@@ -29,11 +29,11 @@
   /** Whether the response head says where the body ends; an unframed response may have been truncated by the exit of its backend server. @default false */
   framed?: boolean
   /** A complete server error response, sent to the client if no later attempt succeeds. */
-  fallback?: WholeAnswer
+  fallback?: BufferedResponse
 }
 
 /** Dependencies of one attempt. */
-export interface AttemptParts {
+export interface AttemptDependencies {
   client: BackendClient
   backend: Backend
   request: RoutedRequest
@@ -47,8 +47,8 @@
   private readonly controller = new AbortController()
   private readonly probe: Probe
 
-  constructor(private readonly parts: AttemptParts) {
-    this.probe = timeoutMs => parts.client.probe(parts.backend, timeoutMs)
+  constructor(private readonly deps: AttemptDependencies) {
+    this.probe = timeoutMs => deps.client.probe(deps.backend, timeoutMs)
   }
 
   /** Whether this gateway abandoned the attempt or the client disconnected. */
@@ -57,75 +57,75 @@
   }
 
   /** Calls the backend server, which has to send the response head within `headTimeMs`. */
-  async run(call: BackendCall, headTimeMs: number, clientSignal: AbortSignal): Promise<AttemptResult> {
+  async run(call: BackendCall, headTimeoutMs: number, clientSignal: AbortSignal): Promise<AttemptResult> {
     const abort = (): void => this.controller.abort()
-    const timer = setTimeout(abort, headTimeMs)
+    const timer = setTimeout(abort, headTimeoutMs)
     clientSignal.addEventListener('abort', abort)
-    this.parts.backend.outstanding++
+    this.deps.backend.outstanding++
     try {
-      const head = await this.watchHead(this.parts.client.run(this.parts.backend, call, this.controller.signal))
+      const head = await this.awaitHead(this.deps.client.run(this.deps.backend, call, this.controller.signal))
       clearTimeout(timer)
       if (head.isErr())
         return { end: endOfFailure(head.error), failure: head.error }
-      return { ...await this.takeAnswer(head.value), framed: head.value.framed }
+      return { ...await this.handleResponse(head.value), framed: head.value.framed }
     }
     finally {
-      this.parts.backend.outstanding--
+      this.deps.backend.outstanding--
       clearTimeout(timer)
       clientSignal.removeEventListener('abort', abort)
     }
   }
 
   /** Probes the backend server of a stream until the response head arrives. */
-  private async watchHead<Head>(head: Promise<Head>): Promise<Head> {
-    if (!this.parts.request.route.streaming)
+  private async awaitHead<Head>(head: Promise<Head>): Promise<Head> {
+    if (!this.deps.request.route.streaming)
       return head
-    const watch = new SilenceWatch(this.probe, () => this.controller.abort())
+    const stallDetector = new StallDetector(this.probe, () => this.controller.abort())
     try {
       return await head
     }
     finally {
-      watch.stop()
+      stallDetector.stop()
     }
   }
 
-  private takeAnswer(answer: BackendAnswer): Promise<AttemptResult> | AttemptResult {
-    if (this.parts.request.route.streaming && answer.status < SUCCESS_STATUS_END)
+  private handleResponse(answer: BackendAnswer): Promise<AttemptResult> | AttemptResult {
+    if (this.deps.request.route.streaming && answer.status < SUCCESS_STATUS_END)
       return this.relay(answer)
-    if (this.parts.answer.started)
-      return this.refuseWhole(answer)
-    return this.takeWhole(answer)
+    if (this.deps.answer.started)
+      return this.rejectNonStream(answer)
+    return this.bufferAndSend(answer)
   }
 
   private async relay(answer: BackendAnswer): Promise<AttemptResult> {
-    const ended = await relayStream(answer, this.parts.answer, {
+    const ended = await relayStream(answer, this.deps.answer, {
       controller: this.controller,
       remainingMs: this.remainingMs(),
       probe: this.probe,
-      onEvent: this.parts.onEvent,
+      onEvent: this.deps.onEvent,
     })
     return ended.isOk() ? { end: AttemptEnd.Answered } : broken(ended.error)
   }
 
   /** Rejects a non-streaming response to a resumed stream, whose head has already been sent. */
-  private refuseWhole(answer: BackendAnswer): AttemptResult {
+  private rejectNonStream(answer: BackendAnswer): AttemptResult {
     answer.destroy()
     return broken(`got status ${answer.status} while resuming a stream that has already started`)
   }
 
   /** Buffers the whole response before sending it, so that a truncated one is never framed as complete. */
-  private async takeWhole(answer: BackendAnswer): Promise<AttemptResult> {
-    const whole = await readWhole(answer, this.controller, this.remainingMs())
+  private async bufferAndSend(answer: BackendAnswer): Promise<AttemptResult> {
+    const whole = await bufferResponse(answer, this.controller, this.remainingMs())
     if (whole.isErr())
       return broken(whole.error)
-    if (answer.status >= SERVER_ERROR_STATUS && this.parts.request.route.repeatable)
+    if (answer.status >= SERVER_ERROR_STATUS && this.deps.request.route.repeatable)
       return { end: AttemptEnd.ServerError, fallback: whole.value }
-    passWhole(whole.value, this.parts.answer)
+    sendBuffered(whole.value, this.deps.answer)
     return { end: AttemptEnd.Answered }
   }
 
   private remainingMs(): number {
-    return this.parts.request.deadlineAt - performance.now()
+    return this.deps.request.deadlineAt - performance.now()
   }
 }
 
--- a/packages/gateway/src/request/attempts/backend-run.ts
+++ b/packages/gateway/src/request/attempts/backend-run.ts
@@ -9,9 +9,9 @@
 import type { BackendCall, BackendClient, CallFailure } from '../../connection/backends/backend-client.js'
 import type { Backend } from '../../connection/backends/backend.js'
 import type { IntakeGate } from '../../connection/backends/intake-gate.js'
-import type { WholeAnswer } from '../answers/answer-relay.js'
 import type { CrashWatch } from '../crash-watch.js'
 import type { RequestLog } from '../request-log.js'
+import type { BufferedResponse } from '../responses/response-relay.js'
 import type { RoutedRequest } from '../routed-request.js'
 import type { AttemptResult } from './backend-attempt.js'
 import type { RetryBudget } from './retry-budget.js'
@@ -19,9 +19,9 @@
 import type { RunEnd, RunInputs, RunSubject } from './run-subject.js'
 import { Err, Ok } from 'ts-results-es'
 import { CallFailureKind } from '../../connection/backends/backend-client.js'
-import { passWhole } from '../answers/answer-relay.js'
-import { atLeastOne, decideAttemptTime } from '../deadlines.js'
+import { atLeastOneMs, decideAttemptTime } from '../deadlines.js'
 import { errorOfUnanswered } from '../request-errors.js'
+import { sendBuffered } from '../responses/response-relay.js'
 import { BackendAttempt } from './backend-attempt.js'
 import { decideHealthSign, recordHealthSign } from './ejection-feed.js'
 import { AttemptEnd, decideAfterAttempt, decideBeforeAttempt, isFreeToRetry, mayRunAfterNext, needsBudget, RetryDecision } from './retry-rule.js'
@@ -35,7 +35,7 @@
 }
 
 /** Dependencies of a run. */
-export interface BackendRunParts {
+export interface BackendRunDependencies {
   registry: KnownBackends
   client: BackendClient
   ejection: EjectionPolicy
@@ -49,7 +49,7 @@
 }
 
 /** Selects the preferred backend server that was not tried; returns undefined if there is none. */
-export type ChooseBackend = (request: RoutedRequest, inputs: RunInputs, tried: ReadonlySet<string>) => Backend | undefined
+export type SelectBackend = (request: RoutedRequest, inputs: RunInputs, tried: ReadonlySet<string>) => Backend | undefined
 
 /** Runs one request. */
 export class BackendRun {
@@ -60,13 +60,13 @@
   private lastEventId: string | undefined
   private firstEventAt: number | undefined
   private lastFailure: CallFailure | undefined
-  private fallback: WholeAnswer | undefined
+  private fallback: BufferedResponse | undefined
   /** Milliseconds until a backend server accepts a request, as of the last selection that found none; 0 before that. */
   private waitMs = 0
 
   constructor(
-    private readonly parts: BackendRunParts,
-    private readonly choose: ChooseBackend,
+    private readonly deps: BackendRunDependencies,
+    private readonly choose: SelectBackend,
     private readonly subject: RunSubject,
   ) {
     this.handles = subject.inputs.handles
@@ -97,42 +97,42 @@
    * them takes seconds, so the server is selected again afterwards.
    */
   private async prepareAttempt(): Promise<Result<Backend, RetryDecision>> {
-    const { budget } = this.parts
+    const { budget } = this.deps
     const { service } = this.subject.request
     const isRetry = needsBudget(this.history)
-    if (this.parts.crashes.refusal(this.subject.request.fingerprint) !== undefined)
+    if (this.deps.crashes.refusal(this.subject.request.fingerprint) !== undefined)
       return Err(RetryDecision.Quarantined)
-    const candidate = this.chooseForAttempt()
+    const candidate = this.selectForAttempt()
     if (candidate.isOk() && isRetry && !budget.takeRetry(service))
       return Err(RetryDecision.BudgetUsed)
     if (candidate.isErr() || !this.inputsRead)
       return candidate
-    const isRenewed = await this.renewInputs()
-    const choice = isRenewed ? this.chooseForAttempt() : Err(RetryDecision.InputsGone)
+    const isRecreated = await this.recreateInputs()
+    const choice = isRecreated ? this.selectForAttempt() : Err(RetryDecision.InputsGone)
     if (choice.isErr() && isRetry)
       budget.returnRetry(service)
     return choice
   }
 
   /** Selects the backend server for the next attempt, or returns why there is no attempt. */
-  private chooseForAttempt(): Result<Backend, RetryDecision> {
-    const backend = this.chooseBackend()
+  private selectForAttempt(): Result<Backend, RetryDecision> {
+    const backend = this.selectBackend()
     const decision = decideBeforeAttempt({ history: this.history, hasBackend: backend !== undefined, remainingMs: this.remainingMs() })
     return backend && decision === RetryDecision.Proceed ? Ok(backend) : Err(decision)
   }
 
   /** Selects the preferred backend server that was not tried. Selects again if a wait has ended between the selection and the look-up of the shortest wait. */
-  private chooseBackend(): Backend | undefined {
+  private selectBackend(): Backend | undefined {
     const { request, inputs } = this.subject
     const backend = this.choose(request, inputs, this.tried)
     if (backend)
       return backend
-    this.waitMs = shortestWaitMs(this.parts, request.service)
+    this.waitMs = shortestWaitMs(this.deps, request.service)
     return this.waitMs === 0 ? this.choose(request, inputs, this.tried) : undefined
   }
 
   /** Recreates the stage results that an earlier attempt consumed or lost. */
-  private async renewInputs(): Promise<boolean> {
+  private async recreateInputs(): Promise<boolean> {
     this.handles = await this.subject.inputs.renew?.()
     this.inputsRead = false
     return this.handles !== undefined
@@ -141,8 +141,8 @@
   private async attempt(backend: Backend): Promise<AttemptResult> {
     const { request, answer, signal } = this.subject
     this.tried.add(backend.id)
-    this.parts.log.attemptStarted({ request, backend, attempt: this.history.attempts, remainingMs: this.remainingMs() })
-    const attempt = new BackendAttempt({ client: this.parts.client, backend, request, answer, onEvent: id => this.recordEvent(id) })
+    this.deps.log.attemptStarted({ request, backend, attempt: this.history.attempts, remainingMs: this.remainingMs() })
+    const attempt = new BackendAttempt({ client: this.deps.client, backend, request, answer, onEvent: id => this.recordEvent(id) })
     const startedAt = performance.now()
     const result = await attempt.run(this.buildCall(), this.attemptTime(), signal)
     this.reportResult(backend, result, performance.now() - startedAt, attempt.aborted)
@@ -166,9 +166,9 @@
       path: request.path,
       headers: request.head.headers,
       body: request.body,
-      remainingMs: atLeastOne(Math.round(this.remainingMs())),
+      remainingMs: atLeastOneMs(Math.round(this.remainingMs())),
       account: request.account?.name,
-      priority: this.parts.isEngine(request.service) ? request.priority : undefined,
+      priority: this.deps.isEngine(request.service) ? request.priority : undefined,
       inputs: this.handles,
       lastEventId: this.lastEventId,
     }
@@ -193,21 +193,21 @@
       streaming: request.route.streaming,
       abandonedHere: aborted && !signal.aborted,
     })
-    recordHealthSign(this.parts.ejection, backend, sign, tookMs)
+    recordHealthSign(this.deps.ejection, backend, sign, tookMs)
     this.reportToCrashWatch(backend, result)
     if (failure)
-      this.parts.log.attemptFailed({ requestId: request.head.requestId, backend, failure, tookMs })
+      this.deps.log.attemptFailed({ requestId: request.head.requestId, backend, failure, tookMs })
     if (failure?.kind === CallFailureKind.Misdirected)
-      this.parts.registry.removeBackend(backend, 'address is now used by another backend server')
+      this.deps.registry.removeBackend(backend, 'address is now used by another backend server')
   }
 
   /** An unframed response looks complete even if a crash of its backend server truncated it, so it does not count as answered. */
   private reportToCrashWatch(backend: Backend, { failure, framed }: AttemptResult): void {
     const { fingerprint } = this.subject.request
     if (!failure && framed)
-      this.parts.crashes.noteAnswered(fingerprint)
+      this.deps.crashes.noteAnswered(fingerprint)
     else if (!failure || failure.kind === CallFailureKind.Broken)
-      void this.parts.crashes.noteBroken(backend, fingerprint)
+      void this.deps.crashes.noteBroken(backend, fingerprint)
   }
 
   private recordFailure(backend: Backend, { end, failure, fallback }: AttemptResult): void {
@@ -227,14 +227,14 @@
   private end(retry: RetryDecision): RunEnd {
     const { request, answer, signal } = this.subject
     if (this.fallback && !answer.started && !signal.aborted) {
-      passWhole(this.fallback, answer)
+      sendBuffered(this.fallback, answer)
       return { retry, firstEventAt: this.firstEventAt }
     }
     const error = errorOfUnanswered({
       service: request.service,
       cancelled: signal.aborted,
       runs: this.history.runs,
-      refusal: this.parts.crashes.refusal(request.fingerprint),
+      refusal: this.deps.crashes.refusal(request.fingerprint),
       lastFailure: this.lastFailure,
       waitMs: this.waitMs,
     })
@@ -247,6 +247,6 @@
 }
 
 /** Milliseconds until a backend server of a service accepts a request, as the servers report; Infinity if none accepts work. */
-export function shortestWaitMs({ registry, intake }: Pick<BackendRunParts, 'registry' | 'intake'>, service: string): number {
+export function shortestWaitMs({ registry, intake }: Pick<BackendRunDependencies, 'registry' | 'intake'>, service: string): number {
   return Math.min(...registry.available(service).map(backend => intake.waitMs(backend)))
 }
--- a/packages/gateway/src/request/attempts/backend-runner.ts
+++ b/packages/gateway/src/request/attempts/backend-runner.ts
@@ -8,7 +8,7 @@
 import type { IntakeState } from '../../connection/backends/intake-state.js'
 import type { RoutedRequest } from '../routed-request.js'
 import type { BackendChoice } from './backend-choice.js'
-import type { BackendRunParts } from './backend-run.js'
+import type { BackendRunDependencies } from './backend-run.js'
 import type { ColdPace } from './cold-pace.js'
 import type { RunEnd, RunInputs, RunSubject } from './run-subject.js'
 import { RequestLog } from '../request-log.js'
@@ -24,7 +24,7 @@
 const LIMIT_REFRESH_MS = 1000
 
 /** Dependencies of the runner. */
-export interface BackendRunnerParts extends Omit<BackendRunParts, 'log'> {
+export interface BackendRunnerDependencies extends Omit<BackendRunDependencies, 'log'> {
   /** Failure domain of this process. */
   failureDomain: string
   plainChoice: BackendChoice
@@ -36,51 +36,51 @@
 
 /** Selects backend servers and runs requests at them. */
 export class BackendRunner {
-  private readonly runParts: BackendRunParts
+  private readonly runDeps: BackendRunDependencies
 
-  constructor(private readonly parts: BackendRunnerParts) {
-    this.runParts = { ...parts, log: new RequestLog(parts.log) }
+  constructor(private readonly deps: BackendRunnerDependencies) {
+    this.runDeps = { ...deps, log: new RequestLog(deps.log) }
   }
 
   /** Failure domain of the backend server that would be selected now. */
   preferredFailureDomain(request: RoutedRequest): string {
-    return this.choose(request, NO_INPUTS, new Set())?.failureDomain ?? this.parts.failureDomain
+    return this.choose(request, NO_INPUTS, new Set())?.failureDomain ?? this.deps.failureDomain
   }
 
   /** Milliseconds until a backend server of the request's service accepts a request, as the servers report; Infinity if none accepts work. */
   shortestWaitMs({ service }: RoutedRequest): number {
-    return shortestWaitMs(this.parts, service)
+    return shortestWaitMs(this.deps, service)
   }
 
   /** Answers the request, or returns why it could not be answered. */
   async run(subject: RunSubject): Promise<RunEnd> {
-    this.parts.budget.countRequest(subject.request.service)
-    return new BackendRun(this.runParts, this.chooseForCall.bind(this), subject).run()
+    this.deps.budget.countRequest(subject.request.service)
+    return new BackendRun(this.runDeps, this.chooseForCall.bind(this), subject).run()
   }
 
   /** Selects a backend server for a call and counts the call against the cold start limit. */
   private chooseForCall(request: RoutedRequest, inputs: RunInputs, tried: ReadonlySet<string>): Backend | undefined {
     const backend = this.choose(request, inputs, tried)
     if (backend && backend.id !== inputs.engine)
-      this.parts.coldPace.note(backend, performance.now())
+      this.deps.coldPace.note(backend, performance.now())
     return backend
   }
 
   /** The preferred backend server among those that were not tried. */
   private choose(request: RoutedRequest, inputs: RunInputs, tried: ReadonlySet<string>): Backend | undefined {
-    const candidates = this.parts.registry.available(request.service).filter(backend => !tried.has(backend.id))
+    const candidates = this.deps.registry.available(request.service).filter(backend => !tried.has(backend.id))
     const now = performance.now()
-    const taking = candidates.filter(backend => this.parts.intake.waitMs(backend) === 0)
-    const usable = this.parts.ejection.filter(taking)
-    const withOldLimit = usable.find(backend => isLimitOld(backend.intake, now) && this.parts.coldPace.mayTake(backend, now))
+    const taking = candidates.filter(backend => this.deps.intake.waitMs(backend) === 0)
+    const usable = this.deps.ejection.filter(taking)
+    const withOldLimit = usable.find(backend => isLimitOld(backend.intake, now) && this.deps.coldPace.mayTake(backend, now))
     const preferred = withOldLimit ?? usable.find(backend => backend.id === inputs.engine)
     if (preferred)
       return preferred
-    const open = taking.filter(backend => this.parts.coldPace.mayTake(backend, now))
-    const choice = this.parts.isEngine(request.service) ? this.parts.engineChoice : this.parts.plainChoice
+    const open = taking.filter(backend => this.deps.coldPace.mayTake(backend, now))
+    const choice = this.deps.isEngine(request.service) ? this.deps.engineChoice : this.deps.plainChoice
     return choice.order(open, {
       promptParts: request.head.promptParts,
-      failureDomain: inputs.failureDomain ?? this.parts.failureDomain,
+      failureDomain: inputs.failureDomain ?? this.deps.failureDomain,
       bytes: inputs.bytes,
     })[0]
   }
--- a/packages/gateway/src/request/client-retries.ts
+++ b/packages/gateway/src/request/client-retry-detector.ts
@@ -22,7 +22,7 @@
 const RETRY_DEADLINE_SHARE = 0.985
 
 /** Detects client retries by their deadlines. */
-export class ClientRetries {
+export class ClientRetryDetector {
   /** Longest deadline by route name, in milliseconds. */
   private readonly longestDeadlines = new Map<string, number>()
 
@@ -36,7 +36,7 @@
   }
 
   /** Removes all routes but these. */
-  keepRoutes(routeNames: ReadonlySet<string>): void {
+  retainRoutes(routeNames: ReadonlySet<string>): void {
     for (const name of this.longestDeadlines.keys()) {
       if (!routeNames.has(name))
         this.longestDeadlines.delete(name)
--- a/packages/gateway/src/request/deadlines.ts
+++ b/packages/gateway/src/request/deadlines.ts
@@ -78,13 +78,13 @@
 
 /** Computes how long one attempt may wait for the response head, in milliseconds. */
 export function decideAttemptTime({ remainingMs, targetLatencyMs, mayRunAgain }: AttemptTimeInputs): number {
-  const availableMs = atLeastOne(remainingMs)
+  const availableMs = atLeastOneMs(remainingMs)
   if (!mayRunAgain)
     return availableMs
   return Math.min(availableMs, Math.max(MIN_ATTEMPT_MS, targetLatencyMs))
 }
 
-/** Converts a remaining time to a timer delay of at least 1 ms, so that a deadline that has passed fires at once. */
-export function atLeastOne(milliseconds: number): number {
+/** Raises a remaining time to at least 1 ms, so that a timer for a deadline that has passed fires at once. */
+export function atLeastOneMs(milliseconds: number): number {
   return Math.max(1, milliseconds)
 }
--- a/packages/gateway/src/request/pass-through.ts
+++ b/packages/gateway/src/request/pass-through.ts
@@ -15,7 +15,7 @@
 import type { RoutedRequest } from './routed-request.js'
 import { createError, ErrorKind } from '@eidermast/common'
 import { NO_INPUTS } from './attempts/run-subject.js'
-import { atLeastOne } from './deadlines.js'
+import { atLeastOneMs } from './deadlines.js'
 import { errorOfPreparation, errorOfWithheld } from './request-errors.js'
 import { outcomeOf, RequestLog } from './request-log.js'
 import { RequestRouter } from './request-router.js'
@@ -76,7 +76,7 @@
     const waitMs = this.parts.runner.shortestWaitMs(request)
     if (Number.isFinite(waitMs) && waitMs > firstEventMs)
       return { error: errorOfWithheld(request.service, waitMs) }
-    const stagesSignal = AbortSignal.any([signal, AbortSignal.timeout(atLeastOne(firstEventMs))])
+    const stagesSignal = AbortSignal.any([signal, AbortSignal.timeout(atLeastOneMs(firstEventMs))])
     const prepared = await this.parts.preparer.prepare(this.describeStageWork(request), stagesSignal)
     if (prepared.isErr())
       return { error: this.refuse(request) ?? errorOfPreparation(prepared.error) }
--- a/packages/gateway/src/request/request-router.ts
+++ b/packages/gateway/src/request/request-router.ts
@@ -11,7 +11,7 @@
  * gateway.
  * Log events: `request-ended` (`route`, or the error's kind), `route` (`service`).
  *
- * State: the longest deadlines of routes, see client-retries.ts.
+ * State: the longest deadlines of routes, see client-retry-detector.ts.
  */
 import type { RequestError } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
@@ -23,17 +23,17 @@
 import { createError, ErrorKind } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
 import { pickService } from '../version/route-table.js'
-import { ClientRetries } from './client-retries.js'
+import { ClientRetryDetector } from './client-retry-detector.js'
 import { decideDeadlines } from './deadlines.js'
 import { HASH_RANGE, hashText } from './rendezvous.js'
 import { fingerprintOf } from './request-fingerprint.js'
 
 /** Routes requests by the configuration in effect. */
 export class RequestRouter {
-  private readonly retries = new ClientRetries()
+  private readonly retryDetector = new ClientRetryDetector()
 
   constructor(private readonly configuration: ConfigurationHolder) {
-    configuration.onChange(table => this.retries.keepRoutes(new Set(table.configuration.routes.map(route => route.name))))
+    configuration.onChange(table => this.retryDetector.retainRoutes(new Set(table.configuration.routes.map(route => route.name))))
   }
 
   /** Routes a request, or returns the error to respond with. */
@@ -66,7 +66,7 @@
       service,
       priority: table.priorityOf(route, account),
       fingerprint: fingerprintOf({ method: request.method, host: request.head.host, path: request.path, account: account?.name, body: request.body }),
-      isRetry: this.retries.isRetry(route.name, request.head.deadlineMs),
+      isRetry: this.retryDetector.isRetry(route.name, request.head.deadlineMs),
     })
   }
 }
--- /dev/null
+++ b/packages/gateway/src/request/responses/index.ts
@@ -0,0 +1,3 @@
+export * from './event-splitter.js'
+export * from './response-relay.js'
+export * from './stall-detector.js'
--- a/packages/gateway/src/request/answers/answer-relay.ts
+++ b/packages/gateway/src/request/responses/response-relay.ts
@@ -8,13 +8,13 @@
 import type { Result } from 'ts-results-es'
 import type { BackendAnswer } from '../../connection/backends/backend-client.js'
 import type { ClientAnswer } from '../../connection/clients/client-answer.js'
-import type { Probe } from './silence-watch.js'
+import type { Probe } from './stall-detector.js'
 import { formatError } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
 import { BodyFailureKind, readBody } from '../../connection/body-reader.js'
-import { atLeastOne } from '../deadlines.js'
+import { atLeastOneMs } from '../deadlines.js'
 import { EventSplitter } from './event-splitter.js'
-import { SilenceWatch } from './silence-watch.js'
+import { StallDetector } from './stall-detector.js'
 
 /**
  * A larger non-streaming response is treated as broken, because it is buffered
@@ -24,18 +24,18 @@
 const MAX_BUFFERED_RESPONSE_BYTES = 8_000_000
 
 /** A non-streaming response that was read to its end. */
-export interface WholeAnswer {
+export interface BufferedResponse {
   answer: BackendAnswer
   body: Buffer
 }
 
 /** Buffers a response; returns an error if it breaks off, is too large or takes longer than `remainingMs`. */
-export async function readWhole(
+export async function bufferResponse(
   answer: BackendAnswer,
   controller: AbortController,
   remainingMs: number,
-): Promise<Result<WholeAnswer, string>> {
-  const timer = setTimeout(() => controller.abort(), atLeastOne(remainingMs))
+): Promise<Result<BufferedResponse, string>> {
+  const timer = setTimeout(() => controller.abort(), atLeastOneMs(remainingMs))
   const body = await readBody(answer.body, MAX_BUFFERED_RESPONSE_BYTES)
   clearTimeout(timer)
   if (body.isErr()) {
@@ -46,7 +46,7 @@
 }
 
 /** Sends a buffered response to the client, with the same framing as the backend server used. */
-export function passWhole({ answer, body }: WholeAnswer, client: ClientAnswer): void {
+export function sendBuffered({ answer, body }: BufferedResponse, client: ClientAnswer): void {
   if (answer.framed)
     return client.sendWhole(answer.status, answer.headers, body)
   client.beginUnframed(answer.status, answer.headers)
@@ -55,7 +55,7 @@
 }
 
 /** Dependencies and limits of a stream relay. */
-export interface RelayParts {
+export interface RelayOptions {
   /** Aborts the call when the time runs out or the backend server stops responding. */
   controller: AbortController
   /** Milliseconds until the request's deadline. */
@@ -66,14 +66,14 @@
 }
 
 /** Forwards the events of one response; returns an error if it breaks off, is truncated or runs out of time. */
-export async function relayStream(answer: BackendAnswer, client: ClientAnswer, parts: RelayParts): Promise<Result<void, string>> {
-  const { controller } = parts
-  const timer = setTimeout(() => controller.abort(), atLeastOne(parts.remainingMs))
-  const watch = new SilenceWatch(parts.probe, () => controller.abort())
+export async function relayStream(answer: BackendAnswer, client: ClientAnswer, options: RelayOptions): Promise<Result<void, string>> {
+  const { controller } = options
+  const timer = setTimeout(() => controller.abort(), atLeastOneMs(options.remainingMs))
+  const stallDetector = new StallDetector(options.probe, () => controller.abort())
   try {
     const resumed = client.started
     beginStream(answer, client)
-    await forwardEvents(answer, client, watch, parts.onEvent)
+    await forwardEvents(answer, client, stallDetector, options.onEvent)
     if (resumed && !answer.framed)
       return Err('resumed stream has no content length or chunked framing: cannot tell whether it is complete')
     client.end()
@@ -85,7 +85,7 @@
   }
   finally {
     clearTimeout(timer)
-    watch.stop()
+    stallDetector.stop()
   }
 }
 
@@ -101,12 +101,12 @@
 async function forwardEvents(
   answer: BackendAnswer,
   client: ClientAnswer,
-  watch: SilenceWatch,
-  onEvent: RelayParts['onEvent'],
+  stallDetector: StallDetector,
+  onEvent: RelayOptions['onEvent'],
 ): Promise<void> {
   const splitter = new EventSplitter()
   for await (const bytes of answer.body) {
-    watch.heard()
+    stallDetector.recordActivity()
     for (const event of splitter.push(bytes)) {
       onEvent(event.id)
       await client.send(event.bytes)
--- a/packages/gateway/src/request/answers/silence-watch.ts
+++ b/packages/gateway/src/request/responses/stall-detector.ts
@@ -55,7 +55,7 @@
 }
 
 /** Monitors one response until it is stopped. */
-export class SilenceWatch {
+export class StallDetector {
   private lastActivityAt = performance.now()
   private failedProbes = 0
   private stopped = false
@@ -66,7 +66,7 @@
   }
 
   /** Called when bytes of the response arrive; also when the backend server answers a probe. */
-  heard(): void {
+  recordActivity(): void {
     this.lastActivityAt = performance.now()
     this.failedProbes = 0
   }
@@ -97,7 +97,7 @@
 
   private async probeOnce(): Promise<void> {
     if (await this.probe(PROBE_TIMEOUT_MS))
-      this.heard()
+      this.recordActivity()
     else
       this.failedProbes++
   }
--- a/packages/gateway/src/request/stages/request-stages.ts
+++ b/packages/gateway/src/request/stages/request-stages.ts
@@ -10,7 +10,7 @@
 import type { Result } from 'ts-results-es'
 import type { ItemFailure } from '../../connection/backends/stage-client.js'
 import type { PreparationFailure, PreparationRequest, PreparedInputs, StageProgress } from '../../connection/peers/preparation.js'
-import type { StageResult, StageTask, StageTaskQueues } from './stage-task.js'
+import type { StageResult, StageTask, StageTaskQueueLookup } from './stage-task.js'
 import { Err, Ok } from 'ts-results-es'
 import { PreparationFailureKind } from '../../connection/peers/preparation.js'
 import { decideStageDelay } from './stage-delay.js'
@@ -57,7 +57,7 @@
 
   constructor(
     work: StageWork,
-    private readonly queueOf: StageTaskQueues,
+    private readonly queueOf: StageTaskQueueLookup,
     private readonly listener: PreparationListener,
   ) {
     const { request } = work
--- a/packages/gateway/src/request/stages/stage-failure.ts
+++ b/packages/gateway/src/request/stages/stage-failure.ts
@@ -33,7 +33,7 @@
 }
 
 /** A failed stage and the state of its request. */
-export interface StageFailureCase {
+export interface StageFailureInputs {
   failure: ItemFailure
   /** Restarts before this failure. */
   restarts: number
@@ -41,7 +41,7 @@
 }
 
 /** Decides how a request continues after a failed stage. */
-export function decideStageFailure({ failure, restarts, handingOver }: StageFailureCase): StageFailureDecision {
+export function decideStageFailure({ failure, restarts, handingOver }: StageFailureInputs): StageFailureDecision {
   if (handingOver)
     return StageFailureDecision.HandOver
   if (failure === ItemFailure.Late)
--- a/packages/gateway/src/request/stages/stage-progress.ts
+++ b/packages/gateway/src/request/stages/stage-progress.ts
@@ -14,7 +14,7 @@
  */
 import type { PreparationStage, StageProgress } from '../../connection/peers/preparation.js'
 import type { StageGraph } from './stage-graph.js'
-import type { StageResult, StageTaskQueues } from './stage-task.js'
+import type { StageResult, StageTaskQueueLookup } from './stage-task.js'
 
 /** A stage that does not have to run. */
 export interface AdoptedStage {
@@ -28,7 +28,7 @@
   stages: readonly PreparationStage[],
   graph: StageGraph,
   progress: readonly StageProgress[],
-  queueOf: StageTaskQueues,
+  queueOf: StageTaskQueueLookup,
 ): AdoptedStage[] {
   const done = new Map(progress.map(entry => [entry.stage, entry]))
   const decided = new Map<number, StageResult[] | undefined>()
--- a/packages/gateway/src/request/stages/stage-states.ts
+++ b/packages/gateway/src/request/stages/stage-states.ts
@@ -7,7 +7,7 @@
 import type { PreparationStage, PreparedInputs, StageProgress } from '../../connection/peers/preparation.js'
 import type { StageGraph } from './stage-graph.js'
 import type { AdoptedStage } from './stage-progress.js'
-import type { StageResult, StageTaskQueues, SubmittedTask } from './stage-task.js'
+import type { StageResult, StageTaskQueueLookup, SubmittedTask } from './stage-task.js'
 
 interface StageState {
   results: StageResult[] | undefined
@@ -28,7 +28,7 @@
   constructor(
     private readonly stages: readonly PreparationStage[],
     private readonly graph: StageGraph,
-    private readonly queueOf: StageTaskQueues,
+    private readonly queueOf: StageTaskQueueLookup,
   ) {
     this.states = stages.map((_, stage) => ({
       results: undefined,
--- a/packages/gateway/src/request/stages/stage-task.ts
+++ b/packages/gateway/src/request/stages/stage-task.ts
@@ -88,4 +88,4 @@
 }
 
 /** Returns the queue of a service; undefined if the configuration has no such stage service. */
-export type StageTaskQueues = (service: string) => StageTaskQueue | undefined
+export type StageTaskQueueLookup = (service: string) => StageTaskQueue | undefined
