--- a/packages/gateway/src/process/gateway.ts
+++ b/packages/gateway/src/process/gateway.ts
@@ -27,7 +27,7 @@
 import { ColdPace } from '../request/attempts/cold-pace.js'
 import { LimitTurns } from '../request/attempts/limit-turns.js'
 import { RetryBudget } from '../request/attempts/retry-budget.js'
-import { PassThrough } from '../request/pass-through.js'
+import { ProxyRequestHandler } from '../request/proxy-request-handler.js'
 import { ConfigurationHolder } from '../version/configuration-holder.js'
 import { BackendList } from './backend-list.js'
 import { BackendRegistry } from './backend-registry.js'
@@ -225,7 +225,7 @@
   }
 
   private createClientServer(): ClientServer {
-    const passThrough = new PassThrough({
+    const requestHandler = new ProxyRequestHandler({
       configuration: this.configuration,
       preparer: new SharedPreparer(this.members, this.stageCoordinators, this.peers, this.log, new ShardsByPrompt(this.members, this.registry)),
       runner: this.createBackendRunner(),
@@ -233,7 +233,7 @@
       metrics: this.metrics,
       log: this.log,
     })
-    return new ClientServer(passThrough, this.platform.clientCodec, this.configuration, this.log)
+    return new ClientServer(requestHandler, this.platform.clientCodec, this.configuration, this.log)
   }
 
   private createPeerService(): GatewayPeerService {
--- a/packages/gateway/src/process/stages/engine-assignment.ts
+++ b/packages/gateway/src/process/stages/engine-assignment.ts
@@ -15,7 +15,7 @@
  */
 import type { Backend } from '../../connection/backends/backend.js'
 import type { PromptPart } from '../../connection/clients/client-codec.js'
-import { countTokens, findHome, sharedParts } from '../../request/prompt-parts.js'
+import { countTokens, findPreferredEngine, sharedParts } from '../../request/prompt-parts.js'
 
 /**
  * Milliseconds for each token of a shared part that is read again: it takes the
@@ -172,7 +172,7 @@
   }
 
   private findCheapest(request: EngineRequest, engines: readonly Backend[], now: number): EngineCost | undefined {
-    const home = findHome(request.prompt, engines)
+    const home = findPreferredEngine(request.prompt, engines)
     let cheapest: EngineCost | undefined
     for (const engine of engines) {
       const cost = this.cost(request, engine, engine === home, now)
--- a/packages/gateway/src/request/attempts/backend-choice.ts
+++ b/packages/gateway/src/request/attempts/backend-choice.ts
@@ -17,7 +17,7 @@
 import type { EjectionPolicy } from '@eidermast/common'
 import type { Backend } from '../../connection/backends/backend.js'
 import type { PromptPart } from '../../connection/clients/client-codec.js'
-import { countTokens, findHome, sharedParts } from '../prompt-parts.js'
+import { countTokens, findPreferredEngine, sharedParts } from '../prompt-parts.js'
 
 /** The request properties that selection depends on. */
 export interface ChoiceSubject {
@@ -100,7 +100,7 @@
     const now = performance.now()
     const usable = this.ejection.filter(candidates)
     const sharedTokens = countTokens(sharedParts(subject.promptParts))
-    const preferred = findHome(subject.promptParts, usable)
+    const preferred = findPreferredEngine(subject.promptParts, usable)
     return orderByCost(usable, (backend) => {
       const read = backend === preferred ? 0 : sharedTokens * TOKEN_COST_MS
       const fetch = backend.failureDomain === subject.failureDomain ? 0 : subject.bytes / OTHER_DOMAIN_BYTES_PER_MS
--- a/packages/gateway/src/request/attempts/backend-run.ts
+++ b/packages/gateway/src/request/attempts/backend-run.ts
@@ -16,14 +16,14 @@
 import type { AttemptResult } from './backend-attempt.js'
 import type { RetryBudget } from './retry-budget.js'
 import type { AttemptHistory } from './retry-rule.js'
-import type { RunEnd, RunInputs, RunSubject } from './run-subject.js'
+import type { RunInputs, RunResult, RunSubject } from './run-subject.js'
 import { Err, Ok } from 'ts-results-es'
 import { CallFailureKind } from '../../connection/backends/backend-client.js'
 import { atLeastOneMs, decideAttemptTime } from '../deadlines.js'
 import { errorOfUnanswered } from '../request-errors.js'
 import { sendBuffered } from '../responses/response-relay.js'
 import { BackendAttempt } from './backend-attempt.js'
-import { decideHealthSign, recordHealthSign } from './ejection-feed.js'
+import { decideHealthSignal, recordHealthSignal } from './health-signal.js'
 import { AttemptEnd, decideAfterAttempt, decideBeforeAttempt, isFreeToRetry, mayRunAfterNext, needsBudget, RetryDecision } from './retry-rule.js'
 
 /** The known backend servers; implemented by the process's registry. */
@@ -74,7 +74,7 @@
   }
 
   /** Answers the request, or returns why it could not be answered. */
-  async run(): Promise<RunEnd> {
+  async run(): Promise<RunResult> {
     const { request, signal } = this.subject
     let decision = signal.aborted ? RetryDecision.Cancelled : RetryDecision.Proceed
     while (decision === RetryDecision.Proceed) {
@@ -133,7 +133,7 @@
 
   /** Recreates the stage results that an earlier attempt consumed or lost. */
   private async recreateInputs(): Promise<boolean> {
-    this.handles = await this.subject.inputs.renew?.()
+    this.handles = await this.subject.inputs.recreate?.()
     this.inputsRead = false
     return this.handles !== undefined
   }
@@ -187,13 +187,13 @@
   private reportResult(backend: Backend, result: AttemptResult, tookMs: number, aborted: boolean): void {
     const { request, signal } = this.subject
     const { failure } = result
-    const sign = decideHealthSign({
+    const healthSignal = decideHealthSignal({
       end: result.end,
       failureKind: failure?.kind,
       streaming: request.route.streaming,
       abandonedHere: aborted && !signal.aborted,
     })
-    recordHealthSign(this.deps.ejection, backend, sign, tookMs)
+    recordHealthSignal(this.deps.ejection, backend, healthSignal, tookMs)
     this.reportToCrashWatch(backend, result)
     if (failure)
       this.deps.log.attemptFailed({ requestId: request.head.requestId, backend, failure, tookMs })
@@ -224,7 +224,7 @@
     }
   }
 
-  private end(retry: RetryDecision): RunEnd {
+  private end(retry: RetryDecision): RunResult {
     const { request, answer, signal } = this.subject
     if (this.fallback && !answer.started && !signal.aborted) {
       sendBuffered(this.fallback, answer)
--- a/packages/gateway/src/request/attempts/backend-runner.ts
+++ b/packages/gateway/src/request/attempts/backend-runner.ts
@@ -10,7 +10,7 @@
 import type { BackendChoice } from './backend-choice.js'
 import type { BackendRunDependencies } from './backend-run.js'
 import type { ColdPace } from './cold-pace.js'
-import type { RunEnd, RunInputs, RunSubject } from './run-subject.js'
+import type { RunInputs, RunResult, RunSubject } from './run-subject.js'
 import { RequestLog } from '../request-log.js'
 import { BackendRun, shortestWaitMs } from './backend-run.js'
 import { NO_INPUTS } from './run-subject.js'
@@ -53,7 +53,7 @@
   }
 
   /** Answers the request, or returns why it could not be answered. */
-  async run(subject: RunSubject): Promise<RunEnd> {
+  async run(subject: RunSubject): Promise<RunResult> {
     this.deps.budget.countRequest(subject.request.service)
     return new BackendRun(this.runDeps, this.chooseForCall.bind(this), subject).run()
   }
--- a/packages/gateway/src/request/attempts/ejection-feed.ts
+++ b/packages/gateway/src/request/attempts/health-signal.ts
@@ -18,7 +18,7 @@
 import { AttemptEnd } from './retry-rule.js'
 
 /** The inputs of the health decision, from one attempt. */
-export interface AttemptEvidence {
+export interface HealthSignalInputs {
   end: AttemptEnd
   /** Undefined if there was a response. */
   failureKind: CallFailureKind | undefined
@@ -29,7 +29,7 @@
 }
 
 /** What an attempt says about the health of its backend server. */
-export enum BackendHealthSign {
+export enum BackendHealthSignal {
   Success = 'success',
   Failure = 'failure',
   Abandoned = 'abandoned',
@@ -37,14 +37,14 @@
 }
 
 /** Decides what an attempt says about the health of its backend server. */
-export function decideHealthSign(evidence: AttemptEvidence): BackendHealthSign {
-  if (evidence.end === AttemptEnd.Answered && !evidence.streaming)
-    return BackendHealthSign.Success
-  if (evidence.failureKind === CallFailureKind.Broken || evidence.failureKind === CallFailureKind.NotSent)
-    return BackendHealthSign.Failure
-  if (isAbandoned(evidence.failureKind) && evidence.abandonedHere)
-    return BackendHealthSign.Abandoned
-  return BackendHealthSign.None
+export function decideHealthSignal(inputs: HealthSignalInputs): BackendHealthSignal {
+  if (inputs.end === AttemptEnd.Answered && !inputs.streaming)
+    return BackendHealthSignal.Success
+  if (inputs.failureKind === CallFailureKind.Broken || inputs.failureKind === CallFailureKind.NotSent)
+    return BackendHealthSignal.Failure
+  if (isAbandoned(inputs.failureKind) && inputs.abandonedHere)
+    return BackendHealthSignal.Abandoned
+  return BackendHealthSignal.None
 }
 
 function isAbandoned(kind: CallFailureKind | undefined): boolean {
@@ -52,14 +52,14 @@
 }
 
 /** Reports a health signal to outlier ejection; `tookMs` is the duration of the whole attempt. */
-export function recordHealthSign(ejection: EjectionPolicy, backend: Backend, sign: BackendHealthSign, tookMs: number): void {
-  switch (sign) {
-    case BackendHealthSign.Success:
+export function recordHealthSignal(ejection: EjectionPolicy, backend: Backend, signal: BackendHealthSignal, tookMs: number): void {
+  switch (signal) {
+    case BackendHealthSignal.Success:
       return ejection.recordSuccess(backend.backendName, backend.service, tookMs)
-    case BackendHealthSign.Failure:
+    case BackendHealthSignal.Failure:
       return ejection.recordFailure(backend.backendName)
-    case BackendHealthSign.Abandoned:
+    case BackendHealthSignal.Abandoned:
       return ejection.recordAbandoned(backend.backendName, backend.service, tookMs)
-    case BackendHealthSign.None:
+    case BackendHealthSignal.None:
   }
 }
--- a/packages/gateway/src/request/attempts/run-subject.ts
+++ b/packages/gateway/src/request/attempts/run-subject.ts
@@ -17,14 +17,14 @@
   /** Called when the backend server has read them. */
   onRead?: () => void
   /** Recreates them; resolves with undefined if that fails. */
-  renew?: () => Promise<readonly string[] | undefined>
+  recreate?: () => Promise<readonly string[] | undefined>
 }
 
 /** Inputs of a request without stages. */
 export const NO_INPUTS: RunInputs = { handles: undefined, failureDomain: undefined, bytes: 0 }
 
 /** The result of running a request. */
-export interface RunEnd {
+export interface RunResult {
   /** Undefined if the request was answered. */
   error?: RequestError
   /** Why there was no further attempt; undefined if an attempt succeeded. */
--- a/packages/gateway/src/request/prompt-parts.ts
+++ b/packages/gateway/src/request/prompt-parts.ts
@@ -17,7 +17,7 @@
 }
 
 /** The model engine that every process with the same list of engines prefers for a prompt's shared parts; undefined if the prompt has none. */
-export function findHome(prompt: readonly PromptPart[], engines: readonly Backend[]): Backend | undefined {
+export function findPreferredEngine(prompt: readonly PromptPart[], engines: readonly Backend[]): Backend | undefined {
   const last = sharedParts(prompt).at(-1)
   return last && rankByRendezvous(last.id, engines, engine => engine.id)[0]
 }
--- a/packages/gateway/src/request/pass-through.ts
+++ b/packages/gateway/src/request/proxy-request-handler.ts
@@ -10,7 +10,7 @@
 import type { PreparationRequest, Preparer } from '../connection/peers/preparation.js'
 import type { ConfigurationHolder } from '../version/configuration-holder.js'
 import type { BackendRunner } from './attempts/backend-runner.js'
-import type { RunEnd, RunInputs } from './attempts/run-subject.js'
+import type { RunInputs, RunResult } from './attempts/run-subject.js'
 import type { CrashWatch } from './crash-watch.js'
 import type { RoutedRequest } from './routed-request.js'
 import { createError, ErrorKind } from '@eidermast/common'
@@ -29,7 +29,7 @@
 }
 
 /** Dependencies of the request handler. */
-export interface PassThroughParts {
+export interface ProxyRequestHandlerDependencies {
   configuration: ConfigurationHolder
   preparer: Preparer
   runner: BackendRunner
@@ -39,13 +39,13 @@
 }
 
 /** Serves requests on the configured routes. */
-export class PassThrough implements RequestHandler {
+export class ProxyRequestHandler implements RequestHandler {
   private readonly router: RequestRouter
   private readonly log: RequestLog
 
-  constructor(private readonly parts: PassThroughParts) {
-    this.router = new RequestRouter(parts.configuration)
-    this.log = new RequestLog(parts.log)
+  constructor(private readonly deps: ProxyRequestHandlerDependencies) {
+    this.router = new RequestRouter(deps.configuration)
+    this.log = new RequestLog(deps.log)
   }
 
   /** Answers a request; the signal aborts when its client disconnects. */
@@ -60,42 +60,42 @@
 
   /** Returns the error for a request that must not be sent to any backend server; undefined for others. */
   private refuse({ fingerprint }: RoutedRequest): RequestError | undefined {
-    const refusal = this.parts.crashes.refusal(fingerprint)
+    const refusal = this.deps.crashes.refusal(fingerprint)
     return refusal === undefined ? undefined : createError(ErrorKind.Quarantined, refusal)
   }
 
-  private run(request: RoutedRequest, answer: ClientAnswer, signal: AbortSignal): Promise<RunEnd> {
+  private run(request: RoutedRequest, answer: ClientAnswer, signal: AbortSignal): Promise<RunResult> {
     if (request.route.stages.length === 0)
-      return this.parts.runner.run({ request, inputs: NO_INPUTS, answer, signal })
+      return this.deps.runner.run({ request, inputs: NO_INPUTS, answer, signal })
     return this.prepareAndRun(request, answer, signal)
   }
 
-  private async prepareAndRun(request: RoutedRequest, answer: ClientAnswer, signal: AbortSignal): Promise<RunEnd> {
+  private async prepareAndRun(request: RoutedRequest, answer: ClientAnswer, signal: AbortSignal): Promise<RunResult> {
     const { requestId } = request.head
     const firstEventMs = Math.ceil(request.firstEventBy - performance.now())
-    const waitMs = this.parts.runner.shortestWaitMs(request)
+    const waitMs = this.deps.runner.shortestWaitMs(request)
     if (Number.isFinite(waitMs) && waitMs > firstEventMs)
       return { error: errorOfWithheld(request.service, waitMs) }
     const stagesSignal = AbortSignal.any([signal, AbortSignal.timeout(atLeastOneMs(firstEventMs))])
-    const prepared = await this.parts.preparer.prepare(this.describeStageWork(request), stagesSignal)
+    const prepared = await this.deps.preparer.prepare(this.describeStageWork(request), stagesSignal)
     if (prepared.isErr())
       return { error: this.refuse(request) ?? errorOfPreparation(prepared.error) }
     const inputs: RunInputs = {
       ...prepared.value,
-      onRead: () => this.parts.preparer.release(requestId),
-      renew: () => this.recreateInputs(request, stagesSignal),
+      onRead: () => this.deps.preparer.release(requestId),
+      recreate: () => this.recreateInputs(request, stagesSignal),
     }
     try {
-      return await this.parts.runner.run({ request, inputs, answer, signal })
+      return await this.deps.runner.run({ request, inputs, answer, signal })
     }
     finally {
-      this.parts.preparer.release(requestId)
+      this.deps.preparer.release(requestId)
     }
   }
 
   /** Recreates the inputs after the first ones were consumed or lost. */
   private async recreateInputs(request: RoutedRequest, signal: AbortSignal): Promise<readonly string[] | undefined> {
-    const prepared = await this.parts.preparer.prepare(this.describeStageWork(request), signal)
+    const prepared = await this.deps.preparer.prepare(this.describeStageWork(request), signal)
     // The coordinator logged the reason as `stages-ended`; the run ends with the result of its attempt.
     return prepared.isOk() ? prepared.value.handles : undefined
   }
@@ -113,14 +113,14 @@
       isRetry: request.isRetry,
       service: request.service,
       prompt: request.head.promptParts.length > 0 ? request.head.promptParts : undefined,
-      failureDomain: this.parts.runner.preferredFailureDomain(request),
+      failureDomain: this.deps.runner.preferredFailureDomain(request),
     }
   }
 
-  private finish(request: ClientRequest, route: string | undefined, answer: ClientAnswer, { error, retry, firstEventAt }: RunEnd): void {
+  private finish(request: ClientRequest, route: string | undefined, answer: ClientAnswer, { error, retry, firstEventAt }: RunResult): void {
     const tookMs = performance.now() - request.arrivedAt
-    const configurationVersion = this.parts.configuration.version
-    this.parts.metrics.countRequest(route ?? NO_ROUTE, outcomeOf(error), tookMs)
+    const configurationVersion = this.deps.configuration.version
+    this.deps.metrics.countRequest(route ?? NO_ROUTE, outcomeOf(error), tookMs)
     const firstEventMs = firstEventAt === undefined ? undefined : firstEventAt - request.arrivedAt
     this.log.requestEnded({ requestId: request.head.requestId, route, error, retry, tookMs, firstEventMs, configurationVersion })
     if (!error)
--- a/test/gateway/attempt-ends.test.ts
+++ b/test/gateway/attempt-ends.test.ts
@@ -1,25 +1,25 @@
-import type { AttemptEvidence, UnansweredRequest } from '@eidermast/gateway'
+import type { HealthSignalInputs, UnansweredRequest } from '@eidermast/gateway'
 import { ErrorKind, Ran } from '@eidermast/common'
-import { AttemptEnd, BackendHealthSign, CallFailureKind, decideHealthSign, errorOfUnanswered } from '@eidermast/gateway'
+import { AttemptEnd, BackendHealthSignal, CallFailureKind, decideHealthSignal, errorOfUnanswered } from '@eidermast/gateway'
 import { describe, expect, test } from 'vitest'
 
 describe('health signal of an attempt', () => {
-  const FAILED: AttemptEvidence = { end: AttemptEnd.MayHaveRun, failureKind: undefined, streaming: false, abandonedHere: false }
+  const FAILED: HealthSignalInputs = { end: AttemptEnd.MayHaveRun, failureKind: undefined, streaming: false, abandonedHere: false }
 
-  test.each<[string, Partial<AttemptEvidence>, BackendHealthSign]>([
-    ['a complete non-streaming response', { end: AttemptEnd.Answered }, BackendHealthSign.Success],
-    ['a complete stream', { end: AttemptEnd.Answered, streaming: true }, BackendHealthSign.None],
-    ['a broken response', { failureKind: CallFailureKind.Broken }, BackendHealthSign.Failure],
-    ['a failed connection', { end: AttemptEnd.NotRun, failureKind: CallFailureKind.NotSent }, BackendHealthSign.Failure],
-    ['a refusal', { end: AttemptEnd.NotRun, failureKind: CallFailureKind.Refused }, BackendHealthSign.None],
-    ['a call aborted by this gateway', { failureKind: CallFailureKind.Aborted, abandonedHere: true }, BackendHealthSign.Abandoned],
-    ['a call aborted by this gateway while waiting for a connection', { end: AttemptEnd.NotRun, failureKind: CallFailureKind.AbandonedUnsent, abandonedHere: true }, BackendHealthSign.Abandoned],
-    ['a call whose client disconnected while it waited for a connection', { end: AttemptEnd.NotRun, failureKind: CallFailureKind.AbandonedUnsent }, BackendHealthSign.None],
-    ['a call rejected because its backend server is shutting down', { end: AttemptEnd.NotRun, failureKind: CallFailureKind.Leaving }, BackendHealthSign.None],
-    ['a call whose client disconnected', { failureKind: CallFailureKind.Aborted }, BackendHealthSign.None],
-    ['a server error', { end: AttemptEnd.ServerError }, BackendHealthSign.None],
-  ])('%s', (_name, evidence, sign) => {
-    expect(decideHealthSign({ ...FAILED, ...evidence })).toBe(sign)
+  test.each<[string, Partial<HealthSignalInputs>, BackendHealthSignal]>([
+    ['a complete non-streaming response', { end: AttemptEnd.Answered }, BackendHealthSignal.Success],
+    ['a complete stream', { end: AttemptEnd.Answered, streaming: true }, BackendHealthSignal.None],
+    ['a broken response', { failureKind: CallFailureKind.Broken }, BackendHealthSignal.Failure],
+    ['a failed connection', { end: AttemptEnd.NotRun, failureKind: CallFailureKind.NotSent }, BackendHealthSignal.Failure],
+    ['a refusal', { end: AttemptEnd.NotRun, failureKind: CallFailureKind.Refused }, BackendHealthSignal.None],
+    ['a call aborted by this gateway', { failureKind: CallFailureKind.Aborted, abandonedHere: true }, BackendHealthSignal.Abandoned],
+    ['a call aborted by this gateway while waiting for a connection', { end: AttemptEnd.NotRun, failureKind: CallFailureKind.AbandonedUnsent, abandonedHere: true }, BackendHealthSignal.Abandoned],
+    ['a call whose client disconnected while it waited for a connection', { end: AttemptEnd.NotRun, failureKind: CallFailureKind.AbandonedUnsent }, BackendHealthSignal.None],
+    ['a call rejected because its backend server is shutting down', { end: AttemptEnd.NotRun, failureKind: CallFailureKind.Leaving }, BackendHealthSignal.None],
+    ['a call whose client disconnected', { failureKind: CallFailureKind.Aborted }, BackendHealthSignal.None],
+    ['a server error', { end: AttemptEnd.ServerError }, BackendHealthSignal.None],
+  ])('%s', (_name, inputs, signal) => {
+    expect(decideHealthSignal({ ...FAILED, ...inputs })).toBe(signal)
   })
 })
 
--- a/test/gateway/backend-run.test.ts
+++ b/test/gateway/backend-run.test.ts
@@ -39,8 +39,8 @@
   }
 }
 
-/** A request whose first attempt, at the server `first`, fails because its input is gone; `renew` recreates its stage results. */
-function createRun({ budgetExtra = 10, engine, renew }: { budgetExtra?: number, engine?: string, renew: (registry: BackendRegistry) => readonly string[] | undefined }) {
+/** A request whose first attempt, at the server `first`, fails because its input is gone; `recreateHandles` recreates its stage results. */
+function createRun({ budgetExtra = 10, engine, recreateHandles }: { budgetExtra?: number, engine?: string, recreateHandles: (registry: BackendRegistry) => readonly string[] | undefined }) {
   const { log } = createLog()
   const registry = new BackendRegistry(log)
   for (const id of ['first', 'second'])
@@ -52,15 +52,15 @@
   const choice = new LeastLoadChoice(ejection)
   const budget = new RetryBudget({ ratio: 0, extra: budgetExtra, windowMs: 10_000 }, () => 1)
   const runner = new BackendRunner({ failureDomain: 'zone-a', registry, client, ejection, plainChoice: choice, engineChoice: choice, budget, coldPace: NO_COLD_BOUND, intake: OPEN_INTAKE, crashes: NO_CRASHES, log, isEngine: () => false })
-  const recreate = vi.fn(async () => renew(registry))
-  const inputs: RunInputs = { handles: ['lost'], failureDomain: undefined, bytes: 0, engine, renew: recreate }
+  const recreate = vi.fn(async () => recreateHandles(registry))
+  const inputs: RunInputs = { handles: ['lost'], failureDomain: undefined, bytes: 0, engine, recreate }
   const run = () => runner.run({ request: createRequest(), inputs, answer: createAnswer(), signal: new AbortController().signal })
   return { run, client, budget, recreate }
 }
 
 describe('a request whose stage results are recreated', () => {
   test('runs at a backend server that accepts work once they are ready', async () => {
-    const { run, client } = createRun({ renew: (registry) => {
+    const { run, client } = createRun({ recreateHandles: (registry) => {
       registry.upsert(createRecord({ id: 'first', service: SERVICE, draining: true }))
       return ['recreated']
     } })
@@ -69,26 +69,26 @@
   })
 
   test('runs first at the backend server selected with them, then at another', async () => {
-    const { run, client } = createRun({ engine: 'second', renew: () => ['recreated'] })
+    const { run, client } = createRun({ engine: 'second', recreateHandles: () => ['recreated'] })
     await run()
     expect(client.called[0]).toBe('second')
   })
 
   test('runs at another backend server if the one selected with them accepts no work', async () => {
-    const { run, client } = createRun({ engine: 'gone', renew: () => ['recreated'] })
+    const { run, client } = createRun({ engine: 'gone', recreateHandles: () => ['recreated'] })
     await run()
     expect(client.called[0]).toBe('first')
   })
 
   test('does not recreate them if the retry budget is used up', async () => {
-    const { run, client, recreate } = createRun({ budgetExtra: 0, renew: () => ['recreated'] })
+    const { run, client, recreate } = createRun({ budgetExtra: 0, recreateHandles: () => ['recreated'] })
     expect(await run()).toMatchObject({ retry: RetryDecision.BudgetUsed })
     expect(recreate).not.toHaveBeenCalled()
     expect(client.called).toEqual(['first'])
   })
 
   test('returns its retry to the budget if they cannot be recreated', async () => {
-    const { run, budget } = createRun({ budgetExtra: 2, renew: () => undefined })
+    const { run, budget } = createRun({ budgetExtra: 2, recreateHandles: () => undefined })
     expect(await run()).toMatchObject({ retry: RetryDecision.InputsGone })
     expect(budget.takeRetry(SERVICE)).toBe(true)
     expect(budget.takeRetry(SERVICE)).toBe(false)
