--- a/packages/gateway/src/request/attempts/backend-runner.ts
+++ b/packages/gateway/src/request/attempts/backend-runner.ts
@@ -1,91 +1,92 @@
 /**
- * Runs requests at the backend servers of their services. It lives as long as
- * the process, owns nothing that changes, and relies on the registry for the
- * candidates and on `backend-choice` for their order.
+ * Runs requests at the backend servers of their services. Lives as long as the
+ * process and has no mutable state; takes the candidates from the registry and
+ * their order from the policies in `backend-choice.ts`.
  */
 import type { EventLog } from '@eidermast/common'
 import type { Backend } from '../../connection/backends/backend.js'
 import type { IntakeState } from '../../connection/backends/intake-state.js'
 import type { RoutedRequest } from '../routed-request.js'
 import type { BackendChoice } from './backend-choice.js'
-import type { BackendRunParts } from './backend-run.js'
+import type { BackendRunDependencies } from './backend-run.js'
 import type { ColdPace } from './cold-pace.js'
-import type { RunEnd, RunInputs, RunSubject } from './run-subject.js'
+import type { RunInputs, RunResult, RunSubject } from './run-subject.js'
 import { RequestLog } from '../request-log.js'
 import { BackendRun, shortestWaitMs } from './backend-run.js'
 import { NO_INPUTS } from './run-subject.js'
 
 /**
- * Milliseconds after which a limit is asked about by a request in this gateway's
- * next turn. Half moves more requests from the engines that hold their prompts,
- * twice leaves a backend server without work that has ended its limit.
+ * Age after which a known limit is refreshed by sending a request in this
+ * gateway's next time slot. Half moves more requests away from the engines that
+ * cache their prompts; twice leaves a backend server idle longer after it has
+ * lifted its limit.
  */
 const LIMIT_REFRESH_MS = 1000
 
-/** What the runner works with. */
-export interface BackendRunnerParts extends Omit<BackendRunParts, 'log'> {
+/** Dependencies of the runner. */
+export interface BackendRunnerDependencies extends Omit<BackendRunDependencies, 'log'> {
   /** Failure domain of this process. */
   failureDomain: string
   plainChoice: BackendChoice
   engineChoice: BackendChoice
-  /** How often this process may send to a cold backend server that no coordinator assigned. */
+  /** Limits what this process sends to cold backend servers without an assignment by a coordinator. */
   coldPace: Pick<ColdPace, 'mayTake' | 'note'>
   log: EventLog
 }
 
-/** Chooses backend servers and runs requests at them. */
+/** Selects backend servers and runs requests at them. */
 export class BackendRunner {
-  private readonly runParts: BackendRunParts
+  private readonly runDeps: BackendRunDependencies
 
-  constructor(private readonly parts: BackendRunnerParts) {
-    this.runParts = { ...parts, log: new RequestLog(parts.log) }
+  constructor(private readonly deps: BackendRunnerDependencies) {
+    this.runDeps = { ...deps, log: new RequestLog(deps.log) }
   }
 
-  /** Failure domain of the backend server that would be chosen now. */
+  /** Failure domain of the backend server that would be selected now. */
   preferredFailureDomain(request: RoutedRequest): string {
-    return this.choose(request, NO_INPUTS, new Set())?.failureDomain ?? this.parts.failureDomain
+    return this.choose(request, NO_INPUTS, new Set())?.failureDomain ?? this.deps.failureDomain
   }
 
-  /** Milliseconds until some backend server of the request's service takes a request, by their own word; Infinity where none takes work. */
+  /** Milliseconds until a backend server of the request's service accepts a request, as the servers report; Infinity if none accepts work. */
   shortestWaitMs({ service }: RoutedRequest): number {
-    return shortestWaitMs(this.parts, service)
+    return shortestWaitMs(this.deps, service)
   }
 
-  /** Answers the request, or says why there is no answer. */
-  async run(subject: RunSubject): Promise<RunEnd> {
-    this.parts.budget.countRequest(subject.request.service)
-    return new BackendRun(this.runParts, this.chooseForCall.bind(this), subject).run()
+  /** Answers the request, or returns why it could not be answered. */
+  async run(subject: RunSubject): Promise<RunResult> {
+    this.deps.budget.countRequest(subject.request.service)
+    return new BackendRun(this.runDeps, this.chooseForCall.bind(this), subject).run()
   }
 
-  /** As `choose`, for a call that follows. */
+  /** Selects a backend server for a call and counts the call against the cold start limit. */
   private chooseForCall(request: RoutedRequest, inputs: RunInputs, tried: ReadonlySet<string>): Backend | undefined {
     const backend = this.choose(request, inputs, tried)
     if (backend && backend.id !== inputs.engine)
-      this.parts.coldPace.note(backend, performance.now())
+      this.deps.coldPace.note(backend, performance.now())
     return backend
   }
 
-  /** The best backend server that was not tried. */
+  /** The preferred backend server among those that were not tried. */
   private choose(request: RoutedRequest, inputs: RunInputs, tried: ReadonlySet<string>): Backend | undefined {
-    const candidates = this.parts.registry.available(request.service).filter(backend => !tried.has(backend.id))
+    const candidates = this.deps.registry.available(request.service).filter(backend => !tried.has(backend.id))
     const now = performance.now()
-    const taking = candidates.filter(backend => this.parts.intake.waitMs(backend) === 0)
-    const usable = this.parts.ejection.filter(taking)
-    const withOldLimit = usable.find(backend => isLimitOld(backend.intake, now) && this.parts.coldPace.mayTake(backend, now))
+    const taking = candidates.filter(backend => this.deps.intake.waitMs(backend) === 0)
+    const usable = this.deps.ejection.filter(taking)
+    const withOldLimit = usable.find(backend => isLimitOld(backend.intake, now) && this.deps.coldPace.mayTake(backend, now))
     const preferred = withOldLimit ?? usable.find(backend => backend.id === inputs.engine)
     if (preferred)
       return preferred
-    const open = taking.filter(backend => this.parts.coldPace.mayTake(backend, now))
-    const choice = this.parts.isEngine(request.service) ? this.parts.engineChoice : this.parts.plainChoice
+    const open = taking.filter(backend => this.deps.coldPace.mayTake(backend, now))
+    const choice = this.deps.isEngine(request.service) ? this.deps.engineChoice : this.deps.plainChoice
     return choice.order(open, {
       promptParts: request.head.promptParts,
-      failureDomain: inputs.failureDomain ?? this.parts.failureDomain,
+      failureDomain: inputs.failureDomain ?? this.deps.failureDomain,
       bytes: inputs.bytes,
     })[0]
   }
 }
 
-/** Whether it may have ended its limit since it named it: only the answer to a request tells. */
+/** Whether the limit may have been lifted since it was reported; only the response to a request can tell. */
 function isLimitOld({ limitPerSecond, limitNamedAt }: IntakeState, now: number): boolean {
   return limitPerSecond !== undefined && now - limitNamedAt > LIMIT_REFRESH_MS
 }
--- a/packages/gateway/src/request/pass-through.ts
+++ b/packages/gateway/src/request/proxy-request-handler.ts
@@ -1,8 +1,8 @@
 /**
- * The way of one request: it is routed, its stages are prepared, a backend
- * server answers it, and its end is counted and logged. It lives as long as the
- * process and owns no state of requests: each is held by its own call of `serve`
- * and is lost with the process; its client sees the connection break.
+ * Handles client requests end to end: routes each one, prepares its stages, has
+ * a backend server answer it, then counts and logs the result. Lives as long as
+ * the process. The state of a request is local to its call of `serve`; if the
+ * process dies, it is lost and the client's connection breaks.
  */
 import type { EventLog, RequestError } from '@eidermast/common'
 import type { ClientAnswer } from '../connection/clients/client-answer.js'
@@ -10,26 +10,26 @@
 import type { PreparationRequest, Preparer } from '../connection/peers/preparation.js'
 import type { ConfigurationHolder } from '../version/configuration-holder.js'
 import type { BackendRunner } from './attempts/backend-runner.js'
-import type { RunEnd, RunInputs } from './attempts/run-subject.js'
+import type { RunInputs, RunResult } from './attempts/run-subject.js'
 import type { CrashWatch } from './crash-watch.js'
 import type { RoutedRequest } from './routed-request.js'
 import { createError, ErrorKind } from '@eidermast/common'
 import { NO_INPUTS } from './attempts/run-subject.js'
-import { atLeastOne } from './deadlines.js'
+import { atLeastOneMs } from './deadlines.js'
 import { errorOfPreparation, errorOfWithheld } from './request-errors.js'
 import { outcomeOf, RequestLog } from './request-log.js'
 import { RequestRouter } from './request-router.js'
 
-/** Label of requests without a route in the metrics. */
+/** Metrics label of requests without a route. */
 const NO_ROUTE = 'none'
 
-/** Counts requests for the metrics page; implemented by the process. */
+/** Counts requests for the metrics endpoint; implemented by the process. */
 export interface RequestMetrics {
   countRequest: (route: string, outcome: string, milliseconds: number) => void
 }
 
-/** What the pass-through works with. */
-export interface PassThroughParts {
+/** Dependencies of the request handler. */
+export interface ProxyRequestHandlerDependencies {
   configuration: ConfigurationHolder
   preparer: Preparer
   runner: BackendRunner
@@ -39,16 +39,16 @@
 }
 
 /** Serves requests on the configured routes. */
-export class PassThrough implements RequestHandler {
+export class ProxyRequestHandler implements RequestHandler {
   private readonly router: RequestRouter
   private readonly log: RequestLog
 
-  constructor(private readonly parts: PassThroughParts) {
-    this.router = new RequestRouter(parts.configuration)
-    this.log = new RequestLog(parts.log)
+  constructor(private readonly deps: ProxyRequestHandlerDependencies) {
+    this.router = new RequestRouter(deps.configuration)
+    this.log = new RequestLog(deps.log)
   }
 
-  /** Answers a request; the signal aborts when its client leaves. */
+  /** Answers a request; the signal aborts when its client disconnects. */
   async serve(request: ClientRequest, answer: ClientAnswer, signal: AbortSignal): Promise<void> {
     const routed = this.router.route(request)
     if (routed.isErr())
@@ -58,49 +58,49 @@
     this.finish(request, routed.value.route.name, answer, end)
   }
 
-  /** The error of a request that is sent to no backend server; undefined for others. */
+  /** Returns the error for a request that must not be sent to any backend server; undefined for others. */
   private refuse({ fingerprint }: RoutedRequest): RequestError | undefined {
-    const refusal = this.parts.crashes.refusal(fingerprint)
+    const refusal = this.deps.crashes.refusal(fingerprint)
     return refusal === undefined ? undefined : createError(ErrorKind.Quarantined, refusal)
   }
 
-  private run(request: RoutedRequest, answer: ClientAnswer, signal: AbortSignal): Promise<RunEnd> {
+  private run(request: RoutedRequest, answer: ClientAnswer, signal: AbortSignal): Promise<RunResult> {
     if (request.route.stages.length === 0)
-      return this.parts.runner.run({ request, inputs: NO_INPUTS, answer, signal })
+      return this.deps.runner.run({ request, inputs: NO_INPUTS, answer, signal })
     return this.prepareAndRun(request, answer, signal)
   }
 
-  private async prepareAndRun(request: RoutedRequest, answer: ClientAnswer, signal: AbortSignal): Promise<RunEnd> {
+  private async prepareAndRun(request: RoutedRequest, answer: ClientAnswer, signal: AbortSignal): Promise<RunResult> {
     const { requestId } = request.head
     const firstEventMs = Math.ceil(request.firstEventBy - performance.now())
-    const waitMs = this.parts.runner.shortestWaitMs(request)
+    const waitMs = this.deps.runner.shortestWaitMs(request)
     if (Number.isFinite(waitMs) && waitMs > firstEventMs)
       return { error: errorOfWithheld(request.service, waitMs) }
-    const stagesSignal = AbortSignal.any([signal, AbortSignal.timeout(atLeastOne(firstEventMs))])
-    const prepared = await this.parts.preparer.prepare(this.describe(request), stagesSignal)
+    const stagesSignal = AbortSignal.any([signal, AbortSignal.timeout(atLeastOneMs(firstEventMs))])
+    const prepared = await this.deps.preparer.prepare(this.describeStageWork(request), stagesSignal)
     if (prepared.isErr())
       return { error: this.refuse(request) ?? errorOfPreparation(prepared.error) }
     const inputs: RunInputs = {
       ...prepared.value,
-      onRead: () => this.parts.preparer.release(requestId),
-      renew: () => this.renew(request, stagesSignal),
+      onRead: () => this.deps.preparer.release(requestId),
+      recreate: () => this.recreateInputs(request, stagesSignal),
     }
     try {
-      return await this.parts.runner.run({ request, inputs, answer, signal })
+      return await this.deps.runner.run({ request, inputs, answer, signal })
     }
     finally {
-      this.parts.preparer.release(requestId)
+      this.deps.preparer.release(requestId)
     }
   }
 
-  /** Makes the inputs again, after the first ones were read or lost. */
-  private async renew(request: RoutedRequest, signal: AbortSignal): Promise<readonly string[] | undefined> {
-    const prepared = await this.parts.preparer.prepare(this.describe(request), signal)
-    // The coordinator logged why as `stages-ended`; the run ends with what its attempt brought.
+  /** Recreates the inputs after the first ones were consumed or lost. */
+  private async recreateInputs(request: RoutedRequest, signal: AbortSignal): Promise<readonly string[] | undefined> {
+    const prepared = await this.deps.preparer.prepare(this.describeStageWork(request), signal)
+    // The coordinator logged the reason as `stages-ended`; the run ends with the result of its attempt.
     return prepared.isOk() ? prepared.value.handles : undefined
   }
 
-  private describe(request: RoutedRequest): PreparationRequest {
+  private describeStageWork(request: RoutedRequest): PreparationRequest {
     const now = performance.now()
     return {
       requestId: request.head.requestId,
@@ -113,14 +113,14 @@
       isRetry: request.isRetry,
       service: request.service,
       prompt: request.head.promptParts.length > 0 ? request.head.promptParts : undefined,
-      failureDomain: this.parts.runner.preferredFailureDomain(request),
+      failureDomain: this.deps.runner.preferredFailureDomain(request),
     }
   }
 
-  private finish(request: ClientRequest, route: string | undefined, answer: ClientAnswer, { error, retry, firstEventAt }: RunEnd): void {
+  private finish(request: ClientRequest, route: string | undefined, answer: ClientAnswer, { error, retry, firstEventAt }: RunResult): void {
     const tookMs = performance.now() - request.arrivedAt
-    const configurationVersion = this.parts.configuration.version
-    this.parts.metrics.countRequest(route ?? NO_ROUTE, outcomeOf(error), tookMs)
+    const configurationVersion = this.deps.configuration.version
+    this.deps.metrics.countRequest(route ?? NO_ROUTE, outcomeOf(error), tookMs)
     const firstEventMs = firstEventAt === undefined ? undefined : firstEventAt - request.arrivedAt
     this.log.requestEnded({ requestId: request.head.requestId, route, error, retry, tookMs, firstEventMs, configurationVersion })
     if (!error)
