--- a/packages/gateway/src/process/gateway-metrics.ts
+++ b/packages/gateway/src/process/gateway-metrics.ts
@@ -110,7 +110,7 @@
     this.addGauge('eidermast_gateway_evacuated_calls', 'Calls under way at backend servers of evacuated failure domains', () => registry.callsInEvacuated)
     this.addGauge('eidermast_gateway_members', 'Gateways known, this one included', () => members.count)
     this.addGauge('eidermast_gateway_quarantined', 'Requests, by fingerprint, that are refused since they end backend servers', () => crashBoard.quarantined)
-    this.addGauge('eidermast_gateway_owns_stages', 'Shards of the stage work that this gateway coordinates', () => members.coordinatedShards)
+    this.addGauge('eidermast_gateway_owns_stages', 'Shards of the stage work that this gateway coordinates', () => members.coordinatedShardCount)
   }
 
   private addGauge(name: string, help: string, read: () => number): void {
--- a/packages/gateway/src/process/gateway.ts
+++ b/packages/gateway/src/process/gateway.ts
@@ -44,7 +44,7 @@
 import { countSharingGateways } from './gateway-share.js'
 import { BackendIntakes } from './intake/backend-intakes.js'
 import { createMetricsServer, createReadinessServer, InternalServers } from './internal-servers.js'
-import { HeardPeers } from './membership/heard-peers.js'
+import { ActivePeers } from './membership/active-peers.js'
 import { Members } from './membership/members.js'
 import { GatewayPeerService } from './peer-service.js'
 import { Readiness } from './readiness.js'
@@ -67,7 +67,7 @@
   private readonly gatewayLog: GatewayLog
   private readonly peers = new PeerClients()
   private readonly peerService: GatewayPeerService
-  private readonly heardPeers = new HeardPeers()
+  private readonly activePeers = new ActivePeers()
   private readonly commonLimits: CommonLimits
   private readonly connections: BackendConnections
   private readonly intakes: BackendIntakes
@@ -176,7 +176,7 @@
   private createCommonLimits(): CommonLimits {
     return new CommonLimits({
       members: this.members,
-      heardGateways: () => this.heardPeers.count(performance.now()),
+      heardGateways: () => this.activePeers.count(performance.now()),
       findService: name => this.configuration.table?.findService(name),
       coldAllowance: this.platform.coldAllowance,
     })
@@ -191,7 +191,7 @@
   private takeWake(awayMs: number): void {
     this.gatewayLog.woke(awayMs)
     this.platform.readAnew()
-    this.members.meetAgain()
+    this.members.restartDiscovery()
   }
 
   private takeStateChange(backend: Backend): void {
@@ -243,7 +243,7 @@
       evacuations: this.evacuations,
       limits: this.intakes.limitExchange,
       leaving: this.intakes.leavingExchange,
-      heardPeers: this.heardPeers,
+      activePeers: this.activePeers,
       peers: this.peers,
       stageCoordinator: this.stageCoordinators,
       crashes: this.crashBoard.peerExchange,
--- a/packages/gateway/src/process/membership/failure-watches.ts
+++ b/packages/gateway/src/process/membership/failure-watches.ts
@@ -1,27 +1,27 @@
 /**
- * Signals for callers that wait for a member and must hear of its failure.
- * Each watch lasts until its member fails or its owner disposes of it.
+ * Abort signals for callers that wait for a member and must learn of its failure.
+ * A watch lasts until its member fails or its owner disposes of it.
  */
 
 /** A signal that aborts when a member fails. */
 export interface FailureWatch {
   signal: AbortSignal
-  /** Ends the watch; call it when the signal is no longer needed. */
+  /** Ends the watch. To be called when the signal is no longer needed. */
   dispose: () => void
 }
 
-/** Watches by the name of the member. */
+/** Keeps the watches by member name. */
 export class FailureWatches {
   private readonly controllers = new Map<string, Set<AbortController>>()
 
   watch(name: string): FailureWatch {
     const controller = new AbortController()
-    const watching = this.controllers.get(name) ?? new Set()
-    this.controllers.set(name, watching.add(controller))
-    return { signal: controller.signal, dispose: () => watching.delete(controller) }
+    const controllers = this.controllers.get(name) ?? new Set()
+    this.controllers.set(name, controllers.add(controller))
+    return { signal: controller.signal, dispose: () => controllers.delete(controller) }
   }
 
-  /** Aborts and forgets all watches of a member that failed. */
+  /** Aborts and removes all watches of a failed member. */
   abort(name: string): void {
     const watching = this.controllers.get(name)
     this.controllers.delete(name)
--- a/packages/gateway/src/process/membership/member-state.ts
+++ b/packages/gateway/src/process/membership/member-state.ts
@@ -1,35 +1,38 @@
 /**
- * What this process knows of one gateway. `Members` owns these states, from
- * the listing of a gateway until its removal; a new announcement begins with a
- * new state.
+ * What this process knows about one gateway. `Members` owns these states, from
+ * the listing of a gateway until its removal; a new announcement starts with a
+ * fresh state.
  */
 import type { Member } from '../../connection/peers/member.js'
 import type { ListedMember } from '../platform-adapter.js'
 
-/** One gateway, with its place in the ranking and its contact. Times are of the process clock, in milliseconds. */
+/** One gateway, with its rank criteria and contact state. Times are on the process clock, in milliseconds. */
 export interface MemberState {
   readonly member: Member
-  /** Place of its announcement, as listed or as it told itself; infinite for this process before it is listed. */
+  /**
+   * Position of its announcement, as listed or as reported by itself; infinite
+   * for this process before it is listed.
+   */
   announcementOrder: number
-  /** It is this process. */
+  /** Whether it is this process. */
   readonly isSelf: boolean
-  /** When it last answered a heartbeat; minus infinity before the first answer and after a failed call. */
+  /** When it last answered a heartbeat; negative infinity before the first reply and after a failed call. */
   lastReplyAt: number
-  /** When it was last sent a heartbeat. */
+  /** When the last heartbeat was sent to it. */
   heartbeatSentAt: number
-  /** Heartbeats that wait for an answer. */
+  /** Number of unanswered heartbeats. */
   pendingHeartbeats: number
-  /** It has answered a heartbeat, or failed to. */
-  tried: boolean
-  /** It is leaving and coordinates nothing from now on. */
+  /** Whether it has answered a heartbeat or failed to. */
+  probed: boolean
+  /** Whether it is shutting down and no longer coordinates. */
   stopping: boolean
-  /** It is short of processor time and coordinates only where nobody else can. */
+  /** Whether it is short of processor time and coordinates only if no other member can. */
   slow: boolean
-  /** It has not failed; what the last tick that looked at it found. */
+  /** Whether it was alive when a tick last checked it. */
   alive: boolean
 }
 
-/** The state of a member that was just listed: nothing is known of it until it answers. */
+/** Creates the state of a newly listed member. Only this process counts as alive before its first reply. */
 export function createMemberState(listed: ListedMember, isSelf: boolean): MemberState {
   const { announcementOrder, ...member } = listed
   return {
@@ -39,7 +42,7 @@
     lastReplyAt: Number.NEGATIVE_INFINITY,
     heartbeatSentAt: Number.NEGATIVE_INFINITY,
     pendingHeartbeats: 0,
-    tried: false,
+    probed: false,
     stopping: false,
     slow: false,
     alive: isSelf,
--- a/packages/gateway/src/process/membership/members.ts
+++ b/packages/gateway/src/process/membership/members.ts
@@ -1,12 +1,12 @@
 /**
- * The gateways of the deployment as this process sees them, the first of them
- * that can coordinate, and the one that coordinates each shard of the stage
- * work. The list comes from the platform's directory; whether a member is alive
- * is learned from its answers to heartbeats only (`peer-watch.ts`).
+ * The gateways of the deployment as seen by this process, the overall
+ * coordinator, and the coordinator of each shard of the stage work. The list
+ * comes from the platform's directory; liveness is determined only by replies to
+ * heartbeats (`peer-monitor.ts`).
  *
- * It owns the states of the members, in memory. When the process dies they are
- * lost: it reads the directory again at its start, and sends heartbeats before
- * it uses any member. The rule is in `coordinator-choice.ts`; shards are in
+ * Owns the member states, in memory. After a restart the process reads the
+ * directory again, and sends heartbeats before it uses any member. The election
+ * rule is in `coordinator-election.ts`, the shards are in
  * `shard-coordinators.ts`.
  */
 import type { EventLog } from '@eidermast/common'
@@ -16,40 +16,40 @@
 import type { ListedMember, MemberSink, PeerView } from '../platform-adapter.js'
 import type { FailureWatch } from './failure-watches.js'
 import type { MemberState } from './member-state.js'
-import type { PeerContact } from './peer-watch.js'
+import type { PeerContact } from './peer-monitor.js'
 import { GatewayLog } from '../gateway-log.js'
-import { chooseCoordinator, rankCandidates } from './coordinator-choice.js'
+import { electCoordinator, rankCandidates } from './coordinator-election.js'
 import { HEARTBEAT_INTERVAL_MS } from './failure-detection.js'
 import { createMemberState } from './member-state.js'
-import { PeerWatch } from './peer-watch.js'
+import { PeerMonitor } from './peer-monitor.js'
 import { isSameProcess, ShardCoordinators } from './shard-coordinators.js'
 
-/** Follows members and keeps the coordinator. */
+/** Tracks members and elects the coordinators. */
 export class Members implements MemberSink, PeerView {
   private readonly states = new Map<string, MemberState>()
-  /** The states in the order in which they would coordinate. */
+  /** The states, ranked as coordinator candidates. */
   private ranked: MemberState[] = []
   private currentCoordinator: Member
   private readonly shardCoordinators: ShardCoordinators
-  private readonly peerWatch: PeerWatch
+  private readonly peerMonitor: PeerMonitor
   private readonly log: GatewayLog
   private timer: NodeJS.Timeout | undefined
-  /** Place among the members by their names; undefined since members were listed or removed. */
-  private knownPlace: number | undefined
-  /** Members were listed or removed since the last ranking. */
-  private rankDue = false
+  /** Cached `place`; undefined after members were listed or removed. */
+  private cachedPlace: number | undefined
+  /** Whether members were listed or removed since the last ranking. */
+  private rankingPending = false
 
   constructor(
     readonly self: Member,
     contact: PeerContact,
     log: EventLog,
-    /** Called with a peer and its answer to a heartbeat. */
+    /** Called with a peer and its reply to a heartbeat. */
     onReply: (member: Member, reply: HeartbeatReply) => void,
   ) {
     this.log = new GatewayLog(log)
     this.shardCoordinators = new ShardCoordinators(this.log)
     this.currentCoordinator = self
-    this.peerWatch = new PeerWatch({
+    this.peerMonitor = new PeerMonitor({
       members: {
         states: () => this.states.values(),
         ranked: () => this.ranked,
@@ -59,17 +59,17 @@
       contact,
       coreShare: self.coreShare,
       log: this.log,
-      orderChanged: (state, order) => this.setOrder(state, order),
+      onOrderChange: (state, order) => this.updateAnnouncementOrder(state, order),
       onReply,
-      changed: () => this.updateCoordinator(),
+      onChange: () => this.updateCoordinators(),
     })
     this.upsert({ ...self, announcementOrder: Number.POSITIVE_INFINITY })
   }
 
-  /** Starts the heartbeats. */
+  /** Starts sending heartbeats. */
   start(): void {
-    this.peerWatch.begin(performance.now())
-    this.rankIfDue()
+    this.peerMonitor.start(performance.now())
+    this.rankIfPending()
     this.timer = setInterval(() => this.tick(), HEARTBEAT_INTERVAL_MS)
   }
 
@@ -77,41 +77,44 @@
     clearInterval(this.timer)
   }
 
-  /** Members listed, this one included. */
+  /** Number of listed members, including this process. */
   get count(): number {
     return this.states.size
   }
 
-  /** Place of this process among the members by their names, from 0; all that know the same members agree on it. */
+  /** Index of this process among the members sorted by name. All processes with the same list agree on it. */
   get place(): number {
-    this.knownPlace ??= [...this.states.keys()].filter(name => name < this.self.name).length
-    return this.knownPlace
+    this.cachedPlace ??= [...this.states.keys()].filter(name => name < this.self.name).length
+    return this.cachedPlace
   }
 
-  /** The first member that can coordinate: it reads the platform's store for the others, and coordinates what no other can. */
+  /**
+   * The overall coordinator. It reads the platform's store for the others, and
+   * coordinates the shards that have no candidate.
+   */
   get coordinator(): Member {
-    this.rankIfDue()
+    this.rankIfPending()
     return this.currentCoordinator
   }
 
-  /** The shards into which the stage work is divided now; the whole where it is not. */
+  /** The current shards of the stage work, or the whole as one shard if it is not divided. */
   get shards(): readonly StageShard[] {
-    this.rankIfDue()
+    this.rankIfPending()
     return this.shardCoordinators.current
   }
 
-  /** The gateway that coordinates a shard, be it one of the current ones or not. */
+  /** The gateway that coordinates a shard, which need not be a current one. */
   coordinatorOf(shard: StageShard): Member {
-    this.rankIfDue()
+    this.rankIfPending()
     return this.shardCoordinators.coordinatorOf(shard, this.ranked, this.currentCoordinator)
   }
 
-  /** Shards that this process coordinates. */
-  get coordinatedShards(): number {
+  /** Number of shards that this process coordinates. */
+  get coordinatedShardCount(): number {
     return this.shards.filter(shard => this.coordinatorOf(shard).name === this.self.name).length
   }
 
-  /** Called with each shard whose coordinator changes, also where the shard is new. */
+  /** Calls the listener with each shard whose coordinator changes, and with each new shard. */
   onShardChange(listener: (shard: StageShard) => void): void {
     this.shardCoordinators.onChange(listener)
   }
@@ -120,39 +123,42 @@
     return this.coordinator.name === this.self.name
   }
 
-  /** All others send heartbeats to the first member, and hear from it what it has read. */
+  /** Whether the coordinator passes on what it has read from the store: all other members send it heartbeats. */
   get isTold(): boolean {
     return !this.isCoordinator
   }
 
-  /** Whether this process is short of processor time and coordinates only where nobody else can. */
+  /** Whether this process is short of processor time and coordinates only if no other member can. */
   get isSelfSlow(): boolean {
     return this.states.get(this.self.name)?.slow ?? false
   }
 
-  /** Place of this process's announcement; undefined before the directory lists it. */
+  /** Position of this process's announcement; undefined before the directory lists it. */
   get selfOrder(): number | undefined {
     const order = this.states.get(this.self.name)?.announcementOrder
     return Number.isFinite(order) ? order : undefined
   }
 
-  /** Whether another gateway answers heartbeats and is not stopping; known of all while this one is stopping. */
+  /**
+   * Whether another gateway answers heartbeats and is not stopping. While this
+   * process is stopping, all members are monitored.
+   */
   get othersServe(): boolean {
-    this.rankIfDue()
+    this.rankIfPending()
     return this.ranked.some(state => !state.isSelf && state.alive && !state.stopping)
   }
 
-  /** Resolves when this process has heard enough of the others to know who coordinates, at once where it has; see `acquaintance.ts`. */
-  whenAcquainted(): Promise<void> {
-    return this.peerWatch.whenAcquainted()
+  /** Resolves when this process has heard from enough peers to know the coordinator (see `peer-discovery.ts`). */
+  whenPeersDiscovered(): Promise<void> {
+    return this.peerMonitor.whenPeersDiscovered()
   }
 
-  /** A signal that aborts when a member fails; released by `dispose`. */
+  /** Returns a signal that aborts when a member fails, to be released by `dispose`. */
   watchFailure(member: Member): FailureWatch {
-    return this.peerWatch.watchFailure(member)
+    return this.peerMonitor.watchFailure(member)
   }
 
-  /** Lists a member; one that is listed again with another address or order is a new process. */
+  /** Lists a member. A known name with another address or announcement order is a new process. */
   upsert(listed: ListedMember): void {
     const existing = this.states.get(listed.name)
     if (existing?.member.address === listed.address && existing.announcementOrder === listed.announcementOrder)
@@ -162,15 +168,15 @@
     state.slow = state.isSelf && existing?.slow === true
     this.log.memberListed(state.member, state.announcementOrder)
     this.states.set(listed.name, state)
-    this.knownPlace = undefined
+    this.cachedPlace = undefined
     this.shardCoordinators.noteListed(listed.name)
-    this.rankSoon()
+    this.scheduleRanking()
   }
 
-  /** The directory was read, and what it lists is listed here. */
+  /** Called after a read of the directory, once all members in it have been listed. */
   noteListRead(): void {
-    this.peerWatch.noteListRead(performance.now())
-    this.rankSoon()
+    this.peerMonitor.noteDirectoryRead(performance.now())
+    this.scheduleRanking()
   }
 
   remove(name: string): void {
@@ -178,13 +184,13 @@
     if (!state || state.isSelf)
       return
     this.states.delete(name)
-    this.knownPlace = undefined
+    this.cachedPlace = undefined
     this.shardCoordinators.noteDeparted(state.member, performance.now())
     this.log.memberRemoved(name)
-    this.rankSoon()
+    this.scheduleRanking()
   }
 
-  /** This gateway or another is stopping and does not coordinate from now on. */
+  /** Excludes a gateway that is stopping, this one or a peer, from the election. */
   markStopping(member: Member): void {
     const state = this.states.get(member.name)
     if (!state)
@@ -193,81 +199,85 @@
     this.tick()
   }
 
-  /** This process may have been away: all are asked anew before it decides for them. */
-  meetAgain(): void {
-    this.peerWatch.meetAgain(performance.now())
+  /** Probes all members again before requests are assigned, since this process may have been suspended. */
+  restartDiscovery(): void {
+    this.peerMonitor.restartDiscovery(performance.now())
     this.tick()
   }
 
-  /** A call to a member failed; it must answer a heartbeat before it is used again. */
+  /** Reports a failed call to a member, which must answer a heartbeat before it is used again. */
   suspect(member: Member): void {
     const state = this.states.get(member.name)
     if (!state || state.isSelf)
       return
-    this.peerWatch.suspect(state)
-    this.updateCoordinator()
+    this.peerMonitor.suspect(state)
+    this.updateCoordinators()
   }
 
   private tick(): void {
-    this.rankIfDue()
+    this.rankIfPending()
     const now = performance.now()
-    this.peerWatch.takeOwnTick(now)
-    this.shardCoordinators.tick(this.ranked, now)
-    this.peerWatch.look(now)
-    this.updateCoordinator()
+    this.peerMonitor.recordTick(now)
+    this.shardCoordinators.expireDepartures(this.ranked, now)
+    this.peerMonitor.checkMembers(now)
+    this.updateCoordinators()
   }
 
   /**
-   * A process knows its own place best: by the record of an earlier process at
-   * its address, each of two gateways that restarted together would leave the
-   * stage work to the other, and both would coordinate.
+   * Takes the announcement order that a member reports itself, which is newer
+   * than the directory's. With the entry of the previous process at the same
+   * address, two gateways that restarted together would each expect the other to
+   * coordinate, and both would coordinate.
    */
-  private setOrder(state: MemberState, announcementOrder: number): void {
+  private updateAnnouncementOrder(state: MemberState, announcementOrder: number): void {
     state.announcementOrder = announcementOrder
     this.log.memberListed(state.member, announcementOrder)
     this.rank()
   }
 
   /**
-   * Ranks the members once for all that one read of the directory brings, then
-   * sends the heartbeats that are due. With a ranking for each, the first list of
-   * 68 gateways takes a starting process 16 ms of processor time, and the next
-   * one, after all restarted, 40 ms; with one for all 3 and 0.7 ms (three
+   * Ranks the members once for all changes of one directory read, then sends the
+   * heartbeats that are due. With a ranking for each change, the first list of 68
+   * gateways takes 16 ms of processor time in a starting process, and the next
+   * list, after all restarted, 40 ms; with a single one 3 ms and 0.7 ms (three
    * processes each).
    */
-  private rankSoon(): void {
-    if (this.rankDue)
+  private scheduleRanking(): void {
+    if (this.rankingPending)
       return
-    this.rankDue = true
+    this.rankingPending = true
     queueMicrotask(() => {
-      this.rankIfDue()
+      this.rankIfPending()
       if (this.timer)
         this.tick()
     })
   }
 
-  /** Whoever asks before that sees the members as they are listed. */
-  private rankIfDue(): void {
-    if (!this.rankDue)
+  /**
+   * Applies a pending ranking. Getters call it, so that they reflect the listed
+   * members before the scheduled ranking.
+   */
+  private rankIfPending(): void {
+    if (!this.rankingPending)
       return
-    this.rankDue = false
+    this.rankingPending = false
     this.rank()
   }
 
   private rank(): void {
     this.ranked = rankCandidates(this.states.values())
-    this.shardCoordinators.divide(this.ranked)
-    this.updateCoordinator()
+    this.shardCoordinators.updateShards(this.ranked)
+    this.updateCoordinators()
   }
 
-  private updateCoordinator(): void {
-    this.updateFirst()
-    this.shardCoordinators.update(this.currentCoordinator)
+  private updateCoordinators(): void {
+    this.updateOverallCoordinator()
+    this.shardCoordinators.electCoordinators(this.currentCoordinator)
   }
 
-  private updateFirst(): void {
+  private updateOverallCoordinator(): void {
     const previous = this.currentCoordinator
-    const coordinator = chooseCoordinator(this.ranked, this.self)
+    const coordinator = electCoordinator(this.ranked, this.self)
     if (isSameProcess(coordinator, previous))
       return
     this.log.coordinatorChanged(coordinator, previous, this.states.size)
--- a/packages/gateway/src/process/membership/shard-coordinators.ts
+++ b/packages/gateway/src/process/membership/shard-coordinators.ts
@@ -1,53 +1,56 @@
 /**
- * The shards of the stage work as this process sees them, and the gateway that
- * coordinates each. The rules are in `division.ts` and `coordinator-choice.ts`.
- * It owns the current division, and which gateways went lately; both are lost
- * with the process, and worked out anew from the directory.
+ * The shards of the stage work as seen by this process, and the gateway that
+ * coordinates each. The rules are in `shard-plan.ts` and
+ * `coordinator-election.ts`. Owns the current plan and the gateways that left
+ * recently; after a restart both are derived again from the directory.
  */
 import type { Member } from '../../connection/peers/member.js'
 import type { StageShard } from '../../connection/peers/stage-shard.js'
 import type { GatewayLog } from '../gateway-log.js'
 import type { MemberState } from './member-state.js'
 import { isInShard, WHOLE_SHARD } from '../../connection/peers/stage-shard.js'
-import { chooseCoordinator } from './coordinator-choice.js'
-import { DEPARTED_FOR_MS, divideStageWork } from './division.js'
+import { electCoordinator } from './coordinator-election.js'
+import { DEPARTED_RETENTION_MS, planShards } from './shard-plan.js'
 
-/** A gateway that went. */
+/** A gateway that left. */
 interface Departure {
   member: Member
-  /** Milliseconds of the process clock. */
+  /** Process clock, in milliseconds. */
   at: number
 }
 
-/** Follows the division and its coordinators. */
+/** Tracks the shards and their coordinators. */
 export class ShardCoordinators {
   private shards: readonly StageShard[] = [WHOLE_SHARD]
   private candidateLists: MemberState[][] = []
-  /** By the name of their shard. */
+  /** Keyed by shard name. */
   private coordinators = new Map<string, Member>()
   private readonly departures = new Map<string, Departure>()
   private readonly listeners: ((shard: StageShard) => void)[] = []
 
   constructor(private readonly log: GatewayLog) {}
 
-  /** The shards now; the whole where nothing is divided. */
+  /** The current shards, or the whole as one shard if the work is not divided. */
   get current(): readonly StageShard[] {
     return this.shards
   }
 
-  /** The candidates for each shard, in their order; none where nothing is divided. */
+  /** The ranked candidates for each shard; empty if the work is not divided. */
   get candidates(): readonly (readonly MemberState[])[] {
     return this.candidateLists
   }
 
-  /** Called with each shard whose coordinator changes, also where the shard is new. */
+  /** Calls the listener with each shard whose coordinator changes, and with each new shard. */
   onChange(listener: (shard: StageShard) => void): void {
     this.listeners.push(listener)
   }
 
-  /** The coordinator of a shard, be it one of the current ones or not; takes all members in their order, and the first of them that can coordinate. */
-  coordinatorOf(shard: StageShard, ranked: readonly MemberState[], first: Member): Member {
-    return this.coordinators.get(shard.name) ?? chooseCoordinator(selectCandidates(shard, ranked), first)
+  /**
+   * The coordinator of a shard, which need not be a current one. Takes the ranked
+   * members and the overall coordinator as fallback.
+   */
+  coordinatorOf(shard: StageShard, ranked: readonly MemberState[], fallback: Member): Member {
+    return this.coordinators.get(shard.name) ?? electCoordinator(selectCandidates(shard, ranked), fallback)
   }
 
   noteListed(name: string): void {
@@ -58,33 +61,33 @@
     this.departures.set(member.name, { member, at: now })
   }
 
-  /** Divides anew where gateways that went no longer count. */
-  tick(ranked: readonly MemberState[], now: number): void {
-    const expired = [...this.departures].filter(([, { at }]) => now - at >= DEPARTED_FOR_MS)
+  /** Updates the shards when gateways that left no longer count. */
+  expireDepartures(ranked: readonly MemberState[], now: number): void {
+    const expired = [...this.departures].filter(([, { at }]) => now - at >= DEPARTED_RETENTION_MS)
     expired.forEach(([name]) => this.departures.delete(name))
     if (expired.length > 0)
-      this.divide(ranked)
+      this.updateShards(ranked)
   }
 
-  /** Divides the work by the members listed, in their order. */
-  divide(ranked: readonly MemberState[]): void {
+  /** Plans the shards from the ranked members. */
+  updateShards(ranked: readonly MemberState[]): void {
     const departed = [...this.departures.values()].map(({ member }) => member)
-    const shards = divideStageWork([...ranked.map(({ member }) => member), ...departed])
-    if (namesOf(shards) !== namesOf(this.shards))
-      this.log.stageWorkDivided(namesOf(shards), ranked.length)
+    const shards = planShards([...ranked.map(({ member }) => member), ...departed])
+    if (joinNames(shards) !== joinNames(this.shards))
+      this.log.stageWorkDivided(joinNames(shards), ranked.length)
     this.shards = shards
     this.candidateLists = shards.length === 1 ? [] : shards.map(shard => selectCandidates(shard, ranked))
   }
 
-  /** Chooses the coordinators anew; where a shard has no candidate, it is the first of all members. */
-  update(first: Member): void {
+  /** Elects the coordinator of each shard, with `fallback` for a shard that has no candidate. */
+  electCoordinators(fallback: Member): void {
     const previous = this.coordinators
-    this.coordinators = new Map(this.shards.map((shard, number) => [shard.name, chooseCoordinator(this.candidateLists[number] ?? [], first)]))
+    this.coordinators = new Map(this.shards.map((shard, index) => [shard.name, electCoordinator(this.candidateLists[index] ?? [], fallback)]))
     for (const shard of this.shards)
-      this.reportChange(shard, this.coordinators.get(shard.name)!, previous.get(shard.name))
+      this.notifyIfChanged(shard, this.coordinators.get(shard.name)!, previous.get(shard.name))
   }
 
-  private reportChange(shard: StageShard, coordinator: Member, previous: Member | undefined): void {
+  private notifyIfChanged(shard: StageShard, coordinator: Member, previous: Member | undefined): void {
     if (previous && isSameProcess(coordinator, previous))
       return
     if (shard !== WHOLE_SHARD)
@@ -94,7 +97,7 @@
   }
 }
 
-/** Whether two members are one process: one that restarts has another address or is listed anew. */
+/** Whether two members are the same process: a restarted one has another address, or is listed again. */
 export function isSameProcess(left: Member, right: Member): boolean {
   return left.name === right.name && left.address === right.address
 }
@@ -103,6 +106,6 @@
   return ranked.filter(({ member }) => isInShard(shard, member.failureDomain))
 }
 
-function namesOf(shards: readonly StageShard[]): string {
+function joinNames(shards: readonly StageShard[]): string {
   return shards.map(({ name }) => name).join(', ')
 }
--- a/packages/gateway/src/process/peer-service.ts
+++ b/packages/gateway/src/process/peer-service.ts
@@ -22,7 +22,7 @@
 import type { GatewayLog } from './gateway-log.js'
 import type { LeavingExchange } from './intake/leaving-exchange.js'
 import type { LimitExchange } from './intake/limit-exchange.js'
-import type { HeardPeers } from './membership/heard-peers.js'
+import type { ActivePeers } from './membership/active-peers.js'
 import { PeerFetch } from './peer-fetch.js'
 
 /** Milliseconds. A configuration is fetched at once: it changes seldom, and in seconds it must be in force everywhere. */
@@ -40,7 +40,7 @@
   evacuations: EvacuationList
   limits: LimitExchange
   leaving: LeavingExchange
-  heardPeers: HeardPeers
+  activePeers: ActivePeers
   peers: Pick<PeerClients, 'configuration' | 'backends'>
   stageCoordinator: Preparer
   crashes: PeerExchange
@@ -90,7 +90,7 @@
   }
 
   heartbeat(heartbeat: Heartbeat): HeartbeatReply {
-    this.parts.heardPeers.note(heartbeat.name, performance.now())
+    this.parts.activePeers.note(heartbeat.name, performance.now())
     this.learn(heartbeat, heartbeat)
     return { ...this.heldFor(heartbeat), backendChanges: this.changesFor(heartbeat), ...this.parts.describeSelf() }
   }
--- a/packages/gateway/src/process/stages/shared-preparer.ts
+++ b/packages/gateway/src/process/stages/shared-preparer.ts
@@ -94,7 +94,7 @@
    */
   private async prepareInShards(request: PreparationRequest, signal: AbortSignal): Promise<Preparation> {
     const startedAt = performance.now()
-    await this.members.whenAcquainted()
+    await this.members.whenPeersDiscovered()
     const [preferred, other] = this.shards.order(request)
     const result = await this.prepareAtCoordinators(withTimeLeft(request, performance.now() - startedAt), preferred, signal)
     if (!other || result.isOk() || result.error.kind !== PreparationFailureKind.Overloaded)
--- a/test/gateway/members.test.ts
+++ b/test/gateway/members.test.ts
@@ -3,13 +3,13 @@
 import { afterEach, beforeEach, describe, expect, test, vi } from 'vitest'
 import { createLog } from './support/fakes.js'
 
-/** How a peer meets heartbeats: it answers, takes them without an answer, or refuses the connection. */
+/** How a peer handles heartbeats: replies, accepts them without a reply, refuses the connection, or replies late. */
 type PeerBehaviour = HeartbeatReply | 'silent' | 'refused' | 'late'
 
-/** Milliseconds until an answer is read that waits while this process stands still: longer than two of its ticks are apart then. */
+/** Delay of a reply that is read late by a paused process; longer than two of its ticks are apart. */
 const LATE_REPLY_MS = 320
 
-/** Peers whose answers a test decides. */
+/** Peers whose replies are set by the test. */
 class FakePeers {
   readonly replies = new Map<string, PeerBehaviour>()
   heartbeats = 0
@@ -42,7 +42,7 @@
   return { members, peers, versions }
 }
 
-/** Members that have known each other for a while; `gateway-a` coordinates if it answers. */
+/** Creates members that have exchanged heartbeats for a while; `gateway-a` coordinates if it answers. */
 async function createSettledMembers(replies: Record<string, PeerBehaviour> = BOTH_ALIVE, self = 'gateway-c', settledMs = 1500) {
   const created = createMembers(self)
   for (const [name, reply] of Object.entries(replies))
@@ -51,7 +51,7 @@
   return created
 }
 
-/** The coordinators that a change brings from now on. */
+/** Collects the names of the coordinators at each change from now on. */
 function collectCoordinators(members: Members): string[] {
   const names: string[] = []
   members.onShardChange(shard => names.push(members.coordinatorOf(shard).name))
@@ -64,18 +64,18 @@
 describe('the coordinator of the stage work', () => {
   test.each([
     ['the member announced first, if it answers', { 'gateway-a': ALIVE, 'gateway-b': ALIVE }, 'gateway-a'],
-    ['the next one, if the first is silent', { 'gateway-a': 'silent', 'gateway-b': ALIVE }, 'gateway-b'],
-    ['the next one, if the first refuses', { 'gateway-a': 'refused', 'gateway-b': ALIVE }, 'gateway-b'],
-    ['the next one, if the first is stopping', { 'gateway-a': { ...ALIVE, stopping: true }, 'gateway-b': ALIVE }, 'gateway-b'],
-    ['the next one, if the first is slow', { 'gateway-a': SLOW, 'gateway-b': ALIVE }, 'gateway-b'],
+    ['the next member, if the first is silent', { 'gateway-a': 'silent', 'gateway-b': ALIVE }, 'gateway-b'],
+    ['the next member, if the first refuses connections', { 'gateway-a': 'refused', 'gateway-b': ALIVE }, 'gateway-b'],
+    ['the next member, if the first is stopping', { 'gateway-a': { ...ALIVE, stopping: true }, 'gateway-b': ALIVE }, 'gateway-b'],
+    ['the next member, if the first is slow', { 'gateway-a': SLOW, 'gateway-b': ALIVE }, 'gateway-b'],
     ['this gateway, if all before it are slow', { 'gateway-a': SLOW, 'gateway-b': SLOW }, 'gateway-c'],
-    ['this gateway, if nobody before it answers', {}, 'gateway-c'],
+    ['this gateway, if no member before it answers', {}, 'gateway-c'],
   ] as const)('is %s', async (_name, replies, coordinator) => {
     const { members } = await createSettledMembers(replies)
     expect(members.coordinator.name).toBe(coordinator)
   })
 
-  test('stays when a single heartbeat of the coordinator gets no answer', async () => {
+  test('stays when the coordinator misses a single heartbeat', async () => {
     const { members, peers } = await createSettledMembers()
     const coordinators = collectCoordinators(members)
     peers.replies.set('gateway-a', 'silent')
@@ -85,34 +85,34 @@
     expect(coordinators).toEqual([])
   })
 
-  test('stays when this process itself stood still and got no answers', async () => {
+  test('stays when this process was paused and received no replies', async () => {
     const { members } = await createSettledMembers()
     const coordinators = collectCoordinators(members)
     const now = performance.now.bind(performance)
-    const standStill = vi.spyOn(performance, 'now').mockImplementation(() => now() + 5000)
+    const pause = vi.spyOn(performance, 'now').mockImplementation(() => now() + 5000)
     await vi.advanceTimersByTimeAsync(1500)
-    standStill.mockRestore()
+    pause.mockRestore()
     expect(coordinators).toEqual([])
   })
 
-  // Users saw stage work sent to two gateways while one was short of processor time. Its ticks came 285 ms
-  // apart and it read the answers to its heartbeats two ticks late; it added up its own pauses, each too
-  // short to count as one, to 0.6 s of silence of a coordinator that was well, and left it for 47 to 140 ms.
-  // Evidence: a soak of slowed gateways beside 36 busy processes, seed 5, one of six (`member-failed` of the
-  // coordinator by the slowed gateway alone, `member-recovered` 140 ms later).
-  test('stays when this process stands still again and again, for less than two heartbeats each, and reads answers late', async () => {
+  // Guards against two gateways coordinating while one is short of processor time. Its ticks came
+  // 285 ms apart, and it read heartbeat replies two ticks late. Its own pauses, each too short to
+  // count as one, added up to 0.6 s of apparent silence of a healthy coordinator, which it dropped
+  // for 47 to 140 ms. Seen with slowed gateways next to 36 busy processes, in one of six runs with
+  // seed 5.
+  test('stays when this process has repeated pauses of less than two heartbeat intervals and reads replies late', async () => {
     const { members, peers } = await createSettledMembers()
     const coordinators = collectCoordinators(members)
     const now = performance.now.bind(performance)
     const pausesBeganAt = now()
     peers.replies.set('gateway-a', 'late')
-    const standStill = vi.spyOn(performance, 'now').mockImplementation(() => pausesBeganAt + (now() - pausesBeganAt) * 1.9)
+    const pause = vi.spyOn(performance, 'now').mockImplementation(() => pausesBeganAt + (now() - pausesBeganAt) * 1.9)
     await vi.advanceTimersByTimeAsync(1500)
-    standStill.mockRestore()
+    pause.mockRestore()
     expect(coordinators).toEqual([])
   })
 
-  test('is the same for gateways that restarted together, though the directory lists their earlier processes', async () => {
+  test('is the same for gateways that restarted together, even if the directory lists their previous processes', async () => {
     const { members, peers } = createMembers('gateway-a')
     members.upsert({ name: 'gateway-a', address: 'gateway-a', announcementOrder: 10 })
     const coordinators = collectCoordinators(members)
@@ -123,12 +123,12 @@
     expect(coordinators).toEqual([])
   })
 
-  test('goes by the directory where a process does not know its place', async () => {
+  test('follows the directory if a peer does not report its announcement order', async () => {
     const { members } = await createSettledMembers({ 'gateway-a': { ...ALIVE, announcementOrder: undefined }, 'gateway-b': ALIVE })
     expect(members.coordinator.name).toBe('gateway-a')
   })
 
-  test('is known within a heartbeat of its being listed', async () => {
+  test('is known within a heartbeat of being listed', async () => {
     const { members, peers } = createMembers('gateway-z')
     await vi.advanceTimersByTimeAsync(1000)
     peers.replies.set('gateway-0', ALIVE)
@@ -137,7 +137,7 @@
     expect(members.coordinator.name).toBe('gateway-0')
   })
 
-  test('stays when a gateway that had failed restarts and is announced again', async () => {
+  test('stays when a failed gateway restarts and is announced again', async () => {
     const { members, peers } = await createSettledMembers({ 'gateway-b': ALIVE })
     peers.replies.set('gateway-a', ALIVE)
     members.upsert({ name: 'gateway-a', address: 'gateway-a', announcementOrder: 9 })
@@ -145,7 +145,7 @@
     expect(members.coordinator.name).toBe('gateway-b')
   })
 
-  test('passes on within half a second of the failure being noticed, and watches of the failed one abort', async () => {
+  test('changes within half a second of the detection of its failure, and watches of the failed member abort', async () => {
     const { members, peers } = await createSettledMembers(undefined, 'gateway-c', 1000)
     const failure = members.watchFailure(members.coordinator)
     peers.replies.set('gateway-a', 'silent')
@@ -154,7 +154,7 @@
     expect(failure.signal.aborted).toBe(true)
   })
 
-  test('passes from a gateway that stops to one that answers', async () => {
+  test('changes from a stopping gateway to one that answers', async () => {
     const { members } = await createSettledMembers({ 'gateway-b': ALIVE }, 'gateway-a', 500)
     expect(members.isCoordinator).toBe(true)
     members.markStopping(members.self)
@@ -162,8 +162,8 @@
     expect(members.coordinator.name).toBe('gateway-b')
   })
 
-  describe('when this process has it and is short of processor time', () => {
-    /** Makes every tick 60 ms late for a while. */
+  describe('when it is this process and short of processor time', () => {
+    /** Makes every tick 60 ms late for the given time. */
     async function beSlowFor(milliseconds: number): Promise<void> {
       const now = performance.now.bind(performance)
       const startedAt = now()
@@ -172,7 +172,7 @@
       slowed.mockRestore()
     }
 
-    test('passes within a second to one that answers, and does not come back when the process has recovered', async () => {
+    test('changes within a second to one that answers, and not back when the process has recovered', async () => {
       const { members } = await createSettledMembers({ 'gateway-b': ALIVE, 'gateway-c': ALIVE }, 'gateway-a', 500)
       const coordinators = collectCoordinators(members)
       await beSlowFor(1000)
@@ -181,13 +181,13 @@
       expect(coordinators).toEqual(['gateway-b'])
     })
 
-    test('passes over followers that are slow themselves', async () => {
+    test('is not a successor that is slow itself', async () => {
       const { members } = await createSettledMembers({ 'gateway-b': SLOW, 'gateway-c': ALIVE }, 'gateway-a', 500)
       await beSlowFor(1500)
       expect(members.coordinator.name).toBe('gateway-c')
     })
 
-    test('is the first in order, for all alike, where all are slow', async () => {
+    test('is the first member in rank order for every gateway, if all are slow', async () => {
       const first = await createSettledMembers({ 'gateway-b': SLOW, 'gateway-c': SLOW, 'gateway-d': SLOW }, 'gateway-a', 500)
       const last = await createSettledMembers({ 'gateway-a': SLOW, 'gateway-b': SLOW, 'gateway-c': SLOW }, 'gateway-d', 500)
       await beSlowFor(1500)
@@ -195,7 +195,7 @@
       expect(last.members.coordinator.name).toBe('gateway-a')
     })
 
-    test('passes on at once, since its follower is known before it is needed', async () => {
+    test('changes at once, because its successor is monitored before it is needed', async () => {
       const { members, peers } = await createSettledMembers({ 'gateway-b': ALIVE, 'gateway-c': ALIVE }, 'gateway-a', 1000)
       peers.replies.set('gateway-c', 'silent')
       const coordinators = collectCoordinators(members)
@@ -203,7 +203,7 @@
       expect(coordinators).toEqual(['gateway-b'])
     })
 
-    test('stays where nobody else answers', async () => {
+    test('stays if no other member answers', async () => {
       const { members } = await createSettledMembers({}, 'gateway-a', 500)
       await beSlowFor(1500)
       expect(members.isCoordinator).toBe(true)
@@ -219,7 +219,7 @@
     })
   })
 
-  test('costs heartbeats to the coordinator and the one that would follow it, however many there are', async () => {
+  test('needs heartbeats to the coordinator and its successor only, regardless of the number of members', async () => {
     const { members, peers } = createMembers('gateway-z')
     for (let index = 0; index < 20; index++)
       members.upsert({ name: `gateway-${index}`, address: `gateway-${index}`, announcementOrder: 10 + index })
@@ -234,14 +234,12 @@
   })
 
   /**
-   * What operators saw: after all gateways had lost power, those on small VMs
-   * were ready seconds later than the large ones.
-   * Order of events: each starts, lists all, has heard nobody, and asks each of
-   * the others at once, most of which do not listen yet.
-   * Cause: the search for two members that can coordinate counted those that
-   * were not asked yet as failed.
-   * Evidence: processor time of a start beside 67 peers that do not listen,
-   * most of it connections.
+   * Guards against a start-up in which a gateway opens connections to all peers
+   * at once. After a power loss of all gateways, those on small VMs became ready
+   * seconds later than large ones. The search for two members that can coordinate
+   * counted members that had not been probed yet as failed, so a gateway probed
+   * all of 67 peers, most of which were not listening yet; most of its processor
+   * time went to connections.
    */
   describe('of many gateways that start together', () => {
     function createMany(replies: (number: number) => PeerBehaviour) {
@@ -268,14 +266,14 @@
     test.each<[PeerBehaviour, number]>([
       ['refused', 1000],
       ['silent', 2500],
-    ])('is found behind 48 that are gone and %s', async (behaviour, withinMs) => {
+    ])('is found behind 48 members that are gone and %s', async (behaviour, withinMs) => {
       const { members } = createMany(number => number < 48 ? behaviour : ALIVE)
       await vi.advanceTimersByTimeAsync(withinMs)
       expect(members.coordinator.name).toBe('gateway-48')
     })
   })
 
-  test('passes on at once to a follower that was heard lately, never to one that was last heard long ago', async () => {
+  test('changes at once to a successor heard from recently, never to one last heard from long ago', async () => {
     const { members, peers } = await createSettledMembers(undefined, 'gateway-c', 1000)
     peers.replies.set('gateway-b', 'silent')
     await vi.advanceTimersByTimeAsync(2000)
@@ -283,15 +281,15 @@
     expect(members.coordinator.name).toBe('gateway-c')
   })
 
-  test('reports the configuration versions that peers hold', async () => {
+  test('reports the configuration versions of peers', async () => {
     const { versions } = await createSettledMembers({ 'gateway-a': { ...ALIVE, version: 7 } }, 'gateway-c', 500)
     expect(versions).toContain(7)
   })
 })
 
 describe('a deployment with small and large VMs', () => {
-  /** Gateways by their cores, announced in this order; all answer but those that refuse. */
-  async function createSized(cores: readonly (number | undefined)[], refused: readonly number[] = []) {
+  /** Creates gateways with the given cores, announced in this order. All answer except those in `refused`. */
+  async function createSizedMembers(cores: readonly (number | undefined)[], refused: readonly number[] = []) {
     const peers = new FakePeers()
     const members = new Members({ name: 'self', address: 'self', coreShare: 0.1 }, peers, createLog().log, () => {})
     cores.forEach((coreShare, number) => {
@@ -305,14 +303,14 @@
   }
 
   test.each([
-    ['the first large one', [0.24, 0.24, 0.67, 0.67], [], 'gateway-2'],
-    ['the next large one where that fails', [0.24, 0.24, 0.67, 0.67], [2], 'gateway-3'],
-    ['a small one where all large ones fail', [0.24, 0.24, 0.67, 0.67], [2, 3], 'gateway-0'],
-    ['the first of all where none is much larger', [0.4, 0.3, 0.6], [], 'gateway-0'],
+    ['the first large member', [0.24, 0.24, 0.67, 0.67], [], 'gateway-2'],
+    ['the next large member if the first has failed', [0.24, 0.24, 0.67, 0.67], [2], 'gateway-3'],
+    ['a small member if all large ones have failed', [0.24, 0.24, 0.67, 0.67], [2, 3], 'gateway-0'],
+    ['the first member if none is much larger', [0.4, 0.3, 0.6], [], 'gateway-0'],
     ['the first that is large enough, however large others are', [0.24, 0.6, 4], [], 'gateway-1'],
-    ['the first of all where one does not tell its cores', [undefined, 0.67], [], 'gateway-0'],
+    ['the first member if it does not report its cores', [undefined, 0.67], [], 'gateway-0'],
   ])('is coordinated by %s', async (_name, cores, refused, coordinator) => {
-    const members = await createSized(cores, refused)
+    const members = await createSizedMembers(cores, refused)
     expect(members.coordinator.name).toBe(coordinator)
   })
 })
@@ -322,7 +320,7 @@
   const SHARDS = [createShard(['domain-0']), createShard(['domain-1'])]
   const GATEWAYS = 44
 
-  test('are worked out once for all gateways that one read of the directory lists', async () => {
+  test('are determined once for all gateways listed by one read of the directory', async () => {
     const { log, lines } = createLog()
     const members = new Members({ name: 'gateway-0', address: 'gateway-0' }, new FakePeers(), log, () => {})
     for (let number = 0; number < 68; number++)
@@ -332,7 +330,7 @@
     expect(members.shards.length).toBeGreaterThan(1)
   })
 
-  /** Gateways in two failure domains in turn, of which all answer; this one is announced first. */
+  /** Creates gateways that alternate between two failure domains and all answer; this process is announced first. */
   async function createDivided() {
     const peers = new FakePeers()
     const members = new Members(SELF, peers, createLog().log, () => {})
@@ -357,7 +355,7 @@
     ['freezes', 'silent', 1500],
     ['is stopping', { ...ALIVE, stopping: true }, 500],
     ['is slow', SLOW, 500],
-  ] as const)('pass to the next one there when one %s, and the others stay', async (_name, reply, withinMs) => {
+  ] as const)('change to the next member of the shard when one %s, and the others stay', async (_name, reply, withinMs) => {
     const { peers, members, coordinators } = await createDivided()
     const changed: string[] = []
     members.onShardChange(shard => changed.push(shard.name))
@@ -367,7 +365,7 @@
     expect(changed).toEqual(['domain-1'])
   })
 
-  test('are that of all work where a failure domain has none that answers', async () => {
+  test('are the overall coordinator if no member of a failure domain answers', async () => {
     const { peers, coordinators } = await createDivided()
     for (let number = 1; number < GATEWAYS; number += 2)
       peers.replies.set(`gateway-${number}`, 'refused')
@@ -375,7 +373,7 @@
     expect(coordinators()).toEqual(['gateway-0', 'gateway-0'])
   })
 
-  test('stay while gateways are stopped and started in turn, and are one when many have gone for good', async () => {
+  test('stay during a rolling restart, and become one when many gateways have left for good', async () => {
     const { members } = await createDivided()
     for (let number = 8; number < GATEWAYS; number++)
       members.remove(`gateway-${number}`)
@@ -385,11 +383,12 @@
     expect(members.shards).toHaveLength(1)
   })
 
-  test('cost each gateway a few heartbeats, however many gateways there are', async () => {
+  test('need few heartbeats from each gateway, regardless of the number of gateways', async () => {
     const { peers } = await createDivided()
     const before = peers.heartbeats
     await vi.advanceTimersByTimeAsync(3000)
-    // Two a tick of 150 ms for the first of all, this process among them, and one each 300 ms for the shard beside it.
+    // Two at each tick of 150 ms for the overall candidates, which include this process, and one
+    // every 300 ms for the other shard.
     expect(peers.heartbeats - before).toBeLessThan(60)
   })
 })
