--- a/packages/gateway/src/process/crashes/crash-history.ts
+++ b/packages/gateway/src/process/crashes/crash-history.ts
@@ -1,61 +1,62 @@
 /**
- * All that this gateway knows of requests under which backend servers ended: its
- * own reports and those of others, merged. Merging takes reports in any order
- * and more than once. It owns this knowledge, bounded by number and age; where
- * it must give way, what fewer and older crashes speak for goes first.
+ * All that this gateway knows about requests that were running when backend
+ * servers crashed, merged from its own reports and those of others. Reports may
+ * arrive in any order and more than once. The history is bounded by size and age;
+ * fingerprints with the fewest crashes are evicted first, then the oldest.
  */
 import type { AnswerReport, CrashReport, CrashReports } from './crash-report.js'
-import type { CrashFacts } from './quarantine.js'
-import { countedCrashes, REMEMBER_MS } from './quarantine.js'
+import type { FingerprintHistory } from './quarantine.js'
+import { countedCrashes, CRASH_RETENTION_MS } from './quarantine.js'
 
 /**
- * Fingerprints. Each end of a backend server brings those of all that ran there
- * (64 at the largest engines): enough for the last 64 of them. About 0.5 KB each.
+ * Each crash reports the fingerprints of all requests on the backend server (up
+ * to 64 on the largest engines), so this is enough for the last 64 crashes. About
+ * 0.5 KB each.
  */
 const MAX_FINGERPRINTS = 4096
-/** Fingerprints that stay where there are too many: what goes is chosen for many at once. */
-const KEPT_FINGERPRINTS = MAX_FINGERPRINTS * 7 / 8
-/** Ends of backend servers that are kept of one fingerprint, the newest: more than a refusal needs. */
-const MAX_CRASHES_EACH = 8
-/** Milliseconds between two looks for what is too old; a part of the time for which it counts. */
-const EXPIRY_PAUSE_MS = 10_000
-
-/** What is known of one fingerprint. */
+/** Lower than the limit, so that eviction handles many fingerprints at once. */
+const FINGERPRINTS_AFTER_EVICTION = MAX_FINGERPRINTS * 7 / 8
+/** The newest crashes are kept; more than a quarantine needs. */
+const MAX_CRASHES_PER_FINGERPRINT = 8
+/** Interval of the checks for expired entries; a fraction of the retention time. */
+const EXPIRY_INTERVAL_MS = 10_000
+
+/** What is known about one fingerprint. */
 interface Entry {
-  /** By the life of the backend server that ended. */
+  /** Keyed by the incarnation of the backend server (`Backend.life`). */
   crashes: Map<string, CrashReport>
   answeredAt?: number
 }
 
-/** Merges reports and answers what is known of a fingerprint. */
+/** Merges reports and answers queries by fingerprint. */
 export class CrashHistory {
   private readonly entries = new Map<string, Entry>()
-  private expiredAt = 0
+  private lastExpiryAt = 0
 
   constructor(private readonly now: () => number = Date.now) {}
 
-  /** What is known of a fingerprint. */
-  factsOf(fingerprint: string): CrashFacts {
+  /** Crashes and the last answer of a fingerprint. */
+  historyOf(fingerprint: string): FingerprintHistory {
     const entry = this.entries.get(fingerprint)
     return { crashes: [...entry?.crashes.values() ?? []], answeredAt: entry?.answeredAt }
   }
 
-  /** Whether an end of a backend server is kept here. */
-  knows({ fingerprint, backend }: CrashReport): boolean {
+  /** Whether a crash report is kept. */
+  hasCrash({ fingerprint, backend }: CrashReport): boolean {
     return this.entries.get(fingerprint)?.crashes.has(backend) ?? false
   }
 
-  /** Whether anything is known of a fingerprint. */
+  /** Whether anything is known about a fingerprint. */
   has(fingerprint: string): boolean {
     return this.entries.has(fingerprint)
   }
 
-  /** Fingerprints of which something is known. */
+  /** All known fingerprints. */
   get fingerprints(): string[] {
     return [...this.entries.keys()]
   }
 
-  /** Everything that is known, as reports. */
+  /** The whole history as reports. */
   get all(): CrashReports {
     const entries = [...this.entries]
     return {
@@ -64,42 +65,42 @@
     }
   }
 
-  /** Those of some reports that are not known here and not too old. */
-  newsIn({ crashes, answers }: CrashReports): CrashReports {
+  /** Selects the reports that are neither known nor expired. */
+  selectNew({ crashes, answers }: CrashReports): CrashReports {
     return {
-      crashes: crashes.filter(crash => this.isNews(crash)),
+      crashes: crashes.filter(crash => this.isNew(crash)),
       answers: answers.filter(({ fingerprint, at }) => !this.isExpired(at) && at > (this.entries.get(fingerprint)?.answeredAt ?? 0)),
     }
   }
 
-  /** Takes reports. */
+  /** Adds reports to the history. */
   merge({ crashes, answers }: CrashReports): void {
     for (const crash of crashes)
-      this.takeCrash(crash)
+      this.addCrash(crash)
     for (const answer of answers)
-      this.takeAnswer(answer)
-    this.forgetExpired()
+      this.addAnswer(answer)
+    this.evictExpired()
     if (this.entries.size > MAX_FINGERPRINTS)
-      this.forgetLeast()
+      this.evictLowestRanked()
   }
 
-  private isNews(crash: CrashReport): boolean {
+  private isNew(crash: CrashReport): boolean {
     if (this.isExpired(crash.at))
       return false
     const known = this.entries.get(crash.fingerprint)?.crashes
     if (!known)
       return true
-    return !known.has(crash.backend) && (known.size < MAX_CRASHES_EACH || crash.at > oldestOf(known).at)
+    return !known.has(crash.backend) && (known.size < MAX_CRASHES_PER_FINGERPRINT || crash.at > findOldest(known).at)
   }
 
-  private takeCrash(crash: CrashReport): void {
+  private addCrash(crash: CrashReport): void {
     const { crashes } = this.entryOf(crash.fingerprint)
     crashes.set(crash.backend, crash)
-    if (crashes.size > MAX_CRASHES_EACH)
-      crashes.delete(oldestOf(crashes).backend)
+    if (crashes.size > MAX_CRASHES_PER_FINGERPRINT)
+      crashes.delete(findOldest(crashes).backend)
   }
 
-  private takeAnswer({ fingerprint, at }: AnswerReport): void {
+  private addAnswer({ fingerprint, at }: AnswerReport): void {
     const entry = this.entryOf(fingerprint)
     entry.answeredAt = Math.max(at, entry.answeredAt ?? 0)
   }
@@ -113,36 +114,36 @@
     return created
   }
 
-  private forgetExpired(): void {
-    if (this.now() - this.expiredAt < EXPIRY_PAUSE_MS)
+  private evictExpired(): void {
+    if (this.now() - this.lastExpiryAt < EXPIRY_INTERVAL_MS)
       return
-    this.expiredAt = this.now()
+    this.lastExpiryAt = this.now()
     for (const [fingerprint, entry] of this.entries) {
-      if (this.isExpired(newestOf(entry)))
+      if (this.isExpired(lastChangeAt(entry)))
         this.entries.delete(fingerprint)
     }
   }
 
-  /** Drops what fewer crashes speak for first, then the oldest. */
-  private forgetLeast(): void {
+  /** Evicts the fingerprints with the fewest counted crashes, then the oldest. */
+  private evictLowestRanked(): void {
     const now = this.now()
-    const weighed = [...this.entries].map(([fingerprint, entry]) =>
-      ({ fingerprint, crashes: countedCrashes(this.factsOf(fingerprint), now).length, newestAt: newestOf(entry) }))
-    weighed.sort((a, b) => a.crashes - b.crashes || a.newestAt - b.newestAt)
-    for (const { fingerprint } of weighed.slice(0, weighed.length - KEPT_FINGERPRINTS))
+    const ranked = [...this.entries].map(([fingerprint, entry]) =>
+      ({ fingerprint, crashes: countedCrashes(this.historyOf(fingerprint), now).length, newestAt: lastChangeAt(entry) }))
+    ranked.sort((a, b) => a.crashes - b.crashes || a.newestAt - b.newestAt)
+    for (const { fingerprint } of ranked.slice(0, ranked.length - FINGERPRINTS_AFTER_EVICTION))
       this.entries.delete(fingerprint)
   }
 
   private isExpired(at: number): boolean {
-    return this.now() - at >= REMEMBER_MS
+    return this.now() - at >= CRASH_RETENTION_MS
   }
 }
 
-function oldestOf(crashes: ReadonlyMap<string, CrashReport>): CrashReport {
+function findOldest(crashes: ReadonlyMap<string, CrashReport>): CrashReport {
   return [...crashes.values()].reduce((oldest, crash) => crash.at < oldest.at ? crash : oldest)
 }
 
-/** When something was learned last of a fingerprint, in epoch milliseconds. */
-function newestOf({ crashes, answeredAt = 0 }: Entry): number {
+/** Time of the newest report of a fingerprint, in epoch milliseconds. */
+function lastChangeAt({ crashes, answeredAt = 0 }: Entry): number {
   return Math.max(answeredAt, ...[...crashes.values()].map(({ at }) => at))
 }
--- a/packages/gateway/src/process/crashes/crash-report.ts
+++ b/packages/gateway/src/process/crashes/crash-report.ts
@@ -1,37 +1,35 @@
 /**
- * What gateways tell each other of requests and the ends of backend servers.
- * Times are milliseconds since the epoch: reports outlive processes, and no
- * steady clock means anything to another VM or counts the time for which a VM
- * was suspended. VMs' clocks differ by less than the spans that are compared
- * with them (minutes).
+ * Reports that gateways exchange about requests and backend server crashes. Times
+ * are epoch milliseconds, because reports outlive processes, and a monotonic
+ * clock is neither comparable between VMs nor counts time in suspension. The
+ * clock skew between VMs is small compared with the time spans involved
+ * (minutes).
  */
 
-/** A backend server ended while a request ran there. */
+/** A backend server crashed while running a request. */
 export interface CrashReport {
   fingerprint: string
-  /** The one life of the backend server that ended (`Backend.life`). */
+  /** The incarnation of the backend server that crashed (`Backend.life`). */
   backend: string
   at: number
-  /** Name of the gateway that saw it. */
+  /** Name of the gateway that observed the crash. */
   gateway: string
 }
 
-/** A request was answered by a backend server, though some had ended under it. */
+/** A request was answered by a backend server, after others had crashed while running it. */
 export interface AnswerReport {
   fingerprint: string
   at: number
 }
 
-/** Reports in no order. */
+/** Reports in no particular order. */
 export interface CrashReports {
   crashes: readonly CrashReport[]
   answers: readonly AnswerReport[]
 }
 
-/** Nothing to report. */
 export const NO_REPORTS: CrashReports = { crashes: [], answers: [] }
 
-/** Whether there is nothing to report. */
 export function isEmptyReport({ crashes, answers }: CrashReports): boolean {
   return crashes.length === 0 && answers.length === 0
 }
--- /dev/null
+++ b/packages/gateway/src/process/crashes/crash-tracker.ts
@@ -0,0 +1,242 @@
+/**
+ * Tracks which requests crash backend servers, across all gateways. A request may
+ * be retried at any gateway, and each crash may be seen by a different one. Every
+ * gateway therefore reports the crashes that it sees to the platform's ledger,
+ * where the others read them and where they survive the loss of all gateways.
+ * Heartbeats carry the reports as well, for when the store does not answer.
+ *
+ * Owns this gateway's reports and the merged history, in memory. A process that
+ * starts reads all reports first, including those of its predecessor.
+ */
+import type { EventLog } from '@eidermast/common'
+import type { Backend } from '../../connection/backends/backend.js'
+import type { CrashWatch } from '../../request/crash-watch.js'
+import type { CrashLedger, CrashSink } from '../platform-adapter.js'
+import type { BackendCrash } from './crash-detector.js'
+import type { AnswerReport, CrashReport, CrashReports } from './crash-report.js'
+import { wait } from '@eidermast/common'
+import { announcePauseMs } from '../retry-pause.js'
+import { CrashExchange } from './crash-exchange.js'
+import { CrashHistory } from './crash-history.js'
+import { CrashLog } from './crash-log.js'
+import { isEmptyReport, NO_REPORTS } from './crash-report.js'
+import { countedCrashes, isClearedByAnswer, isQuarantined } from './quarantine.js'
+import { RecentAnswers } from './recent-answers.js'
+
+/**
+ * Minimum interval between two writes of this gateway. Reports in between are
+ * written together, so that a gateway writes at most twice a second, however many
+ * crashes there are.
+ */
+const WRITE_INTERVAL_MS = 500
+/** Crash reports in this gateway's record, about 100 bytes each. The store accepts records of up to 256 KB. */
+const MAX_OWN_CRASH_REPORTS = 512
+
+/** What the tracker works with. */
+export interface CrashTrackerDependencies {
+  /** Name of this gateway. */
+  name: string
+  ledger: Pick<CrashLedger, 'publish'>
+  log: EventLog
+  /** Determines whether the backend server of a broken call crashed. */
+  detector: Pick<CrashWatch, 'noteBroken'>
+  /**
+   * Whether this gateway restores reports of other gateways that the ledger has
+   * lost. One gateway does, since reports of gateways that are gone would
+   * otherwise stay lost.
+   */
+  restoresOthers: () => boolean
+  /** Current time in epoch milliseconds. @default Date.now */
+  now?: () => number
+}
+
+/** Collects and shares crash reports, and decides which requests are refused. */
+export class CrashTracker implements CrashWatch, CrashSink {
+  private readonly history: CrashHistory
+  private readonly answers = new RecentAnswers()
+  /** Exchanges reports with peers. */
+  readonly crashExchange: CrashExchange
+  private readonly log: CrashLog
+  private readonly now: () => number
+  /** This gateway's record in the ledger. */
+  private ownReports: CrashReports = NO_REPORTS
+  /** Whether the ledger has been read, so that writing does not discard the predecessor's reports. */
+  private isLedgerRead = false
+  private isWriting = false
+  /** Whether the ledger lacks the newest state of this gateway's record. */
+  private hasUnwrittenChanges = false
+
+  constructor(private readonly deps: CrashTrackerDependencies) {
+    this.now = deps.now ?? Date.now
+    this.history = new CrashHistory(this.now)
+    this.log = new CrashLog(deps.log)
+    this.crashExchange = new CrashExchange(reports => void this.mergeReports(reports), this.now())
+  }
+
+  /** Number of fingerprints whose requests are refused. */
+  get quarantined(): number {
+    return this.history.fingerprints.filter(fingerprint => this.isRefused(fingerprint)).length
+  }
+
+  noteBroken(backend: Backend, fingerprint: string): Promise<void> {
+    return this.deps.detector.noteBroken(backend, fingerprint)
+  }
+
+  noteAnswered(fingerprint: string): void {
+    const at = this.now()
+    this.answers.note(fingerprint, at)
+    // One answer clears all earlier crashes; further answers need no report.
+    if (this.history.has(fingerprint) && countedCrashes(this.history.historyOf(fingerprint), at).length > 0)
+      this.recordReports({ crashes: [], answers: [{ fingerprint, at }] })
+  }
+
+  crashCount(fingerprint: string): number {
+    return this.history.has(fingerprint) ? countedCrashes(this.history.historyOf(fingerprint), this.now()).length : 0
+  }
+
+  refusal(fingerprint: string): string | undefined {
+    if (!this.history.has(fingerprint))
+      return undefined
+    const now = this.now()
+    const history = this.history.historyOf(fingerprint)
+    return isQuarantined(history, now) ? this.log.describe(countedCrashes(history, now), now) : undefined
+  }
+
+  /** Records a crash of a backend server with requests in flight. */
+  noteCrash({ backend, fingerprints }: BackendCrash): void {
+    const at = this.now()
+    this.recordReports({ crashes: fingerprints.map(fingerprint => ({ fingerprint, backend: backend.life, at, gateway: this.deps.name })), answers: [] })
+  }
+
+  replaceAll(byOwner: ReadonlyMap<string, CrashReports>): void {
+    for (const [owner, reports] of byOwner)
+      this.takeReports(owner, reports)
+    this.isLedgerRead = true
+    this.restoreLostReports([...byOwner.values()])
+    void this.write()
+  }
+
+  takeReports(owner: string, reports: CrashReports): void {
+    const added = this.mergeReports(reports)
+    if (owner === this.deps.name)
+      this.addToOwnReports(added)
+  }
+
+  /** Records this gateway's own observations, if new. */
+  private recordReports(reports: CrashReports): void {
+    const news = this.mergeReports(reports)
+    if (isEmptyReport(news))
+      return
+    this.addToOwnReports(news)
+    this.hasUnwrittenChanges = true
+    void this.write()
+  }
+
+  /**
+   * Adds to this gateway's record what the ledger has lost: its own reports, or
+   * all known ones if this gateway restores those of others.
+   */
+  private restoreLostReports(records: readonly CrashReports[]): void {
+    const stored = new Set(records.flatMap(({ crashes, answers }) => [...crashes, ...answers]).map(reportKey))
+    const expected = this.deps.restoresOthers() ? this.history.all : this.ownReports
+    const lost = {
+      crashes: expected.crashes.filter(crash => !stored.has(reportKey(crash))),
+      answers: expected.answers.filter(answer => !stored.has(reportKey(answer))),
+    }
+    if (isEmptyReport(lost))
+      return
+    this.log.reportsRestored(lost.crashes.length, lost.answers.length)
+    this.addToOwnReports(lost)
+    this.hasUnwrittenChanges = true
+  }
+
+  /**
+   * Merges reports into the history, and logs the quarantine changes that follow.
+   * Returns the reports that were new.
+   */
+  private mergeReports(reports: CrashReports): CrashReports {
+    const added = this.history.selectNew(reports)
+    if (isEmptyReport(added))
+      return added
+    const fingerprints = new Set([...added.crashes, ...added.answers].map(({ fingerprint }) => fingerprint))
+    const previouslyRefused = new Set([...fingerprints].filter(fingerprint => this.isRefused(fingerprint)))
+    this.history.merge(added)
+    this.crashExchange.note(added)
+    this.reportRecentAnswers(added.crashes)
+    for (const fingerprint of fingerprints) {
+      if (this.isRefused(fingerprint) !== previouslyRefused.has(fingerprint))
+        this.log.quarantineChanged(fingerprint, this.refusal(fingerprint))
+    }
+    return added
+  }
+
+  /**
+   * Reports requests that were answered here recently although a backend server
+   * crashed while running them: they are not the cause.
+   */
+  private reportRecentAnswers(crashes: readonly CrashReport[]): void {
+    const answers = crashes.flatMap((crash): AnswerReport[] => {
+      const answeredAt = this.answers.at(crash.fingerprint)
+      const isCleared = answeredAt !== undefined && isClearedByAnswer(crash, answeredAt)
+      return isCleared ? [{ fingerprint: crash.fingerprint, at: answeredAt }] : []
+    })
+    if (answers.length > 0)
+      this.recordReports({ crashes: [], answers })
+  }
+
+  private isRefused(fingerprint: string): boolean {
+    return isQuarantined(this.history.historyOf(fingerprint), this.now())
+  }
+
+  /** Adds reports to this gateway's record, except those that the history has evicted. */
+  private addToOwnReports(reports: CrashReports): void {
+    const crashes = [...this.ownReports.crashes, ...reports.crashes].filter(crash => this.history.hasCrash(crash))
+    const answers = [...this.ownReports.answers, ...reports.answers].filter(({ fingerprint }) => this.history.has(fingerprint))
+    this.ownReports = {
+      crashes: this.limitToRecordSize([...new Map(crashes.map(crash => [reportKey(crash), crash])).values()]),
+      answers: [...new Map(answers.map(answer => [answer.fingerprint, answer])).values()],
+    }
+  }
+
+  /**
+   * Keeps as many reports as fit into a record, preferring fingerprints with the
+   * most crashes, then the newest reports.
+   */
+  private limitToRecordSize(crashes: CrashReport[]): CrashReport[] {
+    if (crashes.length <= MAX_OWN_CRASH_REPORTS)
+      return crashes
+    const now = this.now()
+    const counts = new Map(crashes.map(({ fingerprint }) => [fingerprint, countedCrashes(this.history.historyOf(fingerprint), now).length]))
+    return crashes
+      .toSorted((a, b) => counts.get(b.fingerprint)! - counts.get(a.fingerprint)! || b.at - a.at)
+      .slice(0, MAX_OWN_CRASH_REPORTS)
+  }
+
+  /** Writes this gateway's record until the ledger has its newest state. */
+  private async write(): Promise<void> {
+    if (this.isWriting || !this.isLedgerRead)
+      return
+    this.isWriting = true
+    while (this.hasUnwrittenChanges)
+      await this.writeOnce()
+    this.isWriting = false
+  }
+
+  private async writeOnce(): Promise<void> {
+    this.hasUnwrittenChanges = false
+    try {
+      await this.deps.ledger.publish(this.deps.name, this.ownReports)
+      await wait(WRITE_INTERVAL_MS)
+    }
+    catch (error) {
+      this.hasUnwrittenChanges = true
+      this.log.writeFailed(error)
+      await wait(announcePauseMs())
+    }
+  }
+}
+
+/** Returns a key that identifies a report. */
+function reportKey(report: CrashReport | AnswerReport): string {
+  return 'backend' in report ? `${report.fingerprint} ${report.backend}` : `${report.fingerprint} ${report.at}`
+}
--- a/packages/gateway/src/process/crashes/recent-answers.ts
+++ b/packages/gateway/src/process/crashes/recent-answers.ts
@@ -1,16 +1,16 @@
 /**
- * Which requests backend servers answered lately, by fingerprint. Those that
- * others share are known here not to end backend servers before one ends under
- * them. It owns the newest answers, bounded by number; they are lost with the
- * process.
+ * Tracks which requests backend servers answered recently, by fingerprint. If a
+ * backend server crashes while running a request whose fingerprint was just
+ * answered, the request is known not to be the cause. Keeps a bounded number of
+ * the newest answers, in memory.
  */
 
-/** Fingerprints, some 100 bytes each: 40 seconds of the requests of a busy gateway (100 a second). */
+/** About 100 bytes each; 40 s of requests at a busy gateway (100 a second). */
 const MAX_ANSWERS = 4096
 
-/** Remembers when requests were answered. */
+/** Records when requests were answered. */
 export class RecentAnswers {
-  /** Epoch milliseconds by fingerprint, the oldest first. */
+  /** Epoch milliseconds by fingerprint, oldest first. */
   private readonly answeredAt = new Map<string, number>()
 
   note(fingerprint: string, at: number): void {
@@ -22,7 +22,7 @@
     this.answeredAt.delete(oldest)
   }
 
-  /** When such a request was answered last, in epoch milliseconds; undefined where none is remembered. */
+  /** When such a request was last answered, in epoch milliseconds; undefined if unknown. */
   at(fingerprint: string): number | undefined {
     return this.answeredAt.get(fingerprint)
   }
--- a/packages/gateway/src/process/gateway-metrics.ts
+++ b/packages/gateway/src/process/gateway-metrics.ts
@@ -6,7 +6,7 @@
 import type { ClientServer } from '../connection/clients/client-server.js'
 import type { ConfigurationHolder } from '../version/configuration-holder.js'
 import type { BackendRegistry } from './backend-registry.js'
-import type { CrashBoard } from './crashes/crash-board.js'
+import type { CrashTracker } from './crashes/crash-tracker.js'
 import type { EvacuationList } from './evacuation/evacuation-list.js'
 import type { Members } from './membership/members.js'
 import { Counter, Gauge, Histogram, Registry } from 'prom-client'
@@ -22,7 +22,7 @@
   configuration: ConfigurationHolder
   registry: BackendRegistry
   members: Members
-  crashBoard: CrashBoard
+  crashTracker: CrashTracker
   evacuations: EvacuationList
 }
 
@@ -97,7 +97,7 @@
   }
 
   /** Serves values that are read when they are asked for. */
-  addGauges({ clients, configuration, registry, members, crashBoard, evacuations }: GaugeSources): void {
+  addGauges({ clients, configuration, registry, members, crashTracker, evacuations }: GaugeSources): void {
     this.addGauge('eidermast_gateway_active_requests', 'Requests without an answer yet', () => clients.activeRequests)
     this.addGauge('eidermast_gateway_configuration_version', 'Configuration version in force', () => configuration.version)
     this.addGauge('eidermast_gateway_replicas', 'Backend servers known', () => registry.size)
@@ -109,7 +109,7 @@
     this.addGauge('eidermast_gateway_evacuated_domains', 'Failure domains whose backend servers get no work', () => evacuations.evacuated.size)
     this.addGauge('eidermast_gateway_evacuated_calls', 'Calls under way at backend servers of evacuated failure domains', () => registry.callsInEvacuated)
     this.addGauge('eidermast_gateway_members', 'Gateways known, this one included', () => members.count)
-    this.addGauge('eidermast_gateway_quarantined', 'Requests, by fingerprint, that are refused since they end backend servers', () => crashBoard.quarantined)
+    this.addGauge('eidermast_gateway_quarantined', 'Requests, by fingerprint, that are refused since they end backend servers', () => crashTracker.quarantined)
     this.addGauge('eidermast_gateway_owns_stages', 'Shards of the stage work that this gateway coordinates', () => members.coordinatedShardCount)
   }
 
--- a/packages/gateway/src/process/gateway.ts
+++ b/packages/gateway/src/process/gateway.ts
@@ -34,8 +34,8 @@
 import { CallReports } from './call-reports.js'
 import { CommonLimits } from './common-limits.js'
 import { CoordinatorReads } from './coordinator-reads.js'
-import { CrashBoard } from './crashes/crash-board.js'
-import { CrashWitness } from './crashes/crash-witness.js'
+import { CrashDetector } from './crashes/crash-detector.js'
+import { CrashTracker } from './crashes/crash-tracker.js'
 import { drainClients } from './drain/drain-clients.js'
 import { latestEndMs } from './drain/drain-plan.js'
 import { EvacuationList } from './evacuation/evacuation-list.js'
@@ -61,7 +61,7 @@
   readonly backendList: BackendList
   readonly evacuations: EvacuationList
   readonly members: Members
-  readonly crashBoard: CrashBoard
+  readonly crashTracker: CrashTracker
   readonly clients: ClientServer
   private readonly self: Member
   private readonly gatewayLog: GatewayLog
@@ -88,7 +88,7 @@
     this.registry = new BackendRegistry(log, service => this.configuration.table?.findService(service)?.coldStartMs ?? 0)
     this.backendList = new BackendList(this.registry, log)
     this.evacuations = new EvacuationList(this.gatewayLog, evacuated => this.registry.setEvacuated(evacuated))
-    this.crashBoard = this.createCrashBoard()
+    this.crashTracker = this.createCrashTracker()
     this.members = this.createMembers()
     this.commonLimits = this.createCommonLimits()
     const limitTurns = new LimitTurns(backend => this.commonLimits.ofLimit(backend))
@@ -160,17 +160,17 @@
     return { stopping: this.stopping, slow: isSelfSlow, announcementOrder: selfOrder, sourceAway: this.backendList.isSourceAway || undefined }
   }
 
-  private createCrashBoard(): CrashBoard {
+  private createCrashTracker(): CrashTracker {
     const { gatewayLog, platform, log, self: { name } } = this
-    const witness = new CrashWitness({
+    const detector = new CrashDetector({
       checkPresence: checkByConnection,
       log: gatewayLog,
       onCrash: (crash) => {
         this.metrics.countCrash(crash.backend.service)
-        this.crashBoard.noteCrash(crash)
+        this.crashTracker.noteCrash(crash)
       },
     })
-    return new CrashBoard({ name, ledger: platform.crashLedger, log, witness, restoresOthers: () => !this.members.isTold })
+    return new CrashTracker({ name, ledger: platform.crashLedger, log, detector, restoresOthers: () => !this.members.isTold })
   }
 
   private createCommonLimits(): CommonLimits {
@@ -203,7 +203,7 @@
     const client = this.platform.stageClient(this.connections)
     const retryBudget = new RetryBudget({ ...this.retryAllowance(), ratio: 0 }, () => countSharingGateways(this.members.shards.length))
     const coldPace = new ColdPace(this.self.name, service => this.commonLimits.coordinatedColdRate(service))
-    return new StageCoordinators({ registry: this.registry, client, retryBudget, crashes: this.crashBoard, coldPace, intake: this.intakes, log: this.log })
+    return new StageCoordinators({ registry: this.registry, client, retryBudget, crashes: this.crashTracker, coldPace, intake: this.intakes, log: this.log })
   }
 
   private createBackendRunner(): BackendRunner {
@@ -216,7 +216,7 @@
       plainChoice: new LeastLoadChoice(ejection),
       engineChoice: new PrefixAwareChoice(ejection),
       budget: new RetryBudget(this.retryAllowance(), () => this.commonLimits.sharingGateways()),
-      crashes: this.crashBoard,
+      crashes: this.crashTracker,
       coldPace: new ColdPace(this.self.name, service => this.commonLimits.ownColdRate(service)),
       intake: this.intakes,
       log: this.log,
@@ -229,7 +229,7 @@
       configuration: this.configuration,
       preparer: new SharedPreparer(this.members, this.stageCoordinators, this.peers, this.log, new ShardsByPrompt(this.members, this.registry)),
       runner: this.createBackendRunner(),
-      crashes: this.crashBoard,
+      crashes: this.crashTracker,
       metrics: this.metrics,
       log: this.log,
     })
@@ -246,7 +246,7 @@
       activePeers: this.activePeers,
       peers: this.peers,
       stageCoordinator: this.stageCoordinators,
-      crashes: this.crashBoard.peerExchange,
+      crashes: this.crashTracker.crashExchange,
       describeSelf: () => this.describeSelf(),
       log: this.gatewayLog,
     })
@@ -274,7 +274,7 @@
     void operatorSource.follow(operatorSink, this.members, signal)
     void backendSource.follow(this.backendList, this.members, signal)
     void memberDirectory.follow(this.members, signal)
-    void crashLedger.follow(this.crashBoard, this.members, signal)
+    void crashLedger.follow(this.crashTracker, this.members, signal)
     void memberDirectory.announce(this.self, signal)
   }
 
--- a/packages/gateway/src/process/peer-service.ts
+++ b/packages/gateway/src/process/peer-service.ts
@@ -1,7 +1,7 @@
 /**
  * What this gateway and its peers exchange: it answers their heartbeats, gives
  * them its configuration and its list of backend servers, exchanges crashes
- * (`crashes/peer-exchange.ts`), and does their stage
+ * (`crashes/crash-exchange.ts`), and does their stage
  * work while it coordinates. Each heartbeat and its answer tell the versions
  * held, the orders about failure domains, and which backend servers leave or
  * changed their limit; an answer also the changes of the list that the sender lacks. What a peer
@@ -17,7 +17,7 @@
 import type { PreparationFailure, PreparationRequest, PreparedInputs, Preparer } from '../connection/peers/preparation.js'
 import type { ConfigurationHolder, ConfigurationRecord } from '../version/configuration-holder.js'
 import type { BackendList } from './backend-list.js'
-import type { PeerExchange } from './crashes/peer-exchange.js'
+import type { CrashExchange } from './crashes/crash-exchange.js'
 import type { EvacuationList } from './evacuation/evacuation-list.js'
 import type { GatewayLog } from './gateway-log.js'
 import type { LeavingExchange } from './intake/leaving-exchange.js'
@@ -43,7 +43,7 @@
   activePeers: ActivePeers
   peers: Pick<PeerClients, 'configuration' | 'backends'>
   stageCoordinator: Preparer
-  crashes: PeerExchange
+  crashes: CrashExchange
   /** What this process tells of itself in answer to a heartbeat, without what it holds. */
   describeSelf: () => SelfDescription
   log: GatewayLog
@@ -116,7 +116,7 @@
   learn({ name, address }: Member, { version, backends, backendChanges, crashes, evacuations, limits, leaving }: HeldState): void {
     const member = { name, address }
     if (crashes !== undefined)
-      this.parts.crashes.take(address, crashes)
+      this.parts.crashes.receive(address, crashes)
     // Before the configuration is fetched: a gateway that starts must know them when it serves.
     this.parts.evacuations.adopt(evacuations ?? [], name)
     if (backends !== undefined && backendChanges)
--- a/test/gateway/peer-exchange.test.ts
+++ b/test/gateway/crash-exchange.test.ts
@@ -1,15 +1,15 @@
 import type { CrashReports } from '@eidermast/gateway'
-import { PeerExchange } from '@eidermast/gateway'
+import { CrashExchange } from '@eidermast/gateway'
 import * as fc from 'fast-check'
 import { describe, expect, test } from 'vitest'
 
-/** A gateway that tells what it learns, as the board does. */
+/** A gateway that passes on the reports that it learns of, as the crash tracker does. */
 class Gateway {
   readonly known = new Set<string>()
-  exchange: PeerExchange
+  exchange: CrashExchange
 
-  constructor(readonly address: string, firstNumber = 1) {
-    this.exchange = this.createExchange(firstNumber)
+  constructor(readonly address: string, initialSequence = 1) {
+    this.exchange = this.createExchange(initialSequence)
   }
 
   learn({ crashes }: CrashReports): void {
@@ -23,84 +23,84 @@
     this.learn({ crashes: [{ fingerprint: 'f', backend, at: 1, gateway: this.address }], answers: [] })
   }
 
-  restart(firstNumber: number): void {
+  restart(initialSequence: number): void {
     this.known.clear()
-    this.exchange = this.createExchange(firstNumber)
+    this.exchange = this.createExchange(initialSequence)
   }
 
-  private createExchange(firstNumber: number): PeerExchange {
-    return new PeerExchange(reports => this.learn(reports), firstNumber)
+  private createExchange(initialSequence: number): CrashExchange {
+    return new CrashExchange(reports => this.learn(reports), initialSequence)
   }
 }
 
-/** One heartbeat and its answer; either may be lost. */
-function beat(from: Gateway, to: Gateway, lost?: 'heartbeat' | 'answer'): number {
-  const heartbeat = overTheWire(from.exchange.messageFor(to.address))
+/** Exchanges one heartbeat and its reply, either of which may be lost. Returns the size of both. */
+function exchangeHeartbeat(from: Gateway, to: Gateway, lost?: 'heartbeat' | 'answer'): number {
+  const heartbeat = throughJson(from.exchange.messageFor(to.address))
   if (lost === 'heartbeat')
     return 0
   if (heartbeat !== undefined)
-    to.exchange.take(from.address, heartbeat)
-  const answer = overTheWire(to.exchange.messageFor(from.address))
+    to.exchange.receive(from.address, heartbeat)
+  const answer = throughJson(to.exchange.messageFor(from.address))
   if (lost !== 'answer' && answer !== undefined)
-    from.exchange.take(to.address, answer)
+    from.exchange.receive(to.address, answer)
   return JSON.stringify([heartbeat, answer]).length
 }
 
-function overTheWire(message: unknown): unknown {
+function throughJson(message: unknown): unknown {
   return message === undefined ? undefined : JSON.parse(JSON.stringify(message))
 }
 
 describe('gateways that exchange heartbeats', () => {
-  test('say nothing of crashes while there are none', () => {
+  test('do not mention crashes while there are none', () => {
     expect(new Gateway('a').exchange.messageFor('b')).toBeUndefined()
   })
 
-  test('tell each report once', () => {
+  test('send each report once', () => {
     const [one, other] = [new Gateway('a'), new Gateway('b')]
     one.see('plain-a')
-    beat(one, other)
-    beat(one, other)
+    exchangeHeartbeat(one, other)
+    exchangeHeartbeat(one, other)
     expect(one.exchange.messageFor('b')?.reports).toBeUndefined()
     expect(other.exchange.messageFor('a')?.reports).toBeUndefined()
   })
 
-  test('pass on what they hear from others', () => {
+  test('forward reports from others', () => {
     const [one, coordinator, third] = [new Gateway('a'), new Gateway('b'), new Gateway('c')]
     one.see('plain-a')
-    beat(one, coordinator)
-    beat(third, coordinator)
+    exchangeHeartbeat(one, coordinator)
+    exchangeHeartbeat(third, coordinator)
     expect([...third.known]).toEqual(['plain-a'])
   })
 
-  test('tell a peer that restarted all again', () => {
+  test('send all reports again to a restarted peer', () => {
     const [one, other] = [new Gateway('a'), new Gateway('b')]
     one.see('plain-a')
-    beat(one, other)
+    exchangeHeartbeat(one, other)
     other.restart(1000)
-    beat(one, other)
-    beat(one, other)
+    exchangeHeartbeat(one, other)
+    exchangeHeartbeat(one, other)
     expect([...other.known]).toEqual(['plain-a'])
   })
 
-  test('tell what a gateway learns after its restart, though its peer has seen more before', () => {
+  test('send reports made after a restart, even if the peer has received more before', () => {
     const [one, other] = [new Gateway('a'), new Gateway('b')]
     for (const backend of ['plain-a', 'plain-b', 'plain-c'])
       one.see(backend)
-    beat(one, other)
+    exchangeHeartbeat(one, other)
     one.restart(1000)
     one.see('plain-d')
-    beat(other, one)
+    exchangeHeartbeat(other, one)
     expect(other.known.has('plain-d')).toBe(true)
   })
 
-  test('ignore a form that they do not know', () => {
+  test('ignore an unknown format', () => {
     const one = new Gateway('a')
-    one.exchange.take('b', { later: 'form' })
-    one.exchange.take('b', { sequence: 'two', seen: 0 })
+    one.exchange.receive('b', { later: 'form' })
+    one.exchange.receive('b', { sequence: 'two', seen: 0 })
     expect(one.exchange.messageFor('b')).toBeUndefined()
   })
 
-  test('all know everything after some rounds, whatever was lost before', () => {
+  test('converge after some rounds, regardless of earlier losses', () => {
     const steps = fc.array(fc.record({
       sees: fc.option(fc.integer({ min: 0, max: 2 })),
       from: fc.integer({ min: 0, max: 2 }),
@@ -113,10 +113,10 @@
         if (sees !== null)
           gateways[sees].see(`plain-${number}`)
         if (from !== to)
-          beat(gateways[from], gateways[to], lost)
+          exchangeHeartbeat(gateways[from], gateways[to], lost)
       })
       for (let round = 0; round < 3; round++)
-        [1, 2].forEach(index => beat(gateways[index], gateways[0]))
+        [1, 2].forEach(index => exchangeHeartbeat(gateways[index], gateways[0]))
       expect(gateways[1].known).toEqual(gateways[0].known)
       expect(gateways[2].known).toEqual(gateways[0].known)
     }))
--- /dev/null
+++ b/test/gateway/crash-tracker.test.ts
@@ -0,0 +1,195 @@
+import type { CrashReports } from '@eidermast/gateway'
+import { CrashTracker } from '@eidermast/gateway'
+import { afterEach, beforeEach, describe, expect, test, vi } from 'vitest'
+import { createBackend, createLog } from './support/fakes.js'
+
+/** Time within which trackers have written and exchanged their reports. */
+const EXCHANGE_MS = 1500
+
+/** An in-memory ledger shared by several trackers, which can lose its records. */
+class FakeLedger {
+  records = new Map<string, CrashReports>()
+  isUnavailable = false
+  writes = 0
+  private readonly trackers: CrashTracker[] = []
+
+  follow(tracker: CrashTracker): void {
+    this.trackers.push(tracker)
+    tracker.replaceAll(this.records)
+  }
+
+  async publish(owner: string, reports: CrashReports): Promise<void> {
+    this.writes++
+    if (this.isUnavailable)
+      throw new Error('the ledger is unavailable')
+    this.records.set(owner, reports)
+    this.trackers.forEach(tracker => tracker.takeReports(owner, reports))
+  }
+
+  /** Restores an older copy of the records. */
+  lose(records = new Map<string, CrashReports>()): void {
+    this.records = records
+    this.trackers.forEach(tracker => tracker.replaceAll(this.records))
+  }
+}
+
+let ledger: FakeLedger
+
+function createTracker(name: string, { follows = true, restoresOthers = false } = {}) {
+  const { log, lines } = createLog()
+  const tracker = new CrashTracker({ name, ledger, log, detector: { noteBroken: async () => {} }, restoresOthers: () => restoresOthers })
+  if (follows)
+    ledger.follow(tracker)
+  return { tracker, lines }
+}
+
+function crash(tracker: CrashTracker, backend: string, ...fingerprints: string[]): void {
+  tracker.noteCrash({ backend: createBackend({ id: backend }), fingerprints })
+}
+
+beforeEach(() => {
+  vi.useFakeTimers()
+  ledger = new FakeLedger()
+})
+
+afterEach(() => void vi.useRealTimers())
+
+describe('gateways that each saw one crash of a backend server', () => {
+  test('all refuse the request present at all three crashes, and no other', async () => {
+    const trackers = ['a', 'b', 'c'].map(name => createTracker(name).tracker)
+    trackers.forEach((tracker, index) => crash(tracker, `plain-${index}`, 'cause', `unrelated-${index}`))
+    await vi.advanceTimersByTimeAsync(EXCHANGE_MS)
+    for (const tracker of trackers) {
+      expect(tracker.refusal('cause')).toContain('ended 3 backend servers')
+      expect(tracker.refusal('unrelated-0')).toBeUndefined()
+      expect(tracker.quarantined).toBe(1)
+    }
+  })
+
+  test('describe the crashes that led to a quarantine, with observer and age', async () => {
+    const { tracker, lines } = createTracker('a')
+    const other = createTracker('b').tracker
+    crash(other, 'plain-0', 'cause')
+    await vi.advanceTimersByTimeAsync(2000)
+    crash(tracker, 'plain-1', 'cause')
+    crash(tracker, 'plain-2', 'cause')
+    expect(tracker.refusal('cause')).toContain('plain-0 2.0 s ago, seen by b')
+    expect(lines.filter(({ event }) => event === 'quarantine')).toMatchObject([{ fingerprint: 'cause' }])
+  })
+
+  test('count two processes with the same id as two, if the backend server reports its start', () => {
+    const { tracker } = createTracker('a')
+    for (const born of [1, 2, 3])
+      tracker.noteCrash({ backend: createBackend({ id: 'plain-a', born }), fingerprints: ['cause'] })
+    expect(tracker.refusal('cause')).toBeDefined()
+  })
+})
+
+describe('requests that share a fingerprint', () => {
+  test('are not refused if backend servers crash together, because others were answered at another gateway', async () => {
+    const answering = createTracker('a').tracker
+    const tracker = createTracker('b').tracker
+    answering.noteAnswered('shared')
+    for (const backend of ['plain-0', 'plain-1', 'plain-2'])
+      crash(tracker, backend, 'shared')
+    await vi.advanceTimersByTimeAsync(EXCHANGE_MS)
+    expect(tracker.refusal('shared')).toBeUndefined()
+    expect(answering.refusal('shared')).toBeUndefined()
+  })
+
+  test('are accepted again by all gateways once one in flight is answered', async () => {
+    const trackers = ['a', 'b'].map(name => createTracker(name).tracker)
+    for (const backend of ['plain-0', 'plain-1', 'plain-2'])
+      crash(trackers[0], backend, 'shared')
+    await vi.advanceTimersByTimeAsync(EXCHANGE_MS)
+    expect(trackers[1].refusal('shared')).toBeDefined()
+    trackers[1].noteAnswered('shared')
+    await vi.advanceTimersByTimeAsync(EXCHANGE_MS)
+    expect(trackers.map(tracker => tracker.refusal('shared'))).toEqual([undefined, undefined])
+  })
+
+  test('cause one write, regardless of the number of answers', async () => {
+    const { tracker } = createTracker('a')
+    crash(tracker, 'plain-0', 'shared')
+    for (let number = 0; number < 100; number++) {
+      tracker.noteAnswered('shared')
+      await vi.advanceTimersByTimeAsync(100)
+    }
+    expect(ledger.writes).toBeLessThanOrEqual(2)
+  })
+})
+
+describe('the crash reports', () => {
+  /** Creates a tracker that has seen three crashes. */
+  async function createTrackerWithCrashes(name: string, restoresOthers = false) {
+    const created = createTracker(name, { restoresOthers })
+    for (const backend of ['plain-0', 'plain-1', 'plain-2'])
+      crash(created.tracker, backend, 'cause')
+    await vi.advanceTimersByTimeAsync(EXCHANGE_MS)
+    return created
+  }
+
+  test('are read by a starting gateway, also after the loss of all gateways', async () => {
+    await createTrackerWithCrashes('a')
+    expect(createTracker('b').tracker.refusal('cause')).toBeDefined()
+  })
+
+  test('are not overwritten by a new process with the same name that has not read them', async () => {
+    await createTrackerWithCrashes('a')
+    const { tracker } = createTracker('a', { follows: false })
+    crash(tracker, 'plain-9', 'other')
+    await vi.advanceTimersByTimeAsync(EXCHANGE_MS)
+    expect(ledger.records.get('a')!.crashes).toHaveLength(3)
+    ledger.follow(tracker)
+    await vi.advanceTimersByTimeAsync(EXCHANGE_MS)
+    expect(ledger.records.get('a')!.crashes).toHaveLength(4)
+  })
+
+  test('are written again by their gateway if the ledger has lost them', async () => {
+    const { lines } = await createTrackerWithCrashes('a')
+    ledger.lose()
+    await vi.advanceTimersByTimeAsync(EXCHANGE_MS)
+    expect(ledger.records.get('a')!.crashes).toHaveLength(3)
+    expect(lines).toContainEqual(expect.objectContaining({ event: 'crash-reports-restored', crashes: 3 }))
+  })
+
+  test('are written again by the gateway that restores those of others, if their own is gone', async () => {
+    ledger.records.set('gone', { crashes: ['plain-0', 'plain-1', 'plain-2'].map(backend => ({ fingerprint: 'cause', backend, at: Date.now(), gateway: 'gone' })), answers: [] })
+    createTracker('a', { restoresOthers: true })
+    createTracker('b')
+    ledger.lose()
+    await vi.advanceTimersByTimeAsync(EXCHANGE_MS)
+    expect([...ledger.records.keys()]).toEqual(['a'])
+    expect(createTracker('c').tracker.refusal('cause')).toBeDefined()
+  })
+
+  test('are written when the ledger recovers, in few calls', async () => {
+    const { tracker } = createTracker('a')
+    ledger.isUnavailable = true
+    for (const backend of ['plain-0', 'plain-1', 'plain-2'])
+      crash(tracker, backend, 'cause')
+    await vi.advanceTimersByTimeAsync(10_000)
+    expect(ledger.writes).toBeLessThan(60)
+    ledger.isUnavailable = false
+    await vi.advanceTimersByTimeAsync(EXCHANGE_MS)
+    expect(ledger.records.get('a')!.crashes).toHaveLength(3)
+  })
+
+  test('cause at most two writes a second, regardless of the number of crashes', async () => {
+    const { tracker } = createTracker('a')
+    for (let number = 0; number < 100; number++) {
+      crash(tracker, `plain-${number}`, `cause-${number}`)
+      await vi.advanceTimersByTimeAsync(100)
+    }
+    expect(ledger.writes).toBeLessThanOrEqual(21)
+  })
+
+  test('stay within the size limit of one record', async () => {
+    const { tracker } = createTracker('a')
+    for (let number = 0; number < 2000; number++)
+      crash(tracker, `plain-${number}`, `unrelated-${number}`, 'cause')
+    await vi.advanceTimersByTimeAsync(EXCHANGE_MS)
+    expect(JSON.stringify(ledger.records.get('a')).length).toBeLessThan(262_144)
+    expect(createTracker('b').tracker.refusal('cause')).toBeDefined()
+  })
+})
--- a/test/gateway/quarantine.test.ts
+++ b/test/gateway/quarantine.test.ts
@@ -1,4 +1,4 @@
-import type { CrashFacts, CrashReport } from '@eidermast/gateway'
+import type { CrashReport, FingerprintHistory } from '@eidermast/gateway'
 import { countedCrashes, isQuarantined } from '@eidermast/gateway'
 import { describe, expect, test } from 'vitest'
 
@@ -6,28 +6,28 @@
 const SECOND = 1000
 const HOUR = 3600 * SECOND
 
-/** Ends of backend servers, each of another one, so many milliseconds ago. */
+/** Crashes of distinct backend servers, with the given ages in milliseconds. */
 function crashes(...ages: number[]): CrashReport[] {
   return ages.map((age, index) => ({ fingerprint: 'f', backend: `plain-${index}`, at: NOW - age, gateway: 'gateway-a' }))
 }
 
-describe('a request under which backend servers ended', () => {
-  test.each<[string, CrashFacts, boolean]>([
-    ['is sent on after none', { crashes: [] }, false],
-    ['is sent on after two', { crashes: crashes(0, 0) }, false],
+describe('a request during which backend servers crashed', () => {
+  test.each<[string, FingerprintHistory, boolean]>([
+    ['is accepted after none', { crashes: [] }, false],
+    ['is accepted after two', { crashes: crashes(0, 0) }, false],
     ['is refused after three', { crashes: crashes(2 * SECOND, SECOND, 0) }, true],
-    ['is refused also where they ended together', { crashes: crashes(0, 0, 0) }, true],
+    ['is refused also if they crashed together', { crashes: crashes(0, 0, 0) }, true],
     ['is refused for an hour', { crashes: crashes(HOUR - 1, HOUR - 1, HOUR - 1) }, true],
-    ['is sent on where one is older than an hour', { crashes: crashes(HOUR, 0, 0) }, false],
-    ['is sent on where one was answered since', { crashes: crashes(2 * SECOND, SECOND, SECOND), answeredAt: NOW }, false],
-    ['is sent on where one was answered shortly before', { crashes: crashes(0, 0, 0), answeredAt: NOW - 9 * SECOND }, false],
-    ['is refused where it was answered long before, by other software', { crashes: crashes(0, 0, 0), answeredAt: NOW - 11 * SECOND }, true],
-  ])('%s', (_name, facts, refused) => {
-    expect(isQuarantined(facts, NOW)).toBe(refused)
+    ['is accepted if one is older than an hour', { crashes: crashes(HOUR, 0, 0) }, false],
+    ['is accepted if one was answered since', { crashes: crashes(2 * SECOND, SECOND, SECOND), answeredAt: NOW }, false],
+    ['is accepted if one was answered shortly before', { crashes: crashes(0, 0, 0), answeredAt: NOW - 9 * SECOND }, false],
+    ['is refused if it was answered long before, possibly by another version', { crashes: crashes(0, 0, 0), answeredAt: NOW - 11 * SECOND }, true],
+  ])('%s', (_name, history, refused) => {
+    expect(isQuarantined(history, NOW)).toBe(refused)
   })
 
-  test('is refused for those ends that no answer speaks against', () => {
-    const facts = { crashes: crashes(30 * SECOND, 2 * SECOND, SECOND), answeredAt: NOW - 20 * SECOND }
-    expect(countedCrashes(facts, NOW).map(({ backend }) => backend)).toEqual(['plain-1', 'plain-2'])
+  test('counts only the crashes not cleared by an answer', () => {
+    const history = { crashes: crashes(30 * SECOND, 2 * SECOND, SECOND), answeredAt: NOW - 20 * SECOND }
+    expect(countedCrashes(history, NOW).map(({ backend }) => backend)).toEqual(['plain-1', 'plain-2'])
   })
 })
--- a/test/gateway/stage-crashes.test.ts
+++ b/test/gateway/stage-crashes.test.ts
@@ -10,7 +10,7 @@
  * Evidence: without the mend the first test below ends all six backend servers.
  */
 import type { FakeStageCall } from './support/fakes.js'
-import { CrashBoard, CrashWitness, GatewayLog, Presence, StageCallEnd } from '@eidermast/gateway'
+import { CrashDetector, CrashTracker, GatewayLog, Presence, StageCallEnd } from '@eidermast/gateway'
 import { afterEach, beforeEach, describe, expect, test, vi } from 'vitest'
 import { createLog } from './support/fakes.js'
 import { createCoordinator, createStageRequest, NEVER } from './support/stage-coordinator.js'
@@ -19,10 +19,10 @@
 /** Milliseconds in which all work is done or has failed. */
 const PLAY_MS = 4000
 
-function createBoard(): CrashBoard {
+function createBoard(): CrashTracker {
   const { log } = createLog()
-  const witness = new CrashWitness({ checkPresence: async () => Presence.Gone, log: new GatewayLog(log), onCrash: crash => board.noteCrash(crash) })
-  const board = new CrashBoard({ name: 'gateway-a', ledger: { publish: async () => {} }, log, witness, restoresOthers: () => true })
+  const witness = new CrashDetector({ checkPresence: async () => Presence.Gone, log: new GatewayLog(log), onCrash: crash => board.noteCrash(crash) })
+  const board = new CrashTracker({ name: 'gateway-a', ledger: { publish: async () => {} }, log, detector: witness, restoresOthers: () => true })
   return board
 }
 
--- a/test/platform/crashing-requests.test.ts
+++ b/test/platform/crashing-requests.test.ts
@@ -116,13 +116,13 @@
 
 /** Fingerprints that gateways refuse, of all of them together. */
 function totalQuarantined(): number {
-  return gateways.reduce((sum, { gateway }) => sum + gateway.crashBoard.quarantined, 0)
+  return gateways.reduce((sum, { gateway }) => sum + gateway.crashTracker.quarantined, 0)
 }
 
 /** Lets the request end backend servers until every gateway refuses it. */
 async function crashUntilRefused(): Promise<void> {
   await sendCrashing(CRASHING_INTERVAL_MS * CRASHES_BEFORE)
-  await vi.waitFor(() => expect(gateways.map(({ gateway }) => gateway.crashBoard.quarantined)).toEqual(gateways.map(() => 1)), { timeout: CONTACT_MS })
+  await vi.waitFor(() => expect(gateways.map(({ gateway }) => gateway.crashTracker.quarantined)).toEqual(gateways.map(() => 1)), { timeout: CONTACT_MS })
 }
 
 describe('a request that ends every backend server that runs it', () => {
@@ -152,7 +152,7 @@
     const endedBefore = pool.ends.length
     await Promise.all(gateways.map(({ gateway }) => gateway.close()))
     gateways = [await startGateway('gateway-0', storeAddress), await startGateway('gateway-new', storeAddress)]
-    await vi.waitFor(() => expect(gateways.map(({ gateway }) => gateway.crashBoard.quarantined)).toEqual([1, 1]), { timeout: CONTACT_MS })
+    await vi.waitFor(() => expect(gateways.map(({ gateway }) => gateway.crashTracker.quarantined)).toEqual([1, 1]), { timeout: CONTACT_MS })
     expect(statusesOf(await sendCrashing(CRASHING_INTERVAL_MS * 4))).toEqual([503])
     expect(pool.ends.length).toBe(endedBefore)
   })
