--- a/packages/gateway/src/process/backend-registry.ts
+++ b/packages/gateway/src/process/backend-registry.ts
@@ -9,7 +9,7 @@
 import type { SourceOutage } from './platform-adapter.js'
 import { Backend, lifeOf } from '../connection/backends/backend.js'
 import { GatewayLog } from './gateway-log.js'
-import { IntakeMemory } from './intake/intake-memory.js'
+import { IntakeCache } from './intake/intake-cache.js'
 import { decideLapseGrace } from './lapse-grace.js'
 
 /** What follows changes of the registry. */
@@ -31,7 +31,7 @@
 export class BackendRegistry {
   private readonly byId = new Map<string, Backend>()
   private readonly byService = new Map<string, Set<Backend>>()
-  private readonly intakeMemory = new IntakeMemory()
+  private readonly intakeCache = new IntakeCache()
   private readonly listeners: BackendListener[] = []
   /** Until when entries that go are used on: milliseconds of the process clock. */
   private graceUntil = 0
@@ -141,7 +141,7 @@
     if (!backend)
       return
     backend.removed = true
-    this.intakeMemory.keep(backend, performance.now())
+    this.intakeCache.store(backend, performance.now())
     this.byId.delete(id)
     this.backendsOf(backend.service).delete(backend)
     this.log.backendRemoved(backend.record, reason, this.noticedWithinMs)
@@ -203,7 +203,7 @@
   }
 
   private add(record: BackendRecord): void {
-    const backend = new Backend(record, this.intakeMemory.recall(lifeOf(record)))
+    const backend = new Backend(record, this.intakeCache.take(lifeOf(record)))
     backend.evacuated = this.evacuated.has(backend.failureDomain)
     this.byId.set(record.id, backend)
     this.backendsOf(record.service).add(backend)
--- a/packages/gateway/src/process/drain/drain-clients.ts
+++ b/packages/gateway/src/process/drain/drain-clients.ts
@@ -1,16 +1,16 @@
 /**
- * Carries out the orderly end of a gateway by the steps of `drain-plan.ts`.
- * It holds no state beyond the run; a process that is killed meanwhile breaks
- * the connections that it still has.
+ * Performs the graceful shutdown of a gateway in the steps of `drain-plan.ts`.
+ * Keeps no state beyond the shutdown; if the process is killed meanwhile, its
+ * remaining connections break.
  */
 import type { ClientServer } from '../../connection/clients/client-server.js'
 import { wait } from '@eidermast/common'
 import { decideDrainStep, DrainStep } from './drain-plan.js'
 
-/** Milliseconds between looks at the requests under way. The process ends at most this much later than it could. */
-const DRAIN_CHECK_MS = 50
+/** Interval of the checks of requests in flight; delays the exit by at most this much. */
+const DRAIN_CHECK_INTERVAL_MS = 50
 
-/** Serves clients on until the drain's plan lets the process end. */
+/** Serves clients until the drain plan allows the process to end. */
 export async function drainClients(clients: ClientServer, gracePeriodMs: number, othersServe: () => boolean): Promise<void> {
   const startedAt = performance.now()
   clients.beginDrain()
@@ -18,11 +18,11 @@
   while (step !== DrainStep.End) {
     const elapsedMs = performance.now() - startedAt
     step = decideDrainStep({ elapsedMs, activeRequests: clients.activeRequests, gracePeriodMs, othersServe: othersServe() })
-    // Both again at each look: connections that have become idle since are closed too.
+    // Both repeated at each check, to also close connections that have become idle since.
     if (step === DrainStep.Refuse)
       clients.refuseNew()
     if (step === DrainStep.Close)
       clients.close()
-    await wait(DRAIN_CHECK_MS)
+    await wait(DRAIN_CHECK_INTERVAL_MS)
   }
 }
--- a/packages/gateway/src/process/intake/backend-intakes.ts
+++ b/packages/gateway/src/process/intake/backend-intakes.ts
@@ -1,20 +1,20 @@
 /**
- * Decides when a request, a stage call or a deletion of results may go to a
- * backend server, by what it says of the requests that it takes.
+ * Decides when a request, a stage call or a deletion of results may be sent to a
+ * backend server, according to the flow control of the backend server.
  *
- * Inputs: the heads of its answers to this process, and what peers tell of them
- * (limit, leaving), as of now; the turns of `limit-turns.ts`.
- * Rule: none while it rests, nor before this gateway's turn where it names a
- * limit; none ever again once it says that it leaves, for which the registry
- * counts it out. A rest is asked of one gateway and binds that one alone. Probes
- * and reports are let through: they show whether streams under way still live.
- * Why: it is asked where a backend server is chosen and again just before the
- * first byte, since requests wait between the two.
+ * Inputs: the headers of its responses to this process, and what peers report of
+ * them (rate limit, leaving), as of now; the turns of `limit-turns.ts`.
+ * Rule: none during a back-off, nor before this gateway's turn if there is a rate
+ * limit; none at all once the backend server has announced that it is leaving, in
+ * which case the registry no longer counts it. A back-off applies only to the
+ * gateway that it was requested from. Probes and reports are always allowed,
+ * since they show whether streams in flight are still alive.
+ * Why: the gate is checked when a backend server is chosen and again just before
+ * the first byte is sent, since requests wait in between.
  * Log events: `backend-limit`, `backend-rest`, `backend-leaving`,
  * `work-turned-away`.
  *
- * What each backend server said lives with the registry's entry of it; this
- * module owns nothing.
+ * Owns no state: what a backend server reported is kept with its registry entry.
  */
 import type { AnswerHead, BackendNotice, ReadNotice } from '../../connection/backends/backend-notice.js'
 import type { Backend } from '../../connection/backends/backend.js'
@@ -25,14 +25,14 @@
 import { LeavingExchange } from './leaving-exchange.js'
 import { LimitExchange } from './limit-exchange.js'
 
-/** Name of this process's own answers in the log. */
-const OWN_ANSWERS = 'answer'
+/** Source in the log for responses to this process. */
+const OWN_ANSWER_SOURCE = 'answer'
 
-/** The gate before all backend servers. */
+/** The gate for requests to all backend servers. */
 export class BackendIntakes implements IntakeGate {
-  /** What gateways tell each other of limits. */
+  /** Shares rate limits with peers. */
   readonly limitExchange: LimitExchange
-  /** What gateways tell each other of backend servers that leave. */
+  /** Shares with peers which backend servers are leaving. */
   readonly leavingExchange: LeavingExchange
 
   constructor(
@@ -58,7 +58,7 @@
     this.noteLimit(backend, notice, head)
     if (notice.isLeaving && backend.intake.takeLeaving()) {
       this.leavingExchange.note(backend)
-      this.takeLeaving(backend, OWN_ANSWERS)
+      this.takeLeaving(backend, OWN_ANSWER_SOURCE)
     }
     if (notice.restMs !== undefined) {
       backend.intake.takeRest(notice.restMs, performance.now())
@@ -76,6 +76,6 @@
     if (!backend.intake.takeLimit(notice, head, performance.now()))
       return
     this.limitExchange.note(backend)
-    this.log.backendLimitChanged(backend, previous, OWN_ANSWERS)
+    this.log.backendLimitChanged(backend, previous, OWN_ANSWER_SOURCE)
   }
 }
--- a/packages/gateway/src/process/intake/index.ts
+++ b/packages/gateway/src/process/intake/index.ts
@@ -1,4 +1,4 @@
 export * from './backend-intakes.js'
-export * from './intake-memory.js'
+export * from './intake-cache.js'
 export * from './leaving-exchange.js'
 export * from './limit-exchange.js'
--- a/packages/gateway/src/process/intake/leaving-exchange.ts
+++ b/packages/gateway/src/process/intake/leaving-exchange.ts
@@ -1,43 +1,44 @@
 /**
- * Passes between gateways, by heartbeats, which backend servers say in their
- * answers that they leave, while the list does not say so: one gateway's word
- * keeps all from sending there. It owns these until the list says so too, in
- * memory; a gateway that starts hears of them from its first peer.
+ * Shares between gateways, in heartbeats, which backend servers announced in a
+ * response that they are leaving before the platform's list shows it, so that a
+ * response to one gateway stops all of them from sending requests there. Owns
+ * these until the list shows it as well, in memory; a gateway that starts learns
+ * of them from its first peer.
  */
 import type { Backend } from '../../connection/backends/backend.js'
 import type { LeavingMessage } from '../../connection/peers/intake-message.js'
 import type { BackendRegistry } from '../backend-registry.js'
 
-/** Backend servers that one heartbeat tells; a bound on its size. */
-const MAX_REPORTED = 64
+/** Bounds the size of a heartbeat. */
+const MAX_REPORTED_BACKENDS = 64
 
-/** Tells peers which backend servers leave, and takes what they tell. */
+/** Reports leaving backend servers to peers, and applies the reports of peers. */
 export class LeavingExchange {
   private readonly leaving = new Set<Backend>()
 
   constructor(
     private readonly registry: Pick<BackendRegistry, 'find'>,
-    /** A backend server leaves, by the word of a peer. */
+    /** Called when a peer reports that a backend server is leaving. */
     private readonly onLeaving: (backend: Backend, peer: string) => void,
   ) {}
 
-  /** A backend server says that it leaves. */
+  /** Records a backend server that announced that it is leaving. */
   note(backend: Backend): void {
     this.leaving.add(backend)
   }
 
-  /** What peers are told; undefined where there is nothing, which is most of the time. */
+  /** Returns the reports for peers; undefined if there are none, which is the usual case. */
   messages(): LeavingMessage[] | undefined {
     for (const backend of this.leaving) {
       if (backend.removed || backend.record.draining)
         this.leaving.delete(backend)
     }
-    const told = [...this.leaving].slice(-MAX_REPORTED)
-    return told.length > 0 ? told.map(({ id, life }) => ({ backend: id, life })) : undefined
+    const reported = [...this.leaving].slice(-MAX_REPORTED_BACKENDS)
+    return reported.length > 0 ? reported.map(({ id, life }) => ({ backend: id, life })) : undefined
   }
 
-  /** Takes what a peer told. */
-  take(messages: readonly LeavingMessage[], peer: string): void {
+  /** Applies the reports of a peer. */
+  receive(messages: readonly LeavingMessage[], peer: string): void {
     for (const { backend: id, life } of messages) {
       const backend = this.registry.find(id)
       if (backend?.life !== life || !backend.intake.takeLeaving())
--- a/packages/gateway/src/process/intake/limit-exchange.ts
+++ b/packages/gateway/src/process/intake/limit-exchange.ts
@@ -1,43 +1,44 @@
 /**
- * Passes limits that backend servers name between gateways, by heartbeats: one
- * that never asked a backend server hears that it is in need, and all hear that
- * it no longer is, though each sends there seldom. It owns which limits changed
- * lately, in memory; a gateway that starts hears of a limit from its own calls.
+ * Shares rate limits of backend servers between gateways, in heartbeats, so that
+ * a gateway that has not called a backend server learns of its limit, and all
+ * learn of the end of a limit though each calls the backend server seldom. Owns
+ * the recent changes, in memory; a gateway that starts learns of a limit from its
+ * own calls.
  */
 import type { Backend } from '../../connection/backends/backend.js'
 import type { LimitMessage } from '../../connection/peers/intake-message.js'
 import type { BackendRegistry } from '../backend-registry.js'
 
-/** Milliseconds for which a change is told: some heartbeats and their answers may be lost. */
+/** Time for which a change is reported, so that some heartbeats and replies may be lost. */
 const REPORTED_FOR_MS = 2000
-/** Changes that one heartbeat tells, the newest ones; a bound on its size. */
-const MAX_REPORTED = 64
+/** Newest changes in one heartbeat; bounds its size. */
+const MAX_REPORTED_CHANGES = 64
 
-/** Tells peers which limits changed, and takes what they tell. */
+/** Reports changes of limits to peers, and applies the reports of peers. */
 export class LimitExchange {
-  /** Backend servers whose limit changed lately, by their life; the newest come last. */
-  private readonly changed = new Map<string, Backend>()
+  /** Backend servers whose limit changed recently, by incarnation, newest last. */
+  private readonly recentlyChanged = new Map<string, Backend>()
 
   constructor(
     private readonly registry: Pick<BackendRegistry, 'find'>,
-    /** A peer's word changed a limit. */
+    /** Called when the report of a peer changes a limit. */
     private readonly onChange: (backend: Backend, previous: number | undefined, peer: string) => void,
   ) {}
 
-  /** The limit of a backend server changed. */
+  /** Records a change of the limit of a backend server. */
   note(backend: Backend): void {
-    this.changed.delete(backend.life)
-    this.changed.set(backend.life, backend)
+    this.recentlyChanged.delete(backend.life)
+    this.recentlyChanged.set(backend.life, backend)
   }
 
-  /** What peers are told; undefined where no limit changed lately, which is most of the time. */
+  /** Returns the reports for peers; undefined if no limit changed recently, which is the usual case. */
   messages(now: number): LimitMessage[] | undefined {
-    const messages = [...this.changed.values()].flatMap(backend => this.messageOf(backend, now)).slice(-MAX_REPORTED)
+    const messages = [...this.recentlyChanged.values()].flatMap(backend => this.toMessage(backend, now)).slice(-MAX_REPORTED_CHANGES)
     return messages.length > 0 ? messages : undefined
   }
 
-  /** Takes what a peer told. */
-  take(messages: readonly LimitMessage[], peer: string, now: number): void {
+  /** Applies the reports of a peer. */
+  receive(messages: readonly LimitMessage[], peer: string, now: number): void {
     for (const message of messages) {
       const backend = this.registry.find(message.backend)
       if (backend?.life !== message.life)
@@ -50,11 +51,11 @@
     }
   }
 
-  private messageOf(backend: Backend, now: number): LimitMessage[] {
-    const told = backend.intake.reportLimit(now)
-    if (told && told.ageMs < REPORTED_FOR_MS)
-      return [{ backend: backend.id, life: backend.life, ...told }]
-    this.changed.delete(backend.life)
+  private toMessage(backend: Backend, now: number): LimitMessage[] {
+    const reported = backend.intake.reportLimit(now)
+    if (reported && reported.ageMs < REPORTED_FOR_MS)
+      return [{ backend: backend.id, life: backend.life, ...reported }]
+    this.recentlyChanged.delete(backend.life)
     return []
   }
 }
--- a/packages/gateway/src/process/peer-service.ts
+++ b/packages/gateway/src/process/peer-service.ts
@@ -118,11 +118,11 @@
     if (crashes !== undefined)
       this.parts.crashes.receive(address, crashes)
     // Before the configuration is fetched: a gateway that starts must know them when it serves.
-    this.parts.evacuations.adopt(evacuations ?? [], name)
+    this.parts.evacuations.applyPeerOrders(evacuations ?? [], name)
     if (backends !== undefined && backendChanges)
       this.parts.backendList.adoptChanges(backendChanges, backends, member)
-    this.parts.limits.take(limits ?? [], name, performance.now())
-    this.parts.leaving.take(leaving ?? [], name)
+    this.parts.limits.receive(limits ?? [], name, performance.now())
+    this.parts.leaving.receive(leaving ?? [], name)
     void this.configurationFetch.learn(member, version)
     void this.backendsFetch.learn(member, backends)
   }
--- a/test/gateway/drain-plan.test.ts
+++ b/test/gateway/drain-plan.test.ts
@@ -2,31 +2,34 @@
 import { describe, expect, test } from 'vitest'
 
 const GRACE_PERIOD_MS = 8000
-/** Milliseconds after SIGTERM after which a request that is taken must be answered whole (the platform's rules, on planned work). */
+/**
+ * Time from SIGTERM after which an accepted request must be answered in full (the
+ * platform's rules, on planned work).
+ */
 const UNCONDITIONAL_AFTER_MS = 3000
-/** Milliseconds until a process has handled SIGTERM; up to 126 ms were seen. */
+/** Allowance for the handling of SIGTERM, which takes up to 126 ms. */
 const SIGNAL_MS = 150
 
-describe('a gateway that stops', () => {
+describe('a gateway that shuts down', () => {
   test.each([
-    ['serves on while the balancer may still send requests', DRAIN_SERVE_MS - 1, 0, DrainStep.Serve],
-    ['refuses what still comes', DRAIN_SERVE_MS, 1, DrainStep.Refuse],
-    ['goes on while its listener is open, also without requests', DRAIN_CLOSE_MS - 1, 0, DrainStep.Refuse],
-    ['closes its listener while requests have no answer', DRAIN_CLOSE_MS, 1, DrainStep.Close],
-    ['ends when its listener is closed and all is answered', DRAIN_CLOSE_MS, 0, DrainStep.End],
-    ['goes on while a request has no answer', latestEndMs(GRACE_PERIOD_MS) - 1, 1, DrainStep.Close],
-    ['ends before the grace period is over, whatever is under way', latestEndMs(GRACE_PERIOD_MS), 1, DrainStep.End],
+    ['serves while the load balancer may still send requests', DRAIN_SERVE_MS - 1, 0, DrainStep.Serve],
+    ['refuses new requests', DRAIN_SERVE_MS, 1, DrainStep.Refuse],
+    ['continues while its listener is open, even without requests', DRAIN_CLOSE_MS - 1, 0, DrainStep.Refuse],
+    ['closes its listener while requests are unanswered', DRAIN_CLOSE_MS, 1, DrainStep.Close],
+    ['ends when its listener is closed and all requests are answered', DRAIN_CLOSE_MS, 0, DrainStep.End],
+    ['continues while a request is unanswered', latestEndMs(GRACE_PERIOD_MS) - 1, 1, DrainStep.Close],
+    ['ends before the grace period is over, regardless of requests in flight', latestEndMs(GRACE_PERIOD_MS), 1, DrainStep.End],
   ])('%s', (_name, elapsedMs, activeRequests, step) => {
     expect(decideDrainStep({ elapsedMs, activeRequests, gracePeriodMs: GRACE_PERIOD_MS, othersServe: true })).toBe(step)
   })
 
   test.each([
-    ['serves on when it would refuse otherwise', DRAIN_SERVE_ALONE_MS - 1, 0, DrainStep.Serve],
+    ['serves when it would otherwise refuse', DRAIN_SERVE_ALONE_MS - 1, 0, DrainStep.Serve],
     ['then refuses, and keeps its listener open', DRAIN_SERVE_ALONE_MS, 1, DrainStep.Refuse],
-    ['keeps its listener open for as long as it lives', latestEndMs(GRACE_PERIOD_MS) - 1, 1, DrainStep.Refuse],
-    ['ends when all is answered, to be back soon', DRAIN_SERVE_ALONE_MS, 0, DrainStep.End],
-    ['ends before the grace period is over, whatever is under way', latestEndMs(GRACE_PERIOD_MS), 1, DrainStep.End],
-  ])('and knows of no other that serves %s', (_name, elapsedMs, activeRequests, step) => {
+    ['keeps its listener open until it ends', latestEndMs(GRACE_PERIOD_MS) - 1, 1, DrainStep.Refuse],
+    ['ends when all requests are answered, to restart soon', DRAIN_SERVE_ALONE_MS, 0, DrainStep.End],
+    ['ends before the grace period is over, regardless of requests in flight', latestEndMs(GRACE_PERIOD_MS), 1, DrainStep.End],
+  ])('without another serving gateway %s', (_name, elapsedMs, activeRequests, step) => {
     expect(decideDrainStep({ elapsedMs, activeRequests, gracePeriodMs: GRACE_PERIOD_MS, othersServe: false })).toBe(step)
   })
 
@@ -34,7 +37,7 @@
     expect(decideDrainStep({ elapsedMs: 1000, activeRequests: 1, gracePeriodMs: 1000, othersServe: true })).toBe(DrainStep.End)
   })
 
-  test('takes no request that it must answer whole and may have to cut off', () => {
+  test('accepts no request that must be answered in full but may be cut off', () => {
     expect(DRAIN_SERVE_MS + SIGNAL_MS).toBeLessThanOrEqual(UNCONDITIONAL_AFTER_MS)
     expect(DRAIN_SERVE_ALONE_MS + SIGNAL_MS).toBeLessThanOrEqual(UNCONDITIONAL_AFTER_MS)
   })
--- a/test/gateway/evacuation-list.test.ts
+++ b/test/gateway/evacuation-list.test.ts
@@ -4,7 +4,7 @@
 import { beforeEach, describe, expect, test } from 'vitest'
 
 const evacuate = (failureDomain: string, revision: number): EvacuationOrder => ({ failureDomain, evacuated: true, revision })
-const takeBack = (failureDomain: string, revision: number): EvacuationOrder => ({ failureDomain, evacuated: false, revision })
+const revoke = (failureDomain: string, revision: number): EvacuationOrder => ({ failureDomain, evacuated: false, revision })
 
 let changes: string[][]
 let list: EvacuationList
@@ -18,42 +18,42 @@
   list = createList()
 })
 
-describe('orders about failure domains', () => {
-  test('hold from the first source that brings them', () => {
-    list.adopt([evacuate('a', 3)], 'gateway-1')
+describe('evacuation orders', () => {
+  test('apply from the first source that provides them', () => {
+    list.applyPeerOrders([evacuate('a', 3)], 'gateway-1')
     list.take(evacuate('a', 3))
     expect(changes).toEqual([['a']])
   })
 
-  test('are not put in force by a gateway that heard first that they were taken back', () => {
-    list.adopt([takeBack('a', 5)], 'gateway-1')
+  test('are not applied by a gateway that first learned of their revocation', () => {
+    list.applyPeerOrders([revoke('a', 5)], 'gateway-1')
     list.take(evacuate('a', 4))
     expect(list.evacuated.size).toBe(0)
     expect(changes).toEqual([])
   })
 
-  test('are taken back by a whole read that does not name them', () => {
+  test('are revoked by a full read that does not contain them', () => {
     list.take(evacuate('a', 4))
     list.take(evacuate('b', 5))
     list.replaceAll({ revision: 9, orders: [evacuate('b', 5)] })
     expect(changes.at(-1)).toEqual(['b'])
   })
 
-  test('stay in force through a whole read that is older than a peer\'s word', () => {
-    list.adopt([evacuate('a', 10)], 'gateway-1')
+  test('stay in force after a full read that is older than a peer\'s order', () => {
+    list.applyPeerOrders([evacuate('a', 10)], 'gateway-1')
     list.replaceAll({ revision: 9, orders: [] })
     expect([...list.evacuated]).toEqual(['a'])
   })
 
-  test('stay in force where an older copy lacks them, until it names them again', () => {
+  test('stay in force if missing from an older copy, until they appear again', () => {
     list.take(evacuate('a', revisionAt({ era: 1, offset: 40 })))
     list.replaceAll({ revision: revisionAt({ era: 2, offset: 30 }), orders: [] })
     expect([...list.evacuated]).toEqual(['a'])
-    list.take(takeBack('a', revisionAt({ era: 2, offset: 32 })))
+    list.take(revoke('a', revisionAt({ era: 2, offset: 32 })))
     expect(list.evacuated.size).toBe(0)
   })
 
-  test('come to the same at all gateways, in whatever order these hear of them', () => {
+  test('converge at all gateways, regardless of the order of arrival', () => {
     const history = fc.array(fc.record({ failureDomain: fc.constantFrom('a', 'b', 'c'), evacuated: fc.boolean() }), { minLength: 1, maxLength: 12 })
     fc.assert(fc.property(history, fc.infiniteStream(fc.nat()), (steps, draws) => {
       const orders = steps.map((step, index) => ({ ...step, revision: index + 1 }))
@@ -62,7 +62,7 @@
       for (const order of orders)
         list.take(order)
       for (const { order } of shuffled)
-        other.adopt([order], 'gateway-1')
+        other.applyPeerOrders([order], 'gateway-1')
       const isSame = [...list.evacuated].sort().join() === [...other.evacuated].sort().join()
       list = createList()
       return isSame
