--- a/test/gateway/backend-run.test.ts
+++ b/test/gateway/backend-run.test.ts
@@ -4,7 +4,7 @@
 import { BackendRegistry, BackendRunner, CallFailureKind, LeastLoadChoice, NO_INPUTS, RetryBudget, RetryDecision } from '@eidermast/gateway'
 import { Err, Ok } from 'ts-results-es'
 import { describe, expect, test, vi } from 'vitest'
-import { createLog, createRecord, createRoute, NO_COLD_BOUND, NO_CRASHES, OPEN_INTAKE } from './support/fakes.js'
+import { createLog, createRecord, createRoute, NO_CRASHES, OPEN_INTAKE, UNLIMITED_COLD_PACE } from './support/fakes.js'
 
 const SERVICE = 'plain'
 
@@ -51,7 +51,7 @@
   const ejection = new OutlierEjection()
   const choice = new LeastLoadChoice(ejection)
   const budget = new RetryBudget({ ratio: 0, extra: budgetExtra, windowMs: 10_000 }, () => 1)
-  const runner = new BackendRunner({ failureDomain: 'zone-a', registry, client, ejection, plainChoice: choice, engineChoice: choice, budget, coldPace: NO_COLD_BOUND, intake: OPEN_INTAKE, crashes: NO_CRASHES, log, isEngine: () => false })
+  const runner = new BackendRunner({ failureDomain: 'zone-a', registry, client, ejection, plainChoice: choice, engineChoice: choice, budget, coldPace: UNLIMITED_COLD_PACE, intake: OPEN_INTAKE, crashes: NO_CRASHES, log, isEngine: () => false })
   const renewals = vi.fn(async () => renew(registry))
   const inputs: RunInputs = { handles: ['lost'], failureDomain: undefined, bytes: 0, engine, renew: renewals }
   const run = () => runner.run({ request: createRequest(), inputs, answer: createAnswer(), signal: new AbortController().signal })
@@ -114,7 +114,7 @@
     const choice = new LeastLoadChoice(ejection)
     const budget = new RetryBudget({ ratio: 0, extra: 0, windowMs: 10_000 }, () => 1)
     const crashes = { ...NO_CRASHES, noteAnswered: vi.fn(), noteBroken: vi.fn(async () => {}) }
-    const runner = new BackendRunner({ failureDomain: 'zone-a', registry, client, ejection, plainChoice: choice, engineChoice: choice, budget, coldPace: NO_COLD_BOUND, intake: OPEN_INTAKE, crashes, log, isEngine: () => false })
+    const runner = new BackendRunner({ failureDomain: 'zone-a', registry, client, ejection, plainChoice: choice, engineChoice: choice, budget, coldPace: UNLIMITED_COLD_PACE, intake: OPEN_INTAKE, crashes, log, isEngine: () => false })
     await runner.run({ request: createRequest(), inputs: { handles: undefined, failureDomain: undefined, bytes: 0 }, answer: createAnswer(), signal: new AbortController().signal })
     expect(crashes.noteAnswered).toHaveBeenCalledTimes(times)
     expect(crashes.noteBroken).toHaveBeenCalledTimes(1 - times)
@@ -134,7 +134,7 @@
     const ejection = new OutlierEjection()
     const choice = new LeastLoadChoice(ejection)
     const budget = new RetryBudget({ ratio: 0, extra: 10, windowMs: 10_000 }, () => 1)
-    const runner = new BackendRunner({ failureDomain: 'zone-a', registry, client, ejection, plainChoice: choice, engineChoice: choice, budget, coldPace: NO_COLD_BOUND, intake, crashes: NO_CRASHES, log, isEngine: () => false })
+    const runner = new BackendRunner({ failureDomain: 'zone-a', registry, client, ejection, plainChoice: choice, engineChoice: choice, budget, coldPace: UNLIMITED_COLD_PACE, intake, crashes: NO_CRASHES, log, isEngine: () => false })
     return runner.run({ request: createRequest(), inputs: NO_INPUTS, answer: createAnswer(), signal: new AbortController().signal })
   }
 
--- a/test/gateway/result-memory.test.ts
+++ b/test/gateway/result-memory.test.ts
@@ -44,7 +44,7 @@
 
   test('counts memory as free only when the backend server has confirmed the deletion', async () => {
     const { stageCoordinator, service } = createCoordinator([{ id: 'encode-a' }])
-    service.freeTakesMs = 300
+    service.freeDelayMs = 300
     const large = [{ service: 'encode', dependsOn: [], resultBytes: 400, items: 2 }]
     const first = stageCoordinator.prepare(createStageRequest({ stages: large }), NEVER)
     await vi.advanceTimersByTimeAsync(200)
--- a/test/gateway/support/fakes.ts
+++ b/test/gateway/support/fakes.ts
@@ -1,13 +1,13 @@
-import type { LogFields } from '@eidermast/common'
 /**
- * Fakes at the gateway's interfaces: a log that is kept, a stage service in
- * memory, and makers of records.
+ * Fakes for the gateway's interfaces: a log that keeps its lines, an in-memory
+ * stage service, and factories for records.
  */
+import type { LogFields } from '@eidermast/common'
 import type { BackendRecord, ColdPace, Configuration, CrashWatch, IntakeGate, ItemOutcome, Route, StageCallResult, StageClient, StageItem, StageLimits } from '@eidermast/gateway'
 import { EventLog } from '@eidermast/common'
 import { Backend, ItemFailure, StageCallEnd } from '@eidermast/gateway'
 
-/** A log whose lines are kept. */
+/** Creates a log that keeps its lines. */
 export function createLog(): { log: EventLog, lines: LogFields[] } {
   const lines: LogFields[] = []
   return { log: new EventLog({ write: line => lines.push(JSON.parse(line)) }, { process: 'test' }), lines }
@@ -56,29 +56,32 @@
   }
 }
 
-/** Nothing is known of crashes, and nothing is learned. */
+/** A crash watch that knows of no crashes and records none. */
 export const NO_CRASHES: CrashWatch = { noteBroken: async () => {}, noteAnswered: () => {}, crashCount: () => 0, refusal: () => undefined }
 
-/** A call that a fake stage backend server got. */
+/** A call received by a fake stage backend server. */
 export interface FakeStageCall {
   backendId: string
   items: readonly StageItem[]
 }
 
-/** What a fake stage backend server does with a call. */
+/** The outcome of a call: the same for all items, a failure for some items, or no response. */
 export type StageBehaviour = (call: FakeStageCall) => StageCallEnd | ((item: StageItem) => ItemFailure | undefined) | 'silent'
 
-/** A stage service in memory: one slot a backend server, results that last until they are freed or their backend server dies. */
+/**
+ * An in-memory stage service with one slot per backend server. Results last until
+ * they are freed or their backend server is killed.
+ */
 export class FakeStageService implements StageClient {
   readonly calls: FakeStageCall[] = []
   readonly freed: string[] = []
   readonly live = new Map<string, string>()
   behaviour: StageBehaviour = () => StageCallEnd.Done
-  /** How long a deletion takes, in milliseconds. */
-  freeTakesMs = 0
-  /** Free result memory that backend servers report, in bytes. */
+  /** Duration of a deletion, in milliseconds. */
+  freeDelayMs = 0
+  /** Free result memory that the backend servers report, in bytes. */
   reportedFreeBytes: number | undefined
-  private handlesGiven = 0
+  private handleCount = 0
 
   constructor(private readonly limits: StageLimits) {}
 
@@ -95,13 +98,13 @@
     const failureOf = typeof behaviour === 'function' ? behaviour : () => undefined
     const missing = items.map(item => item.inputs?.some(handle => !this.live.has(handle)) ?? false)
     await new Promise(resolve => setTimeout(resolve, this.limits.callMs + this.limits.itemMs * items.length))
-    const outcomes = items.map((item, index) => this.make(backend, missing[index] ? ItemFailure.InputGone : failureOf(item)))
+    const outcomes = items.map((item, index) => this.createOutcome(backend, missing[index] ? ItemFailure.InputGone : failureOf(item)))
     return { end: StageCallEnd.Done, outcomes }
   }
 
   async free(_backend: Backend, handles: readonly string[]): Promise<boolean> {
-    if (this.freeTakesMs > 0)
-      await new Promise(resolve => setTimeout(resolve, this.freeTakesMs))
+    if (this.freeDelayMs > 0)
+      await new Promise(resolve => setTimeout(resolve, this.freeDelayMs))
     for (const handle of handles) {
       this.freed.push(handle)
       this.live.delete(handle)
@@ -113,25 +116,25 @@
     return this.reportedFreeBytes
   }
 
-  /** The backend server dies with its results. */
+  /** Ends a backend server, which loses its results. */
   kill(backendId: string): void {
-    for (const [handle, maker] of this.live) {
-      if (maker === backendId)
+    for (const [handle, backend] of this.live) {
+      if (backend === backendId)
         this.live.delete(handle)
     }
   }
 
-  private make(backend: Backend, failure: ItemFailure | undefined): ItemOutcome {
+  private createOutcome(backend: Backend, failure: ItemFailure | undefined): ItemOutcome {
     if (failure)
       return { failure }
-    const handle = `${backend.id}/${this.handlesGiven++}`
+    const handle = `${backend.id}/${this.handleCount++}`
     this.live.set(handle, backend.id)
     return { handle }
   }
 }
 
-/** Backend servers say nothing of the requests that they take. */
+/** A gate for backend servers that accept all requests. */
 export const OPEN_INTAKE: IntakeGate = { waitMs: () => 0, noteSent: () => {}, noteAnswer: () => {} }
 
-/** Cold backend servers take as much as others. */
-export const NO_COLD_BOUND: Pick<ColdPace, 'mayTake' | 'note'> = { mayTake: () => true, note: () => {} }
+/** Allows any number of requests to cold backend servers. */
+export const UNLIMITED_COLD_PACE: Pick<ColdPace, 'mayTake' | 'note'> = { mayTake: () => true, note: () => {} }
--- a/test/gateway/support/random.ts
+++ b/test/gateway/support/random.ts
@@ -1,8 +1,8 @@
 /**
- * Random numbers that a seed decides.
+ * Seeded random numbers.
  */
 
-/** Random numbers from 0 to 1 by a seed (mulberry32). */
+/** Creates a generator of random numbers in [0, 1) from a seed (mulberry32). */
 export function createRandom(seed: number): () => number {
   let state = seed
   return () => {
--- a/test/gateway/support/stage-coordinator.ts
+++ b/test/gateway/support/stage-coordinator.ts
@@ -1,19 +1,19 @@
 /**
- * A stage coordinator with a fake stage service, and requests for it.
+ * Creates stage coordinators with a fake stage service, and requests for them.
  */
 import type { CrashWatch, PreparationRequest } from '@eidermast/gateway'
 import { BackendRegistry, RouteTable, StageCoordinator } from '@eidermast/gateway'
-import { createConfiguration, createLog, createRecord, createStageLimits, FakeStageService, NO_COLD_BOUND, NO_CRASHES, OPEN_INTAKE } from './fakes.js'
+import { createConfiguration, createLog, createRecord, createStageLimits, FakeStageService, NO_CRASHES, OPEN_INTAKE, UNLIMITED_COLD_PACE } from './fakes.js'
 
 const LIMITS = createStageLimits()
 
-/** A coordinator of two stage services, `encode` and `rerank`, with a fake stage service behind it. */
+/** Creates a coordinator of two stage services, `encode` and `rerank`, with a fake stage client. */
 export function createCoordinator(backends: { id: string, failureDomain?: string, service?: string }[], crashes: CrashWatch = NO_CRASHES) {
   const { log, lines } = createLog()
   const registry = new BackendRegistry(log)
   const service = new FakeStageService(LIMITS)
   const retries = { allowed: 10 }
-  const stageCoordinator = new StageCoordinator(registry, { client: service, retryBudget: { takeRetry: () => retries.allowed-- > 0 }, coldPace: NO_COLD_BOUND, intake: OPEN_INTAKE, crashes, log })
+  const stageCoordinator = new StageCoordinator(registry, { client: service, retryBudget: { takeRetry: () => retries.allowed-- > 0 }, coldPace: UNLIMITED_COLD_PACE, intake: OPEN_INTAKE, crashes, log })
   stageCoordinator.applyConfiguration(new RouteTable(createConfiguration({ services: [
     { name: 'encode', maxConnections: 9, stage: LIMITS },
     { name: 'rerank', maxConnections: 9, stage: LIMITS },
@@ -23,7 +23,7 @@
   return { stageCoordinator, registry, service, lines, retries }
 }
 
-/** A request for two items of `encode`. */
+/** Creates a request for two items of `encode`. */
 export function createStageRequest(overrides: Partial<PreparationRequest> = {}): PreparationRequest {
   return {
     requestId: 'request-1',
@@ -38,7 +38,7 @@
   }
 }
 
-/** Two items of `encode`, read by one of `rerank`. */
+/** Two items of `encode`, whose results are read by one item of `rerank`. */
 export const TWO_STAGES = [
   { service: 'encode', dependsOn: [], resultBytes: 10, items: 2 },
   { service: 'rerank', dependsOn: [0], resultBytes: 10, items: 1 },
--- a/test/gateway/support/stage-load.ts
+++ b/test/gateway/support/stage-load.ts
@@ -1,91 +1,91 @@
 /**
- * Load on a stage coordinator without a network: requests at random times by a
- * seed, three stage services, and what their callers get. Plays under fake
- * timers.
+ * Simulates load on a stage coordinator without a network: requests at random
+ * times from a seed, three stage services, and the outcomes for the clients. Runs
+ * under fake timers.
  */
 import type { Backend, PreparationFailure, PreparationRequest, PreparationStage, StageCallResult, StageClient, StageItem, StageLimits } from '@eidermast/gateway'
 import { BackendRegistry, RouteTable, StageCallEnd, StageCoordinator } from '@eidermast/gateway'
 import { vi } from 'vitest'
-import { createConfiguration, createLog, createRecord, createStageLimits, NO_COLD_BOUND, NO_CRASHES, OPEN_INTAKE } from './fakes.js'
+import { createConfiguration, createLog, createRecord, createStageLimits, NO_CRASHES, OPEN_INTAKE, UNLIMITED_COLD_PACE } from './fakes.js'
 import { createRandom } from './random.js'
 
 const FAILURE_DOMAINS = ['a', 'b', 'c', 'd', 'e', 'f']
 /** Backend servers of each stage service. */
-const BACKENDS: BackendCounts = { encode: 24, retrieve: 24, rerank: 24 }
+const DEFAULT_BACKENDS: BackendCounts = { encode: 24, retrieve: 24, rerank: 24 }
 const ENGINES = 60
 const LIMITS: Record<string, StageLimits> = {
   encode: createStageLimits({ batch: 8, callMs: 240, itemMs: 26, resultMemoryBytes: 9_600_000 }),
   retrieve: createStageLimits({ batch: 18, callMs: 240, itemMs: 11, resultMemoryBytes: 2_000_000 }),
   rerank: createStageLimits({ batch: 24, callMs: 240, itemMs: 9, resultMemoryBytes: 260_000 }),
 }
-/** Milliseconds after its stages until a request's engine has read their results. */
-const READ_MS = 150
-/** Milliseconds until the last of them has ended. */
-const REST_MS = 4000
+/** Time from the end of its stages until the engine of a request has read their results. */
+const RESULT_READ_MS = 150
+/** Time after the load in which the last requests end. */
+const SETTLE_MS = 4000
 
-/** Backend servers of each stage service. */
+/** Number of backend servers of each stage service. */
 export interface BackendCounts {
   encode: number
   retrieve: number
   rerank: number
 }
 
-/** A time in which more requests of a kind come; in milliseconds from the start of the load. */
+/** A period with more requests of a class, in milliseconds from the start of the load. */
 export interface Burst {
   from: number
   to: number
   factor: number
 }
 
-/** A kind of request. */
-export interface LoadKind {
-  /** Requests a second. */
+/** A class of requests. */
+export interface RequestClass {
+  /** Requests per second. */
   rate: number
   /** @default none */
   burst?: Burst
   priority: number
   targetMs: number
-  /** Tokens of its own. */
+  /** Prompt tokens of each request, not shared with others. */
   tokens: number
   stages: PreparationStage[]
 }
 
-/** What the callers of one kind got. */
-export interface KindOutcome {
-  asked: number
+/** The outcomes for the clients of one class. */
+export interface RequestClassOutcome {
+  sent: number
   /** Answered within the target. */
   inTime: number
   refused: number
-  /** Times of the stages in milliseconds, the shortest first. */
+  /** Duration of the stages in milliseconds, in ascending order. */
   stageTimes: number[]
 }
 
-/** A time in which some backend servers take longer for each call; in milliseconds from the start of the load. */
-export interface SlowTime {
+/** A period in which some backend servers take longer for each call, in milliseconds from the start of the load. */
+export interface Slowdown {
   from: number
   to: number
-  /** Share of the backend servers. */
+  /** Fraction of the backend servers affected. */
   share: number
-  /** Milliseconds more for each call. */
-  moreMs: number
+  /** Added to the duration of each call. */
+  extraCallMs: number
 }
 
-/** What differs between plays. */
+/** What differs between simulations. */
 export interface StageLoadOptions {
-  /** Milliseconds for which requests come. @default 3000 */
+  /** Duration of the load. @default 3000 */
   loadMs?: number
-  /** Times that a refused caller comes back after the time that it was told. @default 0 */
-  returns?: number
+  /** Retries of a refused client, each after the advertised delay. @default 0 */
+  maxRetries?: number
   /** @default none */
-  slowTime?: SlowTime
-  /** @default BACKENDS */
+  slowdown?: Slowdown
+  /** @default DEFAULT_BACKENDS */
   backends?: BackendCounts
 }
 
-/** Three stages in a row, and one beside them whose large results are read at the end. */
-export function createChain(besideItems: number): PreparationStage[] {
+/** Three stages in a row, and one in parallel whose large results are read at the end. */
+export function createChain(parallelItems: number): PreparationStage[] {
   return [
-    { service: 'encode', dependsOn: [], resultBytes: 800_000, items: besideItems },
+    { service: 'encode', dependsOn: [], resultBytes: 800_000, items: parallelItems },
     { service: 'encode', dependsOn: [], resultBytes: 8000, items: 1 },
     { service: 'retrieve', dependsOn: [1], resultBytes: 60_000, items: 4 },
     { service: 'rerank', dependsOn: [2], resultBytes: 6000, items: 6 },
@@ -93,21 +93,21 @@
 }
 
 /** One stage with large results. */
-export function createLargeStage(items: number): PreparationStage[] {
+export function createLargeResultStage(items: number): PreparationStage[] {
   return [{ service: 'encode', dependsOn: [], resultBytes: 800_000, items }]
 }
 
-/** Stage backend servers that take exactly the configured time, but for those that a slow time concerns. */
+/** Stage backend servers that take exactly the configured time, except during a slowdown. */
 class ExactStageClient implements StageClient {
-  private made = 0
+  private resultCount = 0
   private readonly startedAt = performance.now()
 
-  constructor(private readonly backends: BackendCounts, private readonly slowTime?: SlowTime) {}
+  constructor(private readonly backends: BackendCounts, private readonly slowdown?: Slowdown) {}
 
   async run(backend: Backend, items: readonly StageItem[]): Promise<StageCallResult> {
     const { callMs, itemMs } = LIMITS[backend.service]
-    await new Promise(resolve => setTimeout(resolve, callMs + itemMs * items.length + this.moreMs(backend)))
-    return { end: StageCallEnd.Done, outcomes: items.map(() => ({ handle: `result-${this.made++}` })) }
+    await new Promise(resolve => setTimeout(resolve, callMs + itemMs * items.length + this.extraCallMs(backend)))
+    return { end: StageCallEnd.Done, outcomes: items.map(() => ({ handle: `result-${this.resultCount++}` })) }
   }
 
   async free(): Promise<boolean> {
@@ -116,18 +116,18 @@
 
   async freeResultMemory(): Promise<undefined> {}
 
-  private moreMs({ id, service }: Backend): number {
-    const { from, to, share, moreMs } = this.slowTime ?? { from: 0, to: 0, share: 0, moreMs: 0 }
+  private extraCallMs({ id, service }: Backend): number {
+    const { from, to, share, extraCallMs } = this.slowdown ?? { from: 0, to: 0, share: 0, extraCallMs: 0 }
     const elapsedMs = performance.now() - this.startedAt
-    const isConcerned = Number(id.split('-')[1]) < share * this.backends[service as keyof BackendCounts]
-    return isConcerned && elapsedMs >= from && elapsedMs < to ? moreMs : 0
+    const isAffected = Number(id.split('-')[1]) < share * this.backends[service as keyof BackendCounts]
+    return isAffected && elapsedMs >= from && elapsedMs < to ? extraCallMs : 0
   }
 }
 
-function createLoadedCoordinator(backends: BackendCounts, slowTime?: SlowTime): StageCoordinator {
+function createLoadCoordinator(backends: BackendCounts, slowdown?: Slowdown): StageCoordinator {
   const { log } = createLog()
   const registry = new BackendRegistry(log)
-  const coordinator = new StageCoordinator(registry, { client: new ExactStageClient(backends, slowTime), retryBudget: { takeRetry: () => true }, coldPace: NO_COLD_BOUND, intake: OPEN_INTAKE, crashes: NO_CRASHES, log })
+  const coordinator = new StageCoordinator(registry, { client: new ExactStageClient(backends, slowdown), retryBudget: { takeRetry: () => true }, coldPace: UNLIMITED_COLD_PACE, intake: OPEN_INTAKE, crashes: NO_CRASHES, log })
   const services = Object.entries(LIMITS).map(([name, stage]) => ({ name, maxConnections: 9, stage }))
   coordinator.applyConfiguration(new RouteTable(createConfiguration({ services })))
   const counts = [...Object.entries(backends).map(([service, count]) => ({ service, count: count as number })), { service: 'model', count: ENGINES }]
@@ -138,58 +138,61 @@
   return coordinator
 }
 
-/** Plays requests of some kinds by a seed; the outcomes are in the order of the kinds. Needs fake timers. */
-export async function playStageLoad(kinds: readonly LoadKind[], seed: number, { loadMs = 3000, returns = 0, slowTime, backends = BACKENDS }: StageLoadOptions = {}): Promise<KindOutcome[]> {
-  const coordinator = createLoadedCoordinator(backends, slowTime)
+/**
+ * Simulates requests of several classes from a seed, and returns the outcomes in
+ * the order of the classes. Needs fake timers.
+ */
+export async function simulateStageLoad(classes: readonly RequestClass[], seed: number, { loadMs = 3000, maxRetries = 0, slowdown, backends = DEFAULT_BACKENDS }: StageLoadOptions = {}): Promise<RequestClassOutcome[]> {
+  const coordinator = createLoadCoordinator(backends, slowdown)
   const random = createRandom(seed)
-  const outcomes = kinds.map((): KindOutcome => ({ asked: 0, inTime: 0, refused: 0, stageTimes: [] }))
-  const totalRateAt = (at: number): number => kinds.reduce((sum, kind) => sum + rateAt(kind, at), 0)
-  const draw = (at: number): number => {
+  const outcomes = classes.map((): RequestClassOutcome => ({ sent: 0, inTime: 0, refused: 0, stageTimes: [] }))
+  const totalRateAt = (at: number): number => classes.reduce((sum, requestClass) => sum + rateAt(requestClass, at), 0)
+  const pickClass = (at: number): number => {
     let left = random() * totalRateAt(at)
-    return Math.max(0, kinds.findIndex(kind => (left -= rateAt(kind, at)) < 0))
+    return Math.max(0, classes.findIndex(requestClass => (left -= rateAt(requestClass, at)) < 0))
   }
   let number = 0
   for (let at = 0; at < loadMs; at += -Math.log(1 - random()) * 1000 / totalRateAt(at)) {
-    const kind = draw(at)
-    const request = describe(kinds[kind], `request-${number++}`, FAILURE_DOMAINS[Math.floor(random() * FAILURE_DOMAINS.length)])
-    outcomes[kind].asked++
-    setTimeout(() => void ask(coordinator, request, outcomes[kind], returns), at)
+    const classIndex = pickClass(at)
+    const request = createRequest(classes[classIndex], `request-${number++}`, FAILURE_DOMAINS[Math.floor(random() * FAILURE_DOMAINS.length)])
+    outcomes[classIndex].sent++
+    setTimeout(() => void send(coordinator, request, outcomes[classIndex], maxRetries), at)
   }
-  await vi.advanceTimersByTimeAsync(loadMs + REST_MS)
+  await vi.advanceTimersByTimeAsync(loadMs + SETTLE_MS)
   coordinator.stop()
   outcomes.forEach(({ stageTimes }) => stageTimes.sort((left, right) => left - right))
   return outcomes
 }
 
-function describe({ stages, priority, targetMs, tokens }: LoadKind, requestId: string, failureDomain: string): PreparationRequest {
+function createRequest({ stages, priority, targetMs, tokens }: RequestClass, requestId: string, failureDomain: string): PreparationRequest {
   const prompt = [{ id: requestId, tokens }]
   return { requestId, stages, key: requestId, priority, targetMs, deadlineMs: 8000, isRetry: false, failureDomain, service: 'model', prompt }
 }
 
-async function ask(coordinator: StageCoordinator, request: PreparationRequest, outcome: KindOutcome, returns: number): Promise<void> {
-  const askedAt = performance.now()
+async function send(coordinator: StageCoordinator, request: PreparationRequest, outcome: RequestClassOutcome, retriesLeft: number): Promise<void> {
+  const sentAt = performance.now()
   const result = await coordinator.prepare(request, new AbortController().signal)
   if (result.isErr()) {
-    comeBack(coordinator, request, outcome, returns, result.error)
+    retryOrCount(coordinator, request, outcome, retriesLeft, result.error)
     return
   }
-  const tookMs = performance.now() - askedAt
+  const tookMs = performance.now() - sentAt
   outcome.stageTimes.push(tookMs)
-  if (tookMs + READ_MS <= request.targetMs)
+  if (tookMs + RESULT_READ_MS <= request.targetMs)
     outcome.inTime++
-  setTimeout(() => coordinator.release(request.requestId), READ_MS)
+  setTimeout(() => coordinator.release(request.requestId), RESULT_READ_MS)
 }
 
-/** A refused caller asks again after the time that it was told, if it comes back; its target counts from then. */
-function comeBack(coordinator: StageCoordinator, request: PreparationRequest, outcome: KindOutcome, returns: number, { retryAfterMs }: PreparationFailure): void {
-  if (returns === 0) {
+/** Retries after the advertised delay if retries are left, with a new target; otherwise counts the refusal. */
+function retryOrCount(coordinator: StageCoordinator, request: PreparationRequest, outcome: RequestClassOutcome, retriesLeft: number, { retryAfterMs }: PreparationFailure): void {
+  if (retriesLeft === 0) {
     outcome.refused++
     return
   }
-  setTimeout(() => void ask(coordinator, { ...request, isRetry: true }, outcome, returns - 1), retryAfterMs)
+  setTimeout(() => void send(coordinator, { ...request, isRetry: true }, outcome, retriesLeft - 1), retryAfterMs)
 }
 
-/** Requests of a kind in a second, at a moment of the load in milliseconds. */
-function rateAt({ rate, burst }: LoadKind, at: number): number {
+/** Request rate of a class at a time in milliseconds from the start of the load. */
+function rateAt({ rate, burst }: RequestClass, at: number): number {
   return burst && at >= burst.from && at < burst.to ? rate * burst.factor : rate
 }
