--- a/packages/gateway/src/process/backend-list.ts
+++ b/packages/gateway/src/process/backend-list.ts
@@ -1,12 +1,12 @@
 /**
- * The platform's list of backend servers as this process knows it, from its
- * own reads and from peers: whichever is newer, so that it never goes back. A
- * lost read keeps a process from the changes for seconds without a sign; its
- * peers know them meanwhile.
+ * This gateway's replica of the platform's backend server list, merged from its
+ * own reads and from updates of peers. The higher revision wins, so the replica
+ * never moves backwards. Peer updates cover the seconds during which a read of
+ * the store may hang on a dead connection without an error.
  *
- * It owns the newest entry of each backend server with its revision, in memory;
- * a process that starts has none and takes the whole list from the first source
- * that brings it. The registry holds the backend servers themselves.
+ * Holds the latest entry of each backend server and its revision in memory. A
+ * new process starts empty and loads the whole list from the first source that
+ * delivers it. The `Backend` objects belong to the registry.
  */
 import type { EventLog } from '@eidermast/common'
 import type { BackendChange, LapsingBackend, ListedBackend, ListedBackends } from '../connection/backends/backend.js'
@@ -20,21 +20,21 @@
 import { OlderCopy } from './older-copy.js'
 
 /**
- * Changes that are kept for peers. A site of 236 backend servers has some a
- * second, and a peer that is further behind fetches the whole list.
+ * Number of recent changes kept for peers. A site of 236 backend servers has
+ * several changes per second; a peer that is further behind fetches the whole list.
  */
 const MAX_CHANGES = 200
 
-/** Keeps the newest list; each change goes on to the registry once. */
+/** Maintains the latest list and applies each change to the registry exactly once. */
 export class BackendList implements BackendSink {
   private readonly entries = new Map<string, ListedBackend>()
   private currentRevision = 0
-  /** The newest changes in their order, for peers. */
+  /** Most recent changes for peers, oldest first. */
   private readonly changes: BackendChange[] = []
-  /** Revision after which `changes` holds every one. */
+  /** `changes` is complete for all revisions above this one. */
   private changesFrom = 0
   private sourceAway = false
-  /** Holds to what is known where the source comes back from an older copy. */
+  /** Overrides stale entries after the store was restored from an older snapshot. */
   private readonly olderCopy = new OlderCopy(entry => this.list(entry))
   private readonly log: GatewayLog
 
@@ -42,17 +42,17 @@
     this.log = new GatewayLog(log)
   }
 
-  /** Up to which change the list is known; 0 before any source brought it. */
+  /** Revision of the list; 0 before it was first loaded. */
   get revision(): number {
     return this.currentRevision
   }
 
-  /** Whether the source does not answer. */
+  /** Whether the list's source does not respond. */
   get isSourceAway(): boolean {
     return this.sourceAway
   }
 
-  /** The list as it is passed on to peers. */
+  /** The list as sent to peers. */
   get current(): ListedBackends {
     return { revision: this.currentRevision, entries: [...this.entries.values()], lapsing: this.registry.lapsing }
   }
@@ -70,7 +70,7 @@
     this.registry.noteSourceReturned(outage)
   }
 
-  /** Takes the source's whole list, unless it is older than what peers have told. */
+  /** Applies a whole list from the source; ignored if peers have already sent a newer one. */
   replaceAll({ revision, entries }: ListedBackends): void {
     if (revision < this.currentRevision)
       return
@@ -94,7 +94,7 @@
       this.registry.unlist(id)
   }
 
-  /** The changes after a revision, for a peer that has the list up to there; undefined where some are forgotten here. */
+  /** Changes after `revision`, for a peer that is up to date to that point; undefined if some of them are no longer kept. */
   changesSince(revision: number): BackendChange[] | undefined {
     if (revision >= this.currentRevision)
       return []
@@ -105,7 +105,7 @@
       .map(change => ({ ...change, usedForMs: change.record ? undefined : usedForMs.get(change.id) }))
   }
 
-  /** Takes changes that a peer told, up to its revision. */
+  /** Applies changes received from a peer and advances to the peer's revision. */
   adoptChanges(changes: readonly BackendChange[], revision: number, peer: Member): void {
     if (revision <= this.currentRevision)
       return
@@ -117,7 +117,7 @@
     this.currentRevision = revision
   }
 
-  /** Takes a peer's whole list where it is newer than this one. */
+  /** Applies a peer's whole list if it is newer than this one. */
   adopt(list: ListedBackends, peer: Member): void {
     if (list.revision <= this.currentRevision)
       return
@@ -141,7 +141,7 @@
     this.registry.noteWholeList()
   }
 
-  /** Takes one change where it is news; what has gone is left to the caller. Returns whether it was. */
+  /** Applies one change if it is newer than the known entry; the caller unlists removed backend servers. Returns whether it was applied. */
   private take(change: BackendChange): boolean {
     const { id, revision, record } = change
     if (revision <= this.currentRevision)
@@ -149,7 +149,7 @@
     this.currentRevision = revision
     this.olderCopy.noteChange(id, record)
     this.remember(change)
-    // A whole list may hold newer entries than its revision says.
+    // A whole list may contain entries that are newer than its own revision.
     if (revision <= this.revisionOf(id))
       return false
     if (record) {
@@ -161,12 +161,12 @@
     return true
   }
 
-  /** What is listed up to now. */
+  /** View of the current list for the reconciler. */
   private get known(): KnownList {
     return { revision: this.currentRevision, find: id => this.entries.get(id)?.record }
   }
 
-  /** Entries that are listed now and are missing in a whole list. */
+  /** Current entries that a whole list no longer contains. */
   private missingIn(entries: readonly ListedBackend[]): ListedBackend[] {
     const listed = new Set(entries.map(({ record }) => lifeOf(record)))
     return [...this.entries.values()].filter(({ record }) => !listed.has(lifeOf(record)))
@@ -197,7 +197,7 @@
       this.changesFrom = forgotten.revision
   }
 
-  /** A whole list does not say which changes led to it. */
+  /** A whole list does not contain the individual changes that led to it. */
   private forgetChanges(revision: number): void {
     this.changes.length = 0
     this.changesFrom = revision
--- a/packages/gateway/src/process/backend-registry.ts
+++ b/packages/gateway/src/process/backend-registry.ts
@@ -1,8 +1,8 @@
 /**
- * The backend servers that the platform lists, by service. It owns the
- * `Backend` objects, and with them what was learned of each, from the listing
- * of an id until its removal. All of it is lost with the process; the next one
- * reads the list again.
+ * Registry of the backend servers that the platform lists, indexed by id and by
+ * service. Owns the `Backend` objects, including the state learned about each,
+ * from listing until removal. Everything is in memory; a new process loads the
+ * list again.
  */
 import type { EventLog } from '@eidermast/common'
 import type { BackendRecord, LapsingBackend } from '../connection/backends/backend.js'
@@ -12,45 +12,45 @@
 import { IntakeMemory } from './intake/intake-memory.js'
 import { decideLapseGrace } from './lapse-grace.js'
 
-/** What follows changes of the registry. */
+/** Callbacks for changes of the registry. */
 export interface BackendListener {
   added?: (backend: Backend) => void
   removed?: (backend: Backend) => void
-  /** It began to leave, its failure domain is evacuated, or it takes work again. */
+  /** The backend server started or stopped draining, or its failure domain was evacuated or restored. */
   stateChanged?: (backend: Backend) => void
 }
 
-/** The removal of a backend server whose entry has gone. */
+/** Scheduled removal of a backend server whose entry has expired. */
 interface Removal {
   timer: NodeJS.Timeout
-  /** Milliseconds of the process clock. */
+  /** Due time on the monotonic clock, in milliseconds. */
   at: number
 }
 
-/** Holds backend servers; the list upserts and removes them. */
+/** Backend servers by id and service; updated by `BackendList`. */
 export class BackendRegistry {
   private readonly byId = new Map<string, Backend>()
   private readonly byService = new Map<string, Set<Backend>>()
   private readonly intakeMemory = new IntakeMemory()
   private readonly listeners: BackendListener[] = []
-  /** Until when entries that go are used on: milliseconds of the process clock. */
+  /** End of the grace period for removed entries, on the monotonic clock in milliseconds. */
   private graceUntil = 0
-  /** When the list was read last, and when before that: milliseconds of the process clock. */
+  /** Times of the last two reads of the list, on the monotonic clock in milliseconds. */
   private readAt = performance.now()
   private readBeforeAt = performance.now()
-  /** Removals to come of backend servers whose entries have gone, by id. */
+  /** Scheduled removals of backend servers whose entries have expired, by id. */
   private readonly lapsed = new Map<string, Removal>()
-  /** Why entries may have lapsed; absent before the first outage. */
+  /** Last outage of the list's source, in which entries may have expired; undefined before the first one. */
   private lastOutage: SourceOutage | undefined
-  /** Failure domains whose backend servers get no work. */
+  /** Evacuated failure domains; their backend servers get no work. */
   private evacuated: ReadonlySet<string> = new Set()
-  /** A whole list was taken: what is listed from now on has started since. */
+  /** A whole list has been loaded, so any backend server added from now on has just started. */
   private hasList = false
   private readonly log: GatewayLog
 
   constructor(
     log: EventLog,
-    /** How long a backend server of a service is cold after its start, in milliseconds. */
+    /** Cold-start period of a service's backend servers, in milliseconds. */
     private readonly coldStartMs: (service: string) => number = () => 0,
   ) {
     this.log = new GatewayLog(log)
@@ -60,7 +60,7 @@
     this.listeners.push(listener)
   }
 
-  /** Backend servers known, also those that are leaving. */
+  /** Number of known backend servers, including draining ones. */
   get size(): number {
     return this.byId.size
   }
@@ -69,12 +69,12 @@
     return this.byId.get(id)
   }
 
-  /** Backend servers of a service that take new work. */
+  /** Backend servers of a service that accept new work. */
   available(service: string): Backend[] {
     return [...this.byService.get(service) ?? []].filter(backend => backend.takesWork)
   }
 
-  /** How many backend servers of a service take new work in each failure domain. */
+  /** Number of backend servers of a service that accept new work, by failure domain. */
   countByDomain(service: string): Map<string, number> {
     const counts = new Map<string, number>()
     for (const { takesWork, failureDomain } of this.byService.get(service) ?? []) {
@@ -84,57 +84,57 @@
     return counts
   }
 
-  /** Milliseconds since the list was read last: a change that is not known here may be as old. */
+  /** Age of the last read of the list in milliseconds; an upper bound on the age of any change not yet seen. */
   get listAgeMs(): number {
     return performance.now() - this.readAt
   }
 
-  /** The platform or a peer gave the list; called before what it brings. */
+  /** The platform or a peer delivered the list; called before the changes are applied. */
   noteListRead(): void {
     this.readBeforeAt = this.readAt
     this.readAt = performance.now()
   }
 
-  /** The source answers again after failures: entries may have lapsed meanwhile. */
+  /** The source responds again after an outage, during which entries may have expired. */
   noteSourceReturned(outage: SourceOutage): void {
     this.lastOutage = outage
     this.graceUntil = performance.now() + decideLapseGrace(outage)
   }
 
-  /** Lists a backend server, or changes what is listed of it. */
+  /** Adds a backend server or updates its record. */
   upsert(record: BackendRecord): void {
     this.endLapse(record.id)
     const existing = this.byId.get(record.id)
     if (existing && isSameProcess(existing.record, record))
       return this.update(existing, record)
     if (existing)
-      this.remove(record.id, 'it started again under its id')
+      this.remove(record.id, 'backend server restarted under the same id')
     this.add(record)
   }
 
-  /** Its entry has gone: it is removed, at once or after the time of grace. */
+  /** Removes a backend server whose entry was deleted, at once or after the current grace period. */
   unlist(id: string): void {
     this.unlistAfter(id, this.graceUntil - performance.now())
   }
 
-  /** Its entry has gone: it is removed, at once or after this many milliseconds, unless it is listed again before. */
+  /** Removes a backend server whose entry was deleted, after `graceMs` milliseconds unless it is listed again before then. */
   unlistAfter(id: string, graceMs: number): void {
     if (graceMs <= 0 || !this.byId.has(id))
-      return this.remove(id, 'its entry is gone')
+      return this.remove(id, 'list entry was removed')
     if (this.lapsed.has(id))
       return
     this.log.backendLapsed(id, graceMs, this.lastOutage)
-    const timer = setTimeout(() => this.remove(id, 'its entry lapsed and did not come back'), graceMs)
+    const timer = setTimeout(() => this.remove(id, 'list entry expired and was not renewed'), graceMs)
     this.lapsed.set(id, { timer: timer.unref(), at: performance.now() + graceMs })
   }
 
-  /** Backend servers whose entries have gone and that are used on. */
+  /** Backend servers whose entries have expired and that still get work for a grace period. */
   get lapsing(): LapsingBackend[] {
     const now = performance.now()
     return [...this.lapsed].map(([id, { at }]) => ({ id, remainingMs: at - now }))
   }
 
-  /** Sends nothing to it from now on. */
+  /** Removes a backend server immediately; it gets no further work. */
   remove(id: string, reason: string): void {
     this.endLapse(id)
     const backend = this.byId.get(id)
@@ -149,19 +149,19 @@
       listener.removed?.(backend)
   }
 
-  /** A backend server says by itself that it leaves, whatever is listed of it. */
+  /** A backend server itself announced that it is leaving, regardless of its list entry. */
   noteLeaving(backend: Backend): void {
     if (!backend.removed)
       this.reportStateChange(backend)
   }
 
-  /** As `remove`, unless its id belongs to a later process of it by now. */
+  /** Like `remove`, unless the id now belongs to a newer process. */
   removeBackend(backend: Backend, reason: string): void {
     if (this.byId.get(backend.id) === backend)
       this.remove(backend.id, reason)
   }
 
-  /** Lists exactly these backend servers. */
+  /** Replaces the listed backend servers with exactly these. */
   replaceAll(records: readonly BackendRecord[]): void {
     const listed = new Set(records.map(record => record.id))
     for (const id of [...this.byId.keys()]) {
@@ -172,12 +172,12 @@
       this.upsert(record)
   }
 
-  /** A whole list was taken, from the source or from a peer. */
+  /** A whole list was loaded, from the source or from a peer. */
   noteWholeList(): void {
     this.hasList = true
   }
 
-  /** Exactly these failure domains are evacuated: their backend servers, and those that are listed there later, get no work. */
+  /** Replaces the set of evacuated failure domains. Also applies to backend servers that are listed there later. */
   setEvacuated(failureDomains: ReadonlySet<string>): void {
     this.evacuated = failureDomains
     for (const backend of this.byId.values()) {
@@ -191,13 +191,13 @@
     }
   }
 
-  /** Calls of this process under way at backend servers of evacuated failure domains. */
+  /** Calls of this process in flight to backend servers of evacuated failure domains. */
   get callsInEvacuated(): number {
     const evacuated = [...this.byId.values()].filter(backend => backend.evacuated)
     return evacuated.reduce((sum, { outstanding }) => sum + outstanding, 0)
   }
 
-  /** Milliseconds between the last two reads of the list: what the last one brought is at most that old. */
+  /** Interval between the last two reads of the list in milliseconds: the maximum age of a change in the last one. */
   private get noticedWithinMs(): number {
     return this.readAt - this.readBeforeAt
   }
@@ -215,9 +215,9 @@
 
   private update(backend: Backend, record: BackendRecord): void {
     const stateChanged = backend.record.draining !== record.draining
-    // The same entry read again says nothing new of how long it is cold.
+    // Reading an unchanged entry again must not extend the cold period.
     const coldMs = record.coldMs === backend.record.coldMs ? 0 : record.coldMs
-    // Releases that do not know when a process started leave it out.
+    // Older releases do not report the start time of the process.
     backend.record = { ...record, born: record.born ?? backend.record.born }
     this.noteCold(backend, coldMs ?? 0)
     if (!stateChanged)
@@ -250,7 +250,7 @@
   }
 }
 
-/** Whether two records are of one process: nothing that was learned of it holds for a later one. */
+/** Whether two records describe the same process; state learned about one process does not apply to a later one. */
 function isSameProcess(known: BackendRecord, record: BackendRecord): boolean {
   return known.born === undefined || record.born === undefined || known.born === record.born
 }
--- a/packages/gateway/src/process/call-reports.ts
+++ b/packages/gateway/src/process/call-reports.ts
@@ -1,19 +1,18 @@
 /**
- * Reports calls that wait for a connection and start, to metrics and log. It
- * owns nothing.
+ * Reports the connection wait of calls to metrics and log. Stateless.
  */
 import type { CallStart, CallWatch } from '../connection/backends/work-call.js'
 import type { GatewayLog } from './gateway-log.js'
 import type { GatewayMetrics } from './gateway-metrics.js'
 
 /**
- * Milliseconds; a call that waits longer for its first byte is logged. Well
- * above a new connection's time, well below the two seconds after which a
- * leaving backend server may get nothing more.
+ * Wait for a connection, in milliseconds, above which a call is logged. Well
+ * above the time to open a connection, and well below the two seconds after
+ * which a leaving backend server may get no more work.
  */
 const LATE_CALL_MS = 300
 
-/** Counts calls, and logs those that start late or not at all. */
+/** Counts calls and logs those that are delayed or turned away. */
 export class CallReports implements CallWatch {
   constructor(private readonly metrics: GatewayMetrics, private readonly log: GatewayLog) {}
 
--- a/packages/gateway/src/process/common-limits.ts
+++ b/packages/gateway/src/process/common-limits.ts
@@ -1,8 +1,8 @@
 /**
- * The parts of this gateway in what all gateways share: connections, retries,
- * requests to cold backend servers and to those that name a limit. How a part is
- * found is decided in `gateway-share.ts`; this module asks for what it follows
- * from, as of now, and owns nothing.
+ * This gateway's shares of the limits that apply to all gateways together:
+ * connections, the retry budget, request rates to cold backend servers and to
+ * backend servers that announce a rate limit. Stateless: reads the current
+ * inputs on each call; the shares are computed in `gateway-share.ts`.
  */
 import type { Backend } from '../connection/backends/backend.js'
 import type { ColdAllowance } from '../request/attempts/cold-pace.js'
@@ -11,41 +11,41 @@
 import { coldAllowancePerSecond, COORDINATED_SHARE, OWN_SHARE } from '../request/attempts/cold-pace.js'
 import { coordinatorPart, countSharingGateways, shareOfConnections } from './gateway-share.js'
 
-/** What the parts follow from. */
+/** Inputs of the shares. */
 export interface CommonLimitsParts {
-  /** Gateways listed, and the place of this one among them. */
+  /** Number of listed gateways, and the index of this one among them. */
   members: { readonly count: number, readonly place: number }
-  /** Gateways that this one hears. */
+  /** Number of gateways that send heartbeats to this one. */
   heardGateways: () => number
   findService: (name: string) => Service | undefined
   coldAllowance: ColdAllowance
 }
 
-/** Finds the parts of this gateway. */
+/** Computes this gateway's shares of deployment-wide limits. */
 export class CommonLimits {
   constructor(private readonly parts: CommonLimitsParts) {}
 
-  /** Connections to one backend server of a service. */
+  /** Maximum number of connections to one backend server of a service. */
   connections(service: string): number {
     return shareOfConnections(this.parts.findService(service)?.maxConnections ?? 0, this.parts.members.count)
   }
 
-  /** Gateways among which the retry budget is divided. */
+  /** Number of gateways that divide the retry budget. */
   sharingGateways(): number {
     return countSharingGateways(this.parts.members.count)
   }
 
-  /** Requests a second that this gateway may assign to one cold backend server of a service as a coordinator; undefined where there is no bound. */
+  /** Requests per second that this gateway as a coordinator may assign to one cold backend server of a service; undefined if unlimited. */
   coordinatedColdRate(service: string): number | undefined {
     return this.coldRate(service, COORDINATED_SHARE * this.coordinatorPart())
   }
 
-  /** The same for requests for which it chooses by itself. */
+  /** As `coordinatedColdRate`, for requests whose backend server this gateway selects itself. */
   ownColdRate(service: string): number | undefined {
     return this.coldRate(service, OWN_SHARE / this.sharingGateways())
   }
 
-  /** Place and part of this gateway where a backend server names a limit. */
+  /** Time slot and share of this gateway in the rate limit of a backend server. */
   ofLimit({ service }: Backend): LimitShare {
     const { members, findService } = this.parts
     const isCoordinated = findService(service)?.stage !== undefined
--- a/packages/gateway/src/process/coordinator-reads.ts
+++ b/packages/gateway/src/process/coordinator-reads.ts
@@ -1,28 +1,28 @@
 /**
- * Decides when this gateway makes its waiting reads of the platform's store
- * anew because the reads of the coordinator failed.
+ * Decides when this gateway restarts its pending reads of the platform's store
+ * because the coordinator's reads have failed.
  *
- * Inputs: whether the first coordinator says, with its answers to heartbeats,
- * that its source of backend servers does not answer (at most one heartbeat old).
- * Rule: once each time that it begins to say so.
- * Why: reads that were lost together say nothing of it, and those of a gateway
- * that is told of changes wait for longest. The coordinator notices first, and
- * cannot tell a store that was away, after which entries that lapsed come back,
- * from connections that were lost. A gateway whose new read is answered knows:
- * it goes by the list itself, and not by how long the coordinator uses on what
- * has gone.
- * Log event: `store-failed`, by the reads that were ended.
+ * Inputs: whether the first coordinator reports, in its heartbeat replies, that
+ * its source of backend servers does not respond (at most one heartbeat old).
+ * Rule: restart the reads once each time the coordinator starts to report it.
+ * Why: a read on a lost connection gives no error, and gateways that get updates
+ * from peers use the longest read time-outs, so the coordinator notices first.
+ * It cannot tell a store outage, after which expired entries are written again,
+ * from lost connections. A gateway whose restarted read succeeds can: it then
+ * follows the list itself instead of the coordinator's grace periods for removed
+ * entries.
+ * Log event: `store-failed`, for the reads that were aborted.
  */
 
-/** Follows what the coordinator says of its source. */
+/** Tracks whether the coordinator's source responds. */
 export class CoordinatorReads {
-  /** Name of the coordinator that said last that its source is away. */
+  /** Name of the coordinator whose last reply reported an outage of its source. */
   private awayAt: string | undefined
 
-  /** Takes what makes the reads anew. */
+  /** `readAnew` restarts the pending reads. */
   constructor(private readonly readAnew: () => void) {}
 
-  /** The first coordinator answered a heartbeat. */
+  /** Handles a heartbeat reply of the first coordinator. */
   takeWord(coordinator: string, isSourceAway: boolean): void {
     const isNews = isSourceAway && this.awayAt !== coordinator
     this.awayAt = isSourceAway ? coordinator : undefined
--- a/packages/gateway/src/process/gateway-log.ts
+++ b/packages/gateway/src/process/gateway-log.ts
@@ -1,6 +1,6 @@
 /**
- * The log events of a gateway's process, one function an event: its life, the
- * gateways that it knows and the backend servers that are listed.
+ * Log events of the gateway process, one method per event: process lifecycle,
+ * cluster members, and listed backend servers.
  */
 import type { EventLog } from '@eidermast/common'
 import type { Backend, BackendRecord } from '../connection/backends/backend.js'
@@ -12,7 +12,7 @@
 import process from 'node:process'
 import { formatError } from '@eidermast/common'
 
-/** Writes the events of the process. */
+/** Writes the log events of the process. */
 export class GatewayLog {
   constructor(private readonly log: EventLog) {}
 
@@ -28,12 +28,12 @@
     this.log.write('readiness', { ready, configuration, backends })
   }
 
-  /** The process was asked to stop; `graceMs` is the time that it has, in milliseconds. */
+  /** The process was asked to stop and has `graceMs` milliseconds left. */
   stopRequested(active: number, graceMs: number): void {
     this.log.write('stop', { active, graceMs })
   }
 
-  /** The time of day went on by this much more than the steady clock: the VM was suspended, or its time of day was set. */
+  /** Wall clock advanced by `awayMs` more than the monotonic clock: the VM was suspended, or its clock was set. */
   woke(awayMs: number): void {
     this.log.write('woke', { awayMs: Math.round(awayMs) })
   }
@@ -42,28 +42,28 @@
     this.log.write('stopped', { active, tookMs: Math.round(tookMs) })
   }
 
-  /** A peer that holds a newer configuration did not give it. */
+  /** Fetching a newer configuration from a peer failed. */
   peerConfigurationFailed(member: Member, error: unknown): void {
     this.log.write('peer-configuration-failed', { member: member.name, error: formatError(error) })
   }
 
-  /** A peer that holds a newer list of backend servers did not give it. */
+  /** Fetching a newer backend server list from a peer failed. */
   peerBackendsFailed(member: Member, error: unknown): void {
     this.log.write('peer-backends-failed', { member: member.name, error: formatError(error) })
   }
 
-  /** A peer's list replaced this process's own, which was read this many milliseconds ago. */
+  /** A peer's list replaced this process's own, which was read `listAgeMs` milliseconds ago. */
   backendListAdopted(member: Member, revision: number, previous: number, listAgeMs: number): void {
     this.log.write('backend-list', { source: member.name, revision, previous, listAgeMs: Math.round(listAgeMs) })
   }
 
-  /** A failure domain is evacuated from now on, or no longer, by this process's own reads or by the word of a peer. */
+  /** A failure domain was evacuated or restored, according to this process's own reads or to a peer. */
   evacuationChanged({ failureDomain, evacuated }: EvacuationOrder, source: string): void {
     this.log.write('evacuation', { domain: failureDomain, evacuated, source })
   }
 
   memberListed(member: Member, announcementOrder: number): void {
-    // Its own order is not known to a gateway until the directory lists it.
+    // A gateway learns its own announcement order only when the directory lists it.
     const seniority = Number.isFinite(announcementOrder) ? announcementOrder : undefined
     this.log.write('member-listed', { member: member.name, address: member.address, seniority })
   }
@@ -80,22 +80,22 @@
     this.log.write('member-recovered', { member: member.name })
   }
 
-  /** This process is short of processor time, or no longer. */
+  /** This process started or stopped being short of CPU time. */
   slownessChanged(slow: boolean, meanLatenessMs: number): void {
     this.log.write(slow ? 'slow' : 'no-longer-slow', { meanLatenessMs: Math.round(meanLatenessMs) })
   }
 
-  /** `members` counts the gateways listed, this one included. */
+  /** `members` is the number of listed gateways, including this one. */
   coordinatorChanged(coordinator: Member, previous: Member, members: number): void {
     this.log.write('stage-coordinator', { coordinator: coordinator.name, previous: previous.name, members })
   }
 
-  /** The gateway that coordinates a shard of the stage work is another one; absent before the first. */
+  /** Another gateway became the coordinator of a stage shard; `previous` is undefined for the first one. */
   shardCoordinatorChanged(shard: string, coordinator: Member, previous: Member | undefined): void {
     this.log.write('stage-coordinator', { shard, coordinator: coordinator.name, previous: previous?.name })
   }
 
-  /** The stage work is divided into other shards. */
+  /** The stage work was divided into different shards. */
   stageWorkDivided(shards: string, members: number): void {
     this.log.write('stage-division', { shards, members })
   }
@@ -104,32 +104,32 @@
     this.log.write('backend-added', { backend: id, service, failureDomain, address, draining })
   }
 
-  /** It is cold for this many milliseconds: it has just started, or says so. */
+  /** A backend server is cold for `coldMs` milliseconds: it has just started, or reports it itself. */
   backendCold({ id, service }: BackendRecord, coldMs: number): void {
     this.log.write('backend-cold', { backend: id, service, coldMs: Math.round(coldMs) })
   }
 
-  /** It names a limit of requests a second, another one, or none any more (absent), by an answer to this process or by the word of a peer. */
+  /** A backend server announced, changed or withdrew (undefined) its rate limit, in a response to this process or as reported by a peer. */
   backendLimitChanged({ id, service, intake: { limitPerSecond } }: Backend, previous: number | undefined, source: string): void {
     this.log.write('backend-limit', { backend: id, service, limitPerSecond, previous, source })
   }
 
-  /** It says in its answers that it leaves, by an answer to this process or by the word of a peer. */
+  /** A backend server announced that it is leaving, in a response to this process or as reported by a peer. */
   backendSaidLeaving({ id, service, record: { draining } }: Backend, source: string): void {
     this.log.write('backend-leaving', { backend: id, service, source, listedAsDraining: draining })
   }
 
-  /** It turned a request away and wants nothing more from this process for some time. */
+  /** A backend server rejected a request and asked this process to pause for `restMs` milliseconds. */
   backendAskedForRest({ id, service }: Backend, restMs: number): void {
     this.log.write('backend-rest', { backend: id, service, restMs: Math.round(restMs) })
   }
 
-  /** It began to leave, or takes work again; at most `noticedWithinMs` milliseconds ago. */
+  /** A backend server started or stopped draining, at most `noticedWithinMs` milliseconds ago. */
   backendStateChanged({ id, service, draining }: BackendRecord, noticedWithinMs: number): void {
     this.log.write('backend-state', { backend: id, service, draining, noticedWithinMs: Math.round(noticedWithinMs) })
   }
 
-  /** Its entry is gone, and it is used on for this long, in milliseconds, since the list was away before. */
+  /** An entry was removed after an outage of the list's source; its backend server is used for `usedForMs` milliseconds more. */
   backendLapsed(backend: string, usedForMs: number, outage: SourceOutage | undefined): void {
     this.log.write('backend-lapsed', {
       backend,
@@ -140,17 +140,17 @@
     })
   }
 
-  /** Calls to a backend server broke, of requests with these fingerprints, and it was asked whether its process is there. */
+  /** Calls to a backend server broke off, and its process was probed; `fingerprints` identifies the requests. */
   backendChecked({ id, service }: BackendRecord, presence: Presence, fingerprints: readonly string[]): void {
     this.log.write('backend-checked', { backend: id, service, presence, fingerprints: fingerprints.join(',') })
   }
 
-  /** Work waited long for its connection. */
+  /** A call waited long for a connection. */
   workSentLate({ backend, waitedMs }: CallStart): void {
     this.log.write('work-sent-late', { backend: backend.id, service: backend.service, waitedMs: Math.round(waitedMs) })
   }
 
-  /** Work that waited for its connection was not sent, since its backend server is leaving or removed, or takes no request now by its own word. */
+  /** A call that was waiting for a connection was not sent: its backend server is leaving, was removed, or accepts no requests at present. */
   workTurnedAway({ backend, waitedMs }: CallStart): void {
     const { id, service, record, removed, intake } = backend
     this.log.write('work-turned-away', {
@@ -165,7 +165,7 @@
     })
   }
 
-  /** Its entry went at most `noticedWithinMs` milliseconds before the list's last read. */
+  /** The entry was removed at most `noticedWithinMs` milliseconds before the last read of the list. */
   backendRemoved({ id, service }: BackendRecord, reason: string, noticedWithinMs: number): void {
     this.log.write('backend-removed', { backend: id, service, reason, noticedWithinMs: Math.round(noticedWithinMs) })
   }
--- a/packages/gateway/src/process/gateway-metrics.ts
+++ b/packages/gateway/src/process/gateway-metrics.ts
@@ -1,7 +1,7 @@
 /**
- * Metrics of a gateway, by prom-client. Names stay as the first release had
- * them (`replicas` counts backend servers, `owns_stages` shows the
- * coordinator). Counts begin at zero with each process.
+ * Prometheus metrics of a gateway. Names are kept from the first release
+ * (`replicas` counts backend servers, `owns_stages` shows the coordinator).
+ * Counters start at zero in each process.
  */
 import type { ClientServer } from '../connection/clients/client-server.js'
 import type { ConfigurationHolder } from '../version/configuration-holder.js'
@@ -11,12 +11,11 @@
 import type { Members } from './membership/members.js'
 import { Counter, Gauge, Histogram, Registry } from 'prom-client'
 
-/** Upper bounds in seconds. Around the latency targets of routes, which lie between tenths and some seconds. */
+/** Histogram bounds in seconds, around the routes' latency targets of tenths of a second to several seconds. */
 const SECONDS_BUCKETS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 4, 8, 16]
-/** Converts between seconds and milliseconds. */
 const MILLISECONDS_PER_SECOND = 1000
 
-/** The parts of a gateway whose values are read at the time of a scrape. */
+/** Components whose values are read at scrape time. */
 export interface GaugeSources {
   clients: ClientServer
   configuration: ConfigurationHolder
@@ -26,7 +25,7 @@
   evacuations: EvacuationList
 }
 
-/** Counters and histograms of one gateway. */
+/** Counters, histograms and gauges of one gateway. */
 export class GatewayMetrics {
   readonly registry = new Registry()
   private readonly requests = new Counter({
@@ -70,33 +69,33 @@
     registers: [this.registry],
   })
 
-  /** Counts a backend server that ended while requests ran there. */
+  /** Counts a backend server that ended while requests were running there. */
   countCrash(service: string): void {
     this.crashes.inc({ service })
   }
 
-  /** Counts a call that was turned away before its first byte. */
+  /** Counts a call that was turned away before its first byte was sent. */
   countTurnedAway(): void {
     this.turnedAway.inc()
   }
 
-  /** Counts a call whose first byte is sent after this time in milliseconds. */
+  /** Records the wait in milliseconds between a call and its first byte. */
   countCallStart(waitedMs: number): void {
     this.callWait.observe(waitedMs / MILLISECONDS_PER_SECOND)
   }
 
-  /** One more call waits for a connection, or one less. */
+  /** Adjusts the number of calls that wait for a connection. */
   countWaitingCalls(difference: 1 | -1): void {
     this.waitingCalls.inc(difference)
   }
 
-  /** Counts a request that has ended, with its time in milliseconds. */
+  /** Counts a finished request and records its duration in milliseconds. */
   countRequest(route: string, outcome: string, milliseconds: number): void {
     this.requests.inc({ route, outcome })
     this.seconds.observe({ route }, milliseconds / MILLISECONDS_PER_SECOND)
   }
 
-  /** Serves values that are read when they are asked for. */
+  /** Registers gauges whose values are read at scrape time. */
   addGauges({ clients, configuration, registry, members, crashBoard, evacuations }: GaugeSources): void {
     this.addGauge('eidermast_gateway_active_requests', 'Requests without an answer yet', () => clients.activeRequests)
     this.addGauge('eidermast_gateway_configuration_version', 'Configuration version in force', () => configuration.version)
@@ -114,7 +113,7 @@
   }
 
   private addGauge(name: string, help: string, read: () => number): void {
-    // prom-client calls collect with the gauge as `this`.
+    // prom-client calls `collect` with the gauge as `this`.
     const registry = this.registry
     void new Gauge({
       name,
--- a/packages/gateway/src/process/gateway.ts
+++ b/packages/gateway/src/process/gateway.ts
@@ -1,8 +1,8 @@
 /**
- * One gateway process: builds the parts, wires them, and starts and ends them.
- * It owns all state of the process, in memory only. When the process dies,
- * clients and peers see broken connections; the next process reads
- * configuration, backend servers and members from the platform again.
+ * One gateway process: creates its components, connects them, and starts and
+ * stops them. All state is in memory. When the process ends, clients and peers
+ * see broken connections; a new process loads the configuration, backend servers
+ * and members from the platform again.
  */
 import type { EventLog } from '@eidermast/common'
 import type { Backend } from '../connection/backends/backend.js'
@@ -53,7 +53,7 @@
 import { CoordinatorRole, StageCoordinators } from './stages/stage-coordinators.js'
 import { SuspensionWatch } from './suspension.js'
 
-/** A gateway with all its parts. */
+/** A gateway process with all its components. */
 export class Gateway {
   readonly metrics = new GatewayMetrics()
   readonly configuration: ConfigurationHolder
@@ -76,7 +76,7 @@
   private readonly internalServers = new InternalServers()
   private readonly coordinatorReads = new CoordinatorReads(() => this.platform.readAnew())
   private readonly suspensionWatch = new SuspensionWatch(awayMs => this.takeWake(awayMs))
-  /** Ends what follows the platform. */
+  /** Aborts everything that follows the platform. */
   private readonly ending = new AbortController()
   private stopping = false
 
@@ -104,8 +104,8 @@
   }
 
   /**
-   * Listens, then follows the platform; ready when a configuration and backend
-   * servers are known. Rejects where an address cannot be had.
+   * Starts listening, then follows the platform. The gateway is ready once it has
+   * a configuration and backend servers. Rejects if an address cannot be bound.
    */
   async start(): Promise<void> {
     this.gatewayLog.started()
@@ -117,7 +117,7 @@
     this.gatewayLog.listening()
   }
 
-  /** Serves on until the balancer sends no more and all is answered, or the grace period is over. */
+  /** Keeps serving until the load balancer sends no more requests and all are answered, or the grace period is over. */
   async drain(): Promise<void> {
     const startedAt = performance.now()
     const gracePeriodMs = this.settings.process['grace-period-ms']
@@ -130,7 +130,7 @@
     this.gatewayLog.stopped(this.clients.activeRequests, performance.now() - startedAt)
   }
 
-  /** Ends at once: closes every listener and connection. */
+  /** Stops immediately: closes every listener and connection. */
   async close(): Promise<void> {
     this.ending.abort()
     this.members.stop()
@@ -154,7 +154,7 @@
     this.peerService.learn(member, reply)
   }
 
-  /** What this process tells of itself in answer to a heartbeat, beside what it holds. */
+  /** This process's own status in heartbeat replies, without the shared state. */
   private describeSelf(): SelfDescription {
     const { isSelfSlow, selfOrder } = this.members
     return { stopping: this.stopping, slow: isSelfSlow, announcementOrder: selfOrder, sourceAway: this.backendList.isSourceAway || undefined }
@@ -187,7 +187,7 @@
     return new BackendConnections(service => this.commonLimits.connections(service), reports, this.intakes)
   }
 
-  /** This process may have been away: what it knows may be old, and others may have decided meanwhile. */
+  /** The process may have been suspended: its state may be stale, and peers may have made decisions meanwhile. */
   private takeWake(awayMs: number): void {
     this.gatewayLog.woke(awayMs)
     this.platform.readAnew()
@@ -288,7 +288,7 @@
     return this.stopping ? CoordinatorRole.Leaves : CoordinatorRole.HandsOver
   }
 
-  /** The allowance of retries of all gateways together. */
+  /** The retry budget of all gateways together. */
   private retryAllowance(): RetryBudgetSettings {
     const { ratio, extra, 'window-ms': windowMs } = this.settings.retry
     return { ratio, extra, windowMs }
--- a/packages/gateway/src/process/internal-servers.ts
+++ b/packages/gateway/src/process/internal-servers.ts
@@ -1,16 +1,16 @@
 /**
- * The HTTP servers that are not for clients: readiness, peers and metrics. It
- * owns the servers from `listen` to `close`.
+ * HTTP servers for infrastructure rather than clients: readiness, peers and
+ * metrics. Owns the servers from `listen` to `close`.
  */
 import type { Server } from 'node:http'
 import type { Registry } from 'prom-client'
 import { createServer } from 'node:http'
 
-/** Servers of one process that end together. */
+/** Servers that are closed together. */
 export class InternalServers {
   private readonly servers: Server[] = []
 
-  /** Listens; rejects where the address cannot be had. */
+  /** Starts listening; rejects if the address cannot be bound. */
   async listen(server: Server, port: number, host: string): Promise<void> {
     this.servers.push(server)
     await new Promise<void>((resolve, reject) => {
@@ -19,7 +19,7 @@
     })
   }
 
-  /** Closes all servers with their connections. */
+  /** Closes all servers and their connections. */
   close(): void {
     for (const server of this.servers) {
       server.close()
@@ -28,14 +28,14 @@
   }
 }
 
-/** Answers 200 while the process is ready, else 503; any path. */
+/** Responds with 200 while the process is ready and 503 otherwise, on any path. */
 export function createReadinessServer(isReady: () => boolean): Server {
   return createServer((_, response) => {
     response.writeHead(isReady() ? 200 : 503).end()
   })
 }
 
-/** Serves the metrics in the text format of Prometheus; any path. */
+/** Serves metrics in the Prometheus text format, on any path. */
 export function createMetricsServer(registry: Registry): Server {
   return createServer(async (_, response) => {
     response.writeHead(200, { 'content-type': registry.contentType })
--- a/packages/gateway/src/process/keyed-topic.ts
+++ b/packages/gateway/src/process/keyed-topic.ts
@@ -1,33 +1,33 @@
 /**
- * A topic of the platform's store that keeps the newest record of each key, as
- * the adapter reads it for the gateway.
+ * Interface to compacted topics of the platform's store, which keep the latest
+ * record per key. Implemented by the platform's adapter.
  */
 
 import type { TopicPosition } from '../connection/backends/revision.js'
 
-/** One record; an empty value drops its key. */
+/** One record; an empty value deletes its key. */
 export interface KeyedRecord {
   key: string
   value: Buffer
 }
 
-/** A record with its place in the topic. */
+/** A record with its position in the topic. */
 export interface PlacedRecord extends KeyedRecord, TopicPosition {}
 
-/** The newest record of each key, and the place to read on from. */
+/** The latest record of each key, and the position from which to continue. */
 export interface NewestRecords {
   records: PlacedRecord[]
   end: TopicPosition
 }
 
-/** Records in their order from some offset on. */
+/** Consecutive records from an offset. */
 export interface ReadRecords {
-  /** Era of the store when it answered. */
+  /** Era of the store when it responded. */
   era: number
   records: KeyedRecord[]
 }
 
-/** A read failed since the store has removed the records that were asked for. */
+/** A read failed because the store has deleted the requested records. */
 export class HistoryGoneError extends Error {
   constructor(message: string) {
     super(message)
@@ -35,9 +35,9 @@
   }
 }
 
-/** Reads topics. Calls reject where the store does not answer, and with a `HistoryGoneError` where it has removed the records. */
+/** Reads topics. Calls reject if the store does not respond, and with a `HistoryGoneError` if it has deleted the records. */
 export interface TopicReader {
   newest: (topic: string) => Promise<NewestRecords>
-  /** Records from an offset on; waits for the first one for a time in milliseconds. */
+  /** Reads records from an offset; waits up to `waitMs` milliseconds for the first one. */
   read: (topic: string, offset: number, signal: AbortSignal, waitMs?: number) => Promise<ReadRecords>
 }
--- a/packages/gateway/src/process/lapse-grace.ts
+++ b/packages/gateway/src/process/lapse-grace.ts
@@ -1,63 +1,64 @@
 /**
- * Decides how long a backend server is used on after its entry has gone from
- * the platform's list.
+ * Decides how long a backend server stays in use after its entry was removed
+ * from the platform's list.
  *
- * Inputs: the last outage of the list's source: how long it lasted, when the
- * source may have returned, whether it lost what was written last, for how long
- * after the return a backend server that has
- * left may still get work (ms, known when the source answers again).
- * Where a peer tells that an entry has gone: for how long the peer uses it on
- * (ms), whether this process's own source is away.
- * Rule: not at all after an outage in which no entry can have lapsed, unless the
- * list came back from an older copy, which lacks what was written last. Else
- * until LAPSE_GRACE_MS after the source answered again, but no longer than the
- * platform allows, counted from the earliest moment at which the source may
- * have returned. By a peer's word: as long as the peer does. Where the peer does
- * not use it on and this process's own source is away, the peer's may have been
- * too, without its notice: then for PEER_LAPSE_GRACE_MS.
- * Why: backend servers renew their entries, and cannot while the list is away:
- * an entry that is gone then need not mean that its backend server is. Without
- * this rule all would be dropped at once. Waiting after
- * every failure, or from the moment at which the return is noticed, sends work
- * to backend servers that have left.
+ * Inputs: the last outage of the list's source: its duration, the earliest
+ * possible time of recovery, whether recent writes were lost, and for how long
+ * after recovery a backend server that has left may still get work (ms, known
+ * when the source responds again). For a removal reported by a peer: for how long
+ * the peer keeps using the backend server (ms), and whether this process's own
+ * source is unavailable.
+ * Rule: no grace period after an outage too short for entries to expire, unless
+ * the list was restored from an older snapshot, which lacks recent writes.
+ * Otherwise until LAPSE_GRACE_MS after the source responded again, but no longer
+ * than the platform allows, counted from the earliest possible recovery. For a
+ * removal reported by a peer: as long as the peer. If the peer grants none and
+ * this process's own source is unavailable, the peer's may have been so too
+ * without it noticing: then PEER_LAPSE_GRACE_MS.
+ * Why: backend servers renew their entries and cannot do so while the list is
+ * unavailable, so a missing entry does not imply that its backend server is gone.
+ * Without a grace period all of them would be removed at once. A grace period
+ * after every failure, or one counted from the moment at which the recovery is
+ * detected, sends work to backend servers that have left.
  * Log events: `backend-lapsed`, `backend-removed`.
  */
 import type { SourceOutage } from './platform-adapter.js'
 
 /**
- * Milliseconds. Entries are renewed within two seconds of the list's return,
- * and a backend server that leaves serves on for at least as long.
+ * Entries are renewed within two seconds of the list's recovery, and a backend
+ * server that leaves keeps serving for at least as long.
  */
 const LAPSE_GRACE_MS = 1900
 
 /**
- * Milliseconds. An outage that was shorter cannot have hidden the renewal of an
- * entry, which comes about every second and may miss twice. Twice as much drops
- * backend servers whose entries lapsed in a short outage.
+ * A shorter outage cannot make an entry expire: entries are renewed about once
+ * per second and may miss two renewals. Twice as much would remove backend
+ * servers whose entries expired in a short outage.
  */
 const MIN_LAPSE_OUTAGE_MS = 500
 
 /**
- * Milliseconds. With the 0.4 s in which a peer's word comes here it ends within
- * the two seconds that a gateway in touch has. Half drops backend servers whose
- * entries lapsed for all, twice sends to those that have left.
+ * Together with the 0.4 s that a peer's update takes to arrive, it ends within
+ * the two seconds allowed to a connected gateway. Half would remove backend
+ * servers whose entries expired for all gateways; twice sends requests to backend
+ * servers that have left.
  */
 const PEER_LAPSE_GRACE_MS = 1500
 
-/** What a peer told of an entry that has gone. */
+/** A removed entry as reported by a peer. */
 export interface PeerLapse {
-  /** Milliseconds for which the peer uses the backend server on; undefined where it does not. */
+  /** Milliseconds for which the peer keeps using the backend server; undefined if it does not. */
   usedByPeerMs: number | undefined
-  /** This process's own source of the list does not answer. */
+  /** This process's own source of the list does not respond. */
   isSourceAway: boolean
 }
 
-/** For how long a backend server is used on whose entry has gone by a peer's word, in milliseconds; 0 for not at all. */
+/** Grace period in milliseconds for a backend server whose removal was reported by a peer; 0 for none. */
 export function decidePeerLapseGrace({ usedByPeerMs, isSourceAway }: PeerLapse): number {
   return usedByPeerMs ?? (isSourceAway ? PEER_LAPSE_GRACE_MS : 0)
 }
 
-/** For how long entries that go are used on after an outage, in milliseconds from its end; 0 for not at all. */
+/** Grace period in milliseconds after the end of an outage for entries removed during it; 0 for none. */
 export function decideLapseGrace(outage: SourceOutage): number {
   if (outage.lastedMs < MIN_LAPSE_OUTAGE_MS && !outage.lostWrites)
     return 0
--- a/packages/gateway/src/process/older-copy.ts
+++ b/packages/gateway/src/process/older-copy.ts
@@ -1,55 +1,56 @@
 /**
- * Decides which entries of the list of backend servers are believed after the
- * list came back from an older copy.
+ * Decides which entries of the backend server list are trusted after the store
+ * was restored from an older snapshot.
  *
- * Inputs: the entries of a whole list with their revisions, what was known of
- * their backend servers before, and the lives of those that had gone.
- * Rule: a backend server that was known to leave still leaves, in the same
- * process. One that had gone is withheld for LAPSE_MS, and listed then unless
- * its entry has lapsed or changed. What is written after the copy is believed.
- * Why: the copy says again what was so some seconds before, until the backend
- * servers have written their entries anew; work would go to those that have
- * left. An entry that was gone and does not lapse is of one that lives, and may
- * never change again.
+ * Inputs: entries of a whole list with their revisions, the previously known
+ * records of their backend servers, and the processes whose entries had been
+ * removed.
+ * Rule: a process that was known to be draining remains so. An entry that had
+ * been removed is withheld for LAPSE_MS, and listed afterwards unless it has
+ * expired or changed. Entries written after the restore are trusted.
+ * Why: until the backend servers have renewed their entries, the snapshot repeats
+ * a state that is some seconds old, and work would go to backend servers that
+ * have left. A withheld entry that does not expire belongs to a running backend
+ * server, and may never change again.
  * Log events: `backend-added`, `backend-removed`, `backend-state`.
  *
- * State: lives that have gone, and entries withheld, in memory.
+ * State: removed processes and withheld entries, in memory.
  */
 import type { BackendRecord, ListedBackend, ListedBackends } from '../connection/backends/backend.js'
 import { lifeOf } from '../connection/backends/backend.js'
 import { positionOf } from '../connection/backends/revision.js'
 
-/** Backend servers that have gone and are remembered. A copy is some seconds old, and some go in a second. */
+/** Limit of remembered removals. A snapshot is some seconds old, and there are a few removals per second. */
 const MAX_GONE = 500
 /**
- * Milliseconds in which the entry of a backend server that has gone lapses in
- * an older copy: the platform takes entries for gone after three heartbeats
- * (3.6 s at 1.2 s each) and 2 s after its return. Half brings back backend
- * servers that have ended, twice leaves one that lives without work.
+ * Time within which the entry of a backend server that has ended expires from a
+ * restored snapshot: the platform drops entries after three missed heartbeats
+ * (3.6 s at 1.2 s each), plus 2 s after its recovery. Half brings back backend
+ * servers that have ended; twice leaves a running one without work for longer.
  */
 const LAPSE_MS = 6000
 
-/** What was known before a whole list was read. */
+/** The list before a whole list was read. */
 export interface KnownList {
-  /** 0 where no list was read. */
+  /** 0 if no list has been read. */
   revision: number
-  /** The record of a backend server; undefined where none is listed. */
+  /** The record of a backend server; undefined if it is not listed. */
   find: (id: string) => BackendRecord | undefined
 }
 
-/** Puts right what an older copy says wrongly. */
+/** Corrects stale entries of a list that was restored from an older snapshot. */
 export class OlderCopy {
-  /** Lives of backend servers whose entries have gone, the newest last. */
+  /** Processes whose entries have been removed, most recent last. */
   private readonly gone = new Set<string>()
-  /** Entries whose backend servers had gone, by id. */
+  /** Entries held back because their processes had been removed, by id. */
   private readonly withheld = new Map<string, ListedBackend>()
-  /** Revision up to which a whole list may be the copy; 0 before the source came back from one. */
+  /** Entries up to this revision may be stale; 0 if the source was never restored from a snapshot. */
   private copiedUpTo = 0
 
-  /** Takes what to do with an entry that was withheld and has not lapsed. */
+  /** `onKept` is called with a withheld entry that has not expired. */
   constructor(private readonly onKept: (entry: ListedBackend) => void) {}
 
-  /** The entries of a whole list that are believed, as they are believed. */
+  /** Returns the trusted entries of a whole list, corrected where needed. */
   correct({ revision, entries }: ListedBackends, known: KnownList): readonly ListedBackend[] {
     if (known.revision > 0 && positionOf(revision).era > positionOf(known.revision).era)
       this.copiedUpTo = revision
@@ -57,7 +58,7 @@
     return entries.flatMap(entry => entry.revision <= this.copiedUpTo ? this.correctEntry(entry, known) : [entry])
   }
 
-  /** These entries are no longer listed. */
+  /** Records entries that are no longer listed. */
   noteGone(entries: readonly ListedBackend[]): void {
     for (const { record } of entries) {
       this.gone.delete(lifeOf(record))
@@ -67,7 +68,7 @@
     tooMany.forEach(life => this.gone.delete(life))
   }
 
-  /** A change of this backend server's entry was written. */
+  /** Records that a change of this backend server's entry was written. */
   noteChange(id: string, record: BackendRecord | undefined): void {
     this.withheld.delete(id)
     if (record)
--- a/packages/gateway/src/process/peer-fetch.ts
+++ b/packages/gateway/src/process/peer-fetch.ts
@@ -1,40 +1,40 @@
 /**
- * Decides when this process fetches what a peer holds: its configuration or
- * its list of backend servers.
+ * Decides when this process fetches a peer's state: its configuration or its
+ * list of backend servers.
  *
- * Inputs: the revision that a peer tells with each heartbeat (at most one
+ * Inputs: the revision that a peer sends with each heartbeat (at most one
  * heartbeat old) and this process's own, as of now.
- * Rule: a higher one is fetched from that peer if this process has still not
- * caught up after a time in which its own read should have brought it; one
- * fetch at a time. One that fails is tried again with the next heartbeat.
- * Why: a process whose own read was lost does not know it for seconds, while
- * its peers know what it lacks. Without the wait
- * every change would be fetched by those that are some milliseconds behind.
+ * Rule: a higher revision is fetched from that peer if this process is still
+ * behind after the time in which its own read should have delivered it. One fetch
+ * at a time; a failed fetch is retried on the next heartbeat.
+ * Why: a process whose own read was lost does not notice for seconds, while its
+ * peers have what it lacks. Without the delay, processes that are a few
+ * milliseconds behind would fetch every change.
  * Log events: `configuration` and `backend-list` with the peer as their source;
  * `peer-configuration-failed`, `peer-backends-failed`.
  */
 import type { Member } from '../connection/peers/member.js'
 import { wait } from '@eidermast/common'
 
-/** One kind of state that peers hold too. */
+/** One kind of state that is replicated between peers. */
 export interface SharedState {
-  /** Milliseconds in which this process's own read may bring what a peer has. */
+  /** Milliseconds to wait for this process's own read before fetching. */
   patienceMs: number
-  /** Revision held here. */
+  /** Revision held by this process. */
   revision: () => number
-  /** Takes the state from a peer. */
+  /** Fetches the state from a peer and applies it. */
   fetch: (member: Member) => Promise<void>
-  /** A fetch failed. */
+  /** Called when a fetch fails. */
   failed: (member: Member, error: unknown) => void
 }
 
-/** Catches up with peers in one kind of state. It owns no state but that a fetch is under way. */
+/** Catches up with peers in one kind of state. Stateless except for the fetch in flight. */
 export class PeerFetch {
   private fetching = false
 
   constructor(private readonly state: SharedState) {}
 
-  /** A peer holds this revision; undefined where its release does not tell. */
+  /** Handles the revision held by a peer; undefined if the peer's release does not send one. */
   async learn(member: Member, revision = 0): Promise<void> {
     if (this.fetching || !this.isBehind(revision))
       return
--- a/packages/gateway/src/process/peer-service.ts
+++ b/packages/gateway/src/process/peer-service.ts
@@ -1,12 +1,12 @@
 /**
- * What this gateway and its peers exchange: it answers their heartbeats, gives
- * them its configuration and its list of backend servers, exchanges crashes
- * (`crashes/peer-exchange.ts`), and does their stage
- * work while it coordinates. Each heartbeat and its answer tell the versions
- * held, the orders about failure domains, and which backend servers leave or
- * changed their limit; an answer also the changes of the list that the sender lacks. What a peer
- * holds beyond that, and the platform's store did not bring, is fetched
- * (`peer-fetch.ts`). It owns no state but that fetches are under way.
+ * Exchange of state with peers: answers their heartbeats, serves the
+ * configuration and the backend server list, exchanges crash reports
+ * (`crashes/peer-exchange.ts`), and runs their stage work while this gateway is
+ * a coordinator. Each heartbeat and its reply carry the revisions held, the
+ * evacuation orders, and which backend servers are leaving or changed their rate
+ * limit; a reply also carries the list changes that the sender lacks. State of a
+ * peer that is newer still, and that the store has not delivered, is fetched
+ * (`peer-fetch.ts`). Holds no state except for fetches in flight.
  */
 import type { Result } from 'ts-results-es'
 import type { BackendChange, ListedBackends } from '../connection/backends/backend.js'
@@ -25,15 +25,15 @@
 import type { HeardPeers } from './membership/heard-peers.js'
 import { PeerFetch } from './peer-fetch.js'
 
-/** Milliseconds. A configuration is fetched at once: it changes seldom, and in seconds it must be in force everywhere. */
+/** Configurations are fetched without delay: they change rarely and must be in force everywhere within seconds. */
 const CONFIGURATION_PATIENCE_MS = 0
 /**
- * Milliseconds. Half costs fetches where a process is slow; twice leaves less
- * of the two seconds in which a leaving backend server may get work.
+ * With half of it, slow processes fetch unnecessarily; with twice, less is left
+ * of the two seconds during which a leaving backend server may get work.
  */
 const BACKENDS_PATIENCE_MS = 200
 
-/** The parts of a gateway that its peers reach, and those that reach the peers. */
+/** Components that peers access through this service, and the clients to reach the peers. */
 export interface PeerServiceParts {
   holder: ConfigurationHolder
   backendList: BackendList
@@ -44,18 +44,18 @@
   peers: Pick<PeerClients, 'configuration' | 'backends'>
   stageCoordinator: Preparer
   crashes: PeerExchange
-  /** What this process tells of itself in answer to a heartbeat, without what it holds. */
+  /** This process's own status in heartbeat replies, without the shared state. */
   describeSelf: () => SelfDescription
   log: GatewayLog
 }
 
-/** What a gateway tells of the state that it shares with its peers. */
+/** State shared with peers, as carried by heartbeats and their replies. */
 export type HeldState = Pick<HeartbeatReply, 'version' | 'backends' | 'backendChanges' | 'evacuations' | 'limits' | 'leaving'> & { crashes?: unknown }
 
-/** What a gateway tells of itself, beside the state that it shares. */
+/** Status of a gateway in its heartbeat replies, without the shared state. */
 export type SelfDescription = Omit<HeartbeatReply, keyof HeldState>
 
-/** Answers the procedures between gateways, and fetches what peers have and this process lacks. */
+/** Implements the procedures between gateways, and fetches newer state from peers. */
 export class GatewayPeerService implements PeerService {
   private readonly configurationFetch: PeerFetch
   private readonly backendsFetch: PeerFetch
@@ -76,7 +76,7 @@
     })
   }
 
-  /** What this process holds, as its heartbeats tell a peer. */
+  /** The shared state that heartbeats to this peer carry. */
   heldFor({ address }: Member): Pick<HeartbeatReply, 'version' | 'backends' | 'crashes' | 'evacuations' | 'limits' | 'leaving'> {
     const { holder, backendList, crashes, limits, leaving, evacuations: { orders } } = this.parts
     return {
@@ -112,12 +112,12 @@
       this.parts.stageCoordinator.release(id)
   }
 
-  /** A peer told what it holds; what is newer and was not told is fetched. */
+  /** Applies the state that a peer sent, and fetches what is newer but was not included. */
   learn({ name, address }: Member, { version, backends, backendChanges, crashes, evacuations, limits, leaving }: HeldState): void {
     const member = { name, address }
     if (crashes !== undefined)
       this.parts.crashes.take(address, crashes)
-    // Before the configuration is fetched: a gateway that starts must know them when it serves.
+    // Before the configuration is fetched: a starting gateway must know the orders when it begins to serve.
     this.parts.evacuations.adopt(evacuations ?? [], name)
     if (backends !== undefined && backendChanges)
       this.parts.backendList.adoptChanges(backendChanges, backends, member)
@@ -127,7 +127,7 @@
     void this.backendsFetch.learn(member, backends)
   }
 
-  /** The changes of the list that a peer lacks; undefined where there is nothing to tell, which is most of the time. */
+  /** The list changes that a peer lacks; undefined if there are none, which is the common case. */
   private changesFor({ backends }: Heartbeat): BackendChange[] | undefined {
     const changes = backends === undefined ? undefined : this.parts.backendList.changesSince(backends)
     return changes && changes.length > 0 ? changes : undefined
--- a/packages/gateway/src/process/platform-adapter.ts
+++ b/packages/gateway/src/process/platform-adapter.ts
@@ -1,8 +1,8 @@
 /**
- * What a gateway needs of the platform that it runs on, as interfaces: the
- * sources of the operator's records and of backend servers, the directory of gateways, the
- * codecs, and calls to stage backend servers. An adapter implements them; it is
- * given to the gateway at its start.
+ * Interfaces between a gateway and the platform it runs on: sources of the
+ * operator's records and of backend servers, the directory of gateways, codecs,
+ * and the client for stage backend servers. A platform adapter implements them
+ * and is passed to the gateway at start-up.
  */
 import type { BackendCodec } from '../connection/backends/backend-client.js'
 import type { BackendConnections } from '../connection/backends/backend-connections.js'
@@ -15,127 +15,127 @@
 import type { EvacuationOrder, EvacuationOrders } from '../version/evacuation-order.js'
 import type { CrashReports } from './crashes/crash-report.js'
 
-/** What other gateways mean for the reads of this one, as of now. */
+/** Cluster state that affects this gateway's reads of the store. */
 export interface PeerView {
-  /** They tell this one of changes that its own source has missed. */
+  /** Whether peers send this gateway the changes that its own source misses. */
   readonly isTold: boolean
-  /** Gateways listed, this one included. */
+  /** Number of listed gateways, including this one. */
   readonly count: number
 }
 
-/** Takes the operator's orders about failure domains. */
+/** Receives the operator's evacuation orders. */
 export interface EvacuationSink {
-  /** All orders in force. */
+  /** Replaces all orders in force. */
   replaceAll: (orders: EvacuationOrders) => void
-  /** One order that is new, or was taken back. */
+  /** Applies one order that was issued or withdrawn. */
   take: (order: EvacuationOrder) => void
 }
 
-/** Takes what the operator publishes. */
+/** Receives the operator's records. */
 export interface OperatorSink {
-  /** A configuration as text. */
+  /** Offers a configuration as text. */
   offerConfiguration: (text: string) => void
   evacuations: EvacuationSink
 }
 
-/** Follows what the operator publishes. */
+/** Follows the operator's records. */
 export interface OperatorSource {
-  /** Brings configurations and orders until the signal aborts, orders before a configuration that comes with them; retries failures by itself. */
+  /** Delivers configurations and orders until the signal aborts; orders precede a configuration read together with them. Retries failures internally. */
   follow: (sink: OperatorSink, peers: PeerView, signal: AbortSignal) => Promise<void>
 }
 
-/** A time in which a source did not answer, and has just ended. */
+/** An outage of a source that has just ended. */
 export interface SourceOutage {
-  /** Milliseconds for which it is known not to have answered. */
+  /** Milliseconds for which the source is known not to have responded. */
   lastedMs: number
-  /** Milliseconds since it may have returned: since the last call that failed was sent. */
+  /** Milliseconds since the earliest possible recovery, which is when the last failed call was sent. */
   mayHaveReturnedMs: number
-  /** Milliseconds after a return for which a backend server that left in the outage may still get work (the platform's bounds). */
+  /** Milliseconds after recovery for which a backend server that left during the outage may still get work (from the platform's bounds). */
   usableAfterReturnMs: number
-  /** The last failure. */
+  /** Last error. */
   error: string
-  /** The source came back from an older copy: changes that it had told are gone from it, until they are written again. */
+  /** The source was restored from an older snapshot: changes already delivered are missing until they are written again. */
   lostWrites: boolean
 }
 
-/** Takes the changes of the platform's list of backend servers. */
+/** Receives changes of the platform's backend server list. */
 export interface BackendSink {
-  /** Up to which change the list is known, from the source or from peers. */
+  /** Revision of the list, as known from the source or from peers. */
   readonly revision: number
-  /** The source answered; called before what it brings. */
+  /** The source responded; called before the changes are delivered. */
   noteSourceAnswered: () => void
-  /** The source does not answer; called at the first failure. */
+  /** The source does not respond; called on the first failure. */
   noteSourceFailed: () => void
-  /** The source answers again after failures: entries may have lapsed meanwhile. */
+  /** The source responds again after an outage, during which entries may have expired. */
   noteSourceReturned: (outage: SourceOutage) => void
-  /** The whole list. */
+  /** Delivers the whole list. */
   replaceAll: (list: ListedBackends) => void
-  /** One entry that is new or has changed. */
+  /** Delivers an entry that was added or changed. */
   upsert: (entry: ListedBackend) => void
-  /** One entry that has gone, by the change of this revision. */
+  /** Delivers the removal of an entry at this revision. */
   unlist: (id: string, revision: number) => void
 }
 
-/** Follows the platform's list of backend servers. */
+/** Follows the platform's backend server list. */
 export interface BackendSource {
-  /** Reports backend servers until the signal aborts; retries failures by itself. */
+  /** Delivers changes until the signal aborts; retries failures internally. */
   follow: (sink: BackendSink, peers: PeerView, signal: AbortSignal) => Promise<void>
 }
 
-/** A gateway as the directory lists it. */
+/** A gateway as listed in the directory. */
 export interface ListedMember extends Member {
-  /** Order of its announcement among all: a gateway that restarts announces itself again and comes last. */
+  /** Position of its announcement among all; a restarted gateway announces itself again and comes last. */
   announcementOrder: number
 }
 
-/** Takes the changes of a directory. */
+/** Receives changes of the directory. */
 export interface MemberSink {
-  /** Members listed, this gateway included. */
+  /** Number of listed gateways, including this one. */
   readonly count: number
   upsert: (member: ListedMember) => void
   remove: (name: string) => void
-  /** All that the directory holds was read; called after what that brought. */
+  /** The whole directory was read; called after its changes are delivered. */
   noteListRead: () => void
 }
 
-/** Where gateways announce themselves. */
+/** Directory in which gateways announce themselves. */
 export interface MemberDirectory {
-  /** Announces this gateway, with retries until the directory has it or the signal aborts. */
+  /** Announces this gateway; retries until the directory accepts it or the signal aborts. */
   announce: (member: Member, signal: AbortSignal) => Promise<void>
-  /** Takes this gateway off the list; tried once, since peers notice a process that ends in any case. */
+  /** Removes this gateway from the directory. Tried once, because peers detect an ended process anyway. */
   withdraw: (member: Member) => Promise<void>
-  /** Reports members that are listed or removed, until the signal aborts. */
+  /** Delivers added and removed members until the signal aborts. */
   follow: (sink: MemberSink, signal: AbortSignal) => Promise<void>
 }
 
-/** Takes what a ledger of crashes brings. */
+/** Receives crash reports from the ledger. */
 export interface CrashSink {
-  /** All that the ledger holds: the newest reports of each gateway. */
+  /** Delivers the latest reports of all gateways. */
   replaceAll: (byOwner: ReadonlyMap<string, CrashReports>) => void
-  /** The newest reports of one gateway. */
+  /** Delivers the latest reports of one gateway. */
   takeReports: (owner: string, reports: CrashReports) => void
 }
 
-/** Where gateways keep their reports of requests that end backend servers. */
+/** Shared store of the gateways' reports about requests that end backend servers. */
 export interface CrashLedger {
-  /** Replaces the reports of a gateway; tried once, rejects where the ledger did not take them. */
+  /** Replaces the reports of a gateway. Tried once; rejects if the ledger did not accept them. */
   publish: (owner: string, reports: CrashReports) => Promise<void>
-  /** Brings the reports of all gateways until the signal aborts; retries failures by itself. */
+  /** Delivers the reports of all gateways until the signal aborts; retries failures internally. */
   follow: (sink: CrashSink, peers: PeerView, signal: AbortSignal) => Promise<void>
 }
 
-/** All that a platform brings to a gateway. */
+/** Everything that a platform provides to a gateway. */
 export interface PlatformAdapter {
   operatorSource: OperatorSource
   decodeConfiguration: ConfigurationDecoder
   backendSource: BackendSource
   memberDirectory: MemberDirectory
   crashLedger: CrashLedger
-  /** What a cold backend server may get from all gateways together. */
+  /** Request rate that a cold backend server may get from all gateways together. */
   coldAllowance: ColdAllowance
   clientCodec: ClientCodec
   backendCodec: BackendCodec
   stageClient: (connections: BackendConnections) => StageClient
-  /** Reads of the platform that wait are made anew: this process was away, and their connections may be gone. */
+  /** Aborts pending reads of the platform and starts them again on new connections, because the old connections may be dead. */
   readAnew: () => void
 }
--- a/packages/gateway/src/process/read-wait.ts
+++ b/packages/gateway/src/process/read-wait.ts
@@ -1,90 +1,92 @@
 /**
- * Decides how long the platform's store may hold a read of the configuration or
- * of the list of backend servers, when the next one follows, and for how long
- * after the store's return a backend server whose entry went meanwhile may get
- * work.
+ * Decides how long the platform's store may hold a long-poll read of the
+ * configuration or of the backend server list, how soon the next read follows,
+ * and for how long after a store outage a backend server whose entry was removed
+ * meanwhile may get work.
  *
- * Inputs: the platform's bounds from the settings (ms): how long after trouble
- * a gateway is in touch again, and within which a configuration, an evacuation
- * and the leaving of a backend server must take effect; whether other gateways tell this one of
- * changes that its own read has missed, and how many are listed (as of now).
- * Rule: the bounds do not add up: a change that a lost read hides must be in
- * force by the later of both. A gateway that nobody tells reads so that it
- * notices the loss, reads again and passes the change on within the longer
- * bound. One that is told waits for as long as both bounds together, since its
- * own read is not what the change depends on; after a read that brought changes
- * it rests, the longer the more gateways there are. At least MIN_READ_WAIT_MS.
- * After a failure reads do not wait (`topic-follower.ts`), so that
- * only the first one can be lost for so long.
- * Why: a read that a silent store has taken never answers and is noticed only
- * when its time is over. With 16.5 s a change was in force 7 to 10 s late, on
- * all gateways alike. A short wait costs calls to the store: with 2 s at all
- * gateways they cost 0.02 to 0.03 of worth on grown sites, so only the gateway
- * that the others hear of reads often.
+ * Inputs: the platform's bounds from the settings (ms): the time after a fault
+ * until a gateway must be connected again, and the times until a configuration,
+ * an evacuation and the leaving of a backend server must take effect; whether
+ * peers send this gateway the changes that its own reads miss, and the number of
+ * listed gateways (as of now).
+ * Rule: the bounds do not add up: a change hidden by a lost read must take effect
+ * by the later of the two. A gateway that gets no updates from peers uses a
+ * time-out short enough to detect the loss, read again and pass the change on
+ * within the longer bound. A gateway that does get them may wait for the sum of
+ * both bounds, because the change does not depend on its own read; after a read
+ * that returned changes it pauses, for longer the more gateways there are. Waits
+ * are at least MIN_READ_WAIT_MS. After a failure, reads return at once
+ * (`topic-follower.ts`), so only the first one can be lost for that long.
+ * Why: a read that a hanging store has accepted never returns, and is detected
+ * only by its time-out. With 16.5 s, changes took effect 7 to 10 s late on all
+ * gateways. Short waits cost calls to the store: 2 s on all gateways cost 0.02 to
+ * 0.03 of the score on large sites, so only the gateway that updates the others
+ * reads often.
  * Log events: `store-failed`, `store-recovered`.
  */
 
 import type { PeerView } from './platform-adapter.js'
 
-/** The platform's bounds on following its store, in milliseconds. */
+/** Deadlines that the platform sets for changes in its store, in milliseconds. */
 export interface StoreBounds {
-  /** After the end of trouble a gateway is in touch again. */
+  /** Time after a fault until a gateway must be connected again. */
   contactMs: number
-  /** A configuration must be in force this long after the store acknowledged it. */
+  /** Time after the store's acknowledgement until a configuration must be in force. */
   configurationMs: number
-  /** A backend server that is leaving gets nothing this long after the store acknowledged that. */
+  /** Time after the store's acknowledgement until a leaving backend server must get no more requests. */
   drainMs: number
-  /** The backend servers of an evacuated failure domain get nothing this long after the store acknowledged the order. */
+  /** Time after the store's acknowledgement of an evacuation until the backend servers of the failure domain must get no more requests. */
   evacuationMs: number
 }
 
-/** Milliseconds after its wait until a read is abandoned. Half abandons reads that a slow store still answers. */
+/** Time added to a read's wait before the read is aborted. With half of it, reads that a slow store still answers are aborted. */
 export const READ_MARGIN_MS = 700
 
 /**
- * Milliseconds for the first pause after a failure (`retry-pause.ts`) and for
- * the next read. At half of it a change may be in force too late.
+ * Time for the first retry delay after a failure (`retry-pause.ts`) and the next
+ * read. With half of it a change may take effect too late.
  */
 const NEXT_READ_MS = 400
 
 /**
- * Milliseconds until peers have what this gateway reads: a heartbeat, the time
- * for their own reads, a fetch. At half of it they may have it too late.
+ * Time until peers have the changes read by this gateway: one heartbeat, the
+ * delay for their own reads, and a fetch. With half of it they may get them too late.
  */
 const PASS_ON_MS = 400
 
-/** Milliseconds. At half of it a gateway sends more than three calls a second where the bounds are tight. */
+/** With half of it a gateway makes more than three calls per second if the bounds are tight. */
 const MIN_READ_WAIT_MS = 1000
 
 /**
- * Milliseconds from the decision to the arrival of the last request. Half may
- * be too little on a busy VM, twice drops a backend server earlier than needed.
+ * Time between selecting a backend server and the arrival of the request there.
+ * Half may be too little on a busy VM; twice drops a backend server earlier than
+ * needed.
  */
 const ARRIVAL_MARGIN_MS = 200
 
-/** How long after the store's return a backend server that left meanwhile may get work, in milliseconds. */
+/** Milliseconds after the end of a store outage for which a backend server that left meanwhile may get work. */
 export function usableAfterReturnMs({ contactMs, drainMs }: StoreBounds): number {
   return Math.max(contactMs, drainMs) - ARRIVAL_MARGIN_MS
 }
 
 /**
- * Milliseconds of rest for each gateway listed: a change wakes every gateway
- * that waits for it, so that the calls of a busy minute grow with the square of
- * their number. With it all of them together make some 33 calls a second, however
- * often the topic changes. Half makes twice as many, twice is bounded by the
- * constants below on large sites.
+ * Pause per listed gateway. Each change wakes every waiting gateway, so without
+ * a pause the calls in a busy minute grow with the square of the number of
+ * gateways. With it, all gateways together make about 33 calls per second however
+ * often the topic changes. Half makes twice as many calls; twice has no effect on
+ * large sites, where the constants below limit the pause.
  */
 const REST_FOR_EACH_GATEWAY_MS = 30
 /**
- * Milliseconds. On a site of 236 backend servers and 69 gateways the calls to
- * the store were 11,400 to 21,200 in a minute without a rest, and 3,400 to 7,400
- * with this one (eight random days each).
+ * On a site of 236 backend servers and 69 gateways there were 11,400 to 21,200
+ * calls to the store per minute without a pause, and 3,400 to 7,400 with this one
+ * (eight benchmark runs each).
  */
 const MIN_TOLD_REST_MS = 1000
-/** Part of the time in which a leaving must take effect. With all of it a gateway that nobody told would be late. */
+/** Fraction of the drain bound. With all of it, a gateway that gets no updates from peers would be late. */
 const MAX_REST_SHARE = 0.5
 
-/** How long a gateway rests after a read of the list of backend servers that brought changes, in milliseconds; what comes meanwhile comes together. */
+/** Milliseconds to pause after a read of the backend server list that returned changes, so that further changes are read in one batch. */
 export function restAfterChangesMs({ drainMs }: StoreBounds, peers: PeerView): number {
   if (!peers.isTold)
     return 0
@@ -93,21 +95,21 @@
 }
 
 /**
- * Milliseconds. Gateways that start together cost each other one read and not
- * one for each start. With 1500 gateways did not list each other within the
- * second that the tests of two gateways allow.
+ * Gateways that start together then cost each other one read in total instead of
+ * one per start. With 1500, gateways did not list each other within the second
+ * that the tests of two gateways allow.
  */
 const MIN_DIRECTORY_REST_MS = 400
-/** Milliseconds of a process's life in which it rests for no longer: those that start together must soon agree who coordinates. */
+/** Time after start-up during which the pause stays minimal: gateways that start together must soon agree on a coordinator. */
 const STARTING_MS = 10_000
 
-/** How long a gateway rests after a read of the directory of gateways that brought changes, in milliseconds; takes the time since it began to follow. */
+/** Milliseconds to pause after a read of the gateway directory that returned changes; `followedMs` is the time since following began. */
 export function restOfDirectoryMs(gateways: number, followedMs: number): number {
   const isStarting = followedMs < STARTING_MS
   return isStarting ? MIN_DIRECTORY_REST_MS : Math.max(MIN_DIRECTORY_REST_MS, gateways * REST_FOR_EACH_GATEWAY_MS)
 }
 
-/** How long the store may hold a read, in milliseconds. */
+/** Milliseconds for which the store may hold a read. */
 export function maxReadWaitMs({ contactMs, configurationMs, drainMs, evacuationMs }: StoreBounds, isToldByPeers: boolean): number {
   const effectMs = Math.min(configurationMs, drainMs, evacuationMs)
   const waitMs = isToldByPeers ? contactMs + effectMs : Math.max(contactMs, effectMs) - PASS_ON_MS
--- a/packages/gateway/src/process/readiness.ts
+++ b/packages/gateway/src/process/readiness.ts
@@ -1,33 +1,32 @@
 /**
- * Decides whether this gateway says that it is ready, for the platform's
- * balancer, which sends new connections to ready gateways only.
+ * Decides whether this gateway reports itself ready. The platform's load
+ * balancer sends new connections only to ready gateways.
  *
  * Inputs: whether this process is stopping, the configuration version in
- * force (0 for none), and the number of backend servers known; all as of now.
- * Rule: ready while it is not stopping, has a configuration and knows at least
- * one backend server of any service.
- * Why: the least with which any request can be served. A stricter rule, such as
- * a backend server for each service, would take all gateways out together when one
- * service fails.
- * Log event: `readiness`, at each change.
+ * force (0 for none), and the number of known backend servers; all as of now.
+ * Rule: ready while not stopping, with a configuration and at least one known
+ * backend server of any service.
+ * Why: this is the minimum for serving any request. A stricter rule, such as one
+ * backend server per service, would make all gateways unready together when a
+ * single service fails.
+ * Log event: `readiness`, on each change.
  */
 import type { GatewayLog } from './gateway-log.js'
 
-/** What the decision is made from, as of now. */
+/** Inputs of the readiness decision. */
 export interface ReadinessInputs {
   stopping: boolean
   /** Configuration version in force; 0 for none. */
   configurationVersion: number
-  /** Backend servers known. */
+  /** Number of known backend servers. */
   backends: number
 }
 
-/** Whether a gateway in this state is ready. */
 function isReady({ stopping, configurationVersion, backends }: ReadinessInputs): boolean {
   return !stopping && configurationVersion > 0 && backends > 0
 }
 
-/** Answers the balancer's checks and logs changes; the last answer is kept in memory only. */
+/** Answers the load balancer's checks and logs changes. The last result is kept in memory. */
 export class Readiness {
   private last = false
 
--- a/packages/gateway/src/process/suspension.ts
+++ b/packages/gateway/src/process/suspension.ts
@@ -1,45 +1,45 @@
 /**
- * Decides whether this process was away without noticing it: its VM was
- * suspended, and its steady clock stood still meanwhile.
+ * Decides whether this process was suspended together with its VM, which stops
+ * the monotonic clock.
  *
- * Inputs: the steady clock and the time of day between two looks (ms).
- * Rule: it may have been away where the time of day went on by MIN_AWAY_MS more
- * than the steady clock.
- * Why: timers and ages go by the steady clock, which a step of the time of day
- * does not move; but it does not count a suspension. Connections may be gone,
- * another gateway may coordinate, and the store may have changed, while reads
- * wait on and everybody looks as they did a moment before. A step forward of the
- * time of day looks the same, and the boot clock, which would tell them apart,
- * cannot be read everywhere. So only what does no harm follows from this: reads
- * are made anew, and the others are asked before this process decides for them.
- * What must hold across a suspension, the reports of crashes, goes by the time
- * of day.
+ * Inputs: readings of the monotonic and the wall clock at two polls (ms).
+ * Rule: the process may have been suspended if the wall clock advanced at least
+ * MIN_AWAY_MS more than the monotonic clock.
+ * Why: timers and ages use the monotonic clock, which is not affected by steps of
+ * the wall clock but does not count a suspension either. Afterwards connections
+ * may be dead, another gateway may be the coordinator, and the store may have
+ * changed, while reads are still pending and all peers look alive. A forward step
+ * of the wall clock looks the same, and the boot-time clock that would tell them
+ * apart is not readable on all systems. Therefore only harmless actions follow:
+ * reads are restarted, and peers are contacted before this process decides for
+ * them. State that must be valid across a suspension, the crash reports, uses the
+ * wall clock.
  * Log event: `woke`.
  */
 
-/** Milliseconds between looks. Half costs processor time, twice notices a suspension later. */
+/** Half costs CPU time; twice detects a suspension later. */
 const LOOK_INTERVAL_MS = 100
-/** Milliseconds. Half is near what two readings of busy clocks differ by, twice is longer than a heartbeat's failure. */
+/** Half is close to the difference between readings of both clocks on a busy machine; twice is longer than it takes to declare a peer failed. */
 const MIN_AWAY_MS = 500
 
-/** Readings of both clocks at one moment, in milliseconds. */
+/** Simultaneous readings of both clocks, in milliseconds. */
 export interface ClockReadings {
   steady: number
   timeOfDay: number
 }
 
-/** For how many milliseconds this process may have been away between two readings; 0 for not at all. */
+/** Milliseconds for which this process may have been suspended between two readings; 0 if it was not. */
 export function awayBetween(before: ClockReadings, after: ClockReadings): number {
   const awayMs = (after.timeOfDay - before.timeOfDay) - (after.steady - before.steady)
   return awayMs >= MIN_AWAY_MS ? awayMs : 0
 }
 
-/** Looks at the clocks as long as the process lives. */
+/** Polls the clocks to detect suspensions of the process. */
 export class SuspensionWatch {
   private timer: NodeJS.Timeout | undefined
   private last: ClockReadings
 
-  /** Takes what to do after a time away, in milliseconds. */
+  /** `onWake` is called with the length of each suspension in milliseconds. */
   constructor(private readonly onWake: (awayMs: number) => void, private readonly read: () => ClockReadings = readClocks) {
     this.last = read()
   }
--- a/packages/gateway/src/process/topic-follower.ts
+++ b/packages/gateway/src/process/topic-follower.ts
@@ -1,16 +1,16 @@
 /**
- * Follows a keyed topic of the store: the newest record of each key, then
- * every record as it comes. After a failure it resumes at its offset, with
- * reads that do not wait until one is answered: a read that a silent store has
- * taken is noticed only when its time is over. Where the store has removed the
- * history, which is an answer and no failure, it starts again with the newest
- * records. Those come in pages that are no snapshot, so that reading resumes
- * where the first page ended, without the records that later pages had newer.
- * Where the store came back from an older copy, its era has risen: offsets mean
- * other records then, and it starts again in the same way.
+ * Follows a compacted topic of the store: reads the latest record of each key,
+ * then all further records. After a failure it resumes at its offset, with reads
+ * that return at once until one succeeds, because a long-poll read of a hanging
+ * store fails only at its time-out. If the store has deleted the history, which
+ * does not count as a failure, it starts again from the latest records. These are
+ * read in pages that do not form a consistent snapshot, so reading resumes where
+ * the first page ended and skips records that later pages already superseded. If
+ * the store was restored from an older snapshot, its era is higher and offsets
+ * refer to different records, so it also starts again.
  *
- * It owns the place, in memory: a process that restarts reads the newest
- * records first.
+ * The position is kept in memory: a restarted process reads the latest records
+ * first.
  */
 import type { TopicPosition } from '../connection/backends/revision.js'
 import type { PlacedRecord, TopicReader } from './keyed-topic.js'
@@ -19,58 +19,58 @@
 import { HistoryGoneError } from './keyed-topic.js'
 import { retryPauseMs } from './retry-pause.js'
 
-/** An outage as this module knows it, without the platform's bounds. */
+/** An outage as observed here, without the platform's bounds. */
 export type StoreOutage = Omit<SourceOutage, 'usableAfterReturnMs'>
 
-/** Milliseconds for which a read waits after a failure: the store answers at once, so that its return is noticed. */
+/** Wait of reads after a failure: the store responds at once, so its recovery is detected early. */
 const NO_WAIT_MS = 0
-/** Name of the error of a call that was abandoned at its time limit (`AbortSignal.timeout`). */
+/** Error name of a call that exceeded its `AbortSignal.timeout`. */
 const TIMEOUT_ERROR = 'TimeoutError'
 
-/** Takes what a topic brings. */
+/** Receives the records of a topic. */
 export interface TopicSink {
-  /** Everything that the topic holds, up to an offset; some records may be newer. */
+  /** Delivers the contents of the topic up to a position; some records may be newer. */
   snapshot: (records: PlacedRecord[], end: TopicPosition) => void
   record: (record: PlacedRecord) => void
-  /** How long a read waits, in milliseconds: one that is lost is noticed only then. @default the client's */
+  /** Wait of a read in milliseconds; a lost read is detected only after that time. @default the client's */
   waitMs?: number
-  /** Rest after each read that brought records, in milliseconds: records that come together cost one call. @default 0 */
+  /** Pause after each read that returned records, in milliseconds, so that further records are read in one batch. @default 0 */
   restMs?: number
-  /** Up to which place the sink knows the topic from elsewhere. @default none */
+  /** Position up to which the sink already has the topic from elsewhere. @default none */
   known?: () => TopicPosition
-  /** The store does not answer; called at the first failure. */
+  /** The store does not respond; called on the first failure. */
   failed?: () => void
-  /** The store answered a read; called before what it brings. */
+  /** The store answered a read; called before the records are delivered. */
   answered?: () => void
-  /** The store answers again after failures; called before what it brings. */
+  /** The store responds again after failures; called before the records are delivered. */
   recovered?: (outage: StoreOutage) => void
 }
 
-/** The log events of a topic. */
+/** Log events of a topic. */
 export interface TopicLog {
-  /** The first failure of calls for a topic. */
+  /** The first of a series of failures. */
   storeFailed: (topic: string, error: unknown) => void
-  /** Calls succeed again after this many failures in a row; the store did not answer for this many milliseconds. */
+  /** Calls succeed again after `failures` consecutive failures; the store did not respond for `awayMs` milliseconds. */
   storeRecovered: (topic: string, failures: number, awayMs: number) => void
-  /** The store has removed the records that were to be read next; the newest ones are read again. */
+  /** The store has deleted the next records; the latest ones are read again. */
   storeHistoryGone: (topic: string, reason: string) => void
 }
 
 /** Follows one topic. */
 export class TopicFollower {
-  /** Place of the next record; undefined before the newest records are read. */
+  /** Position of the next record; undefined before the latest records are read. */
   private place: TopicPosition | undefined
-  /** Era in which the topic was followed last; undefined before the first answer. */
+  /** Era of the last response; undefined before the first one. */
   private era: number | undefined
   private failures = 0
   private lastError: unknown
-  /** When the call under way, or the last one, was sent: milliseconds of the process clock. */
+  /** When the last call was sent, on the monotonic clock in milliseconds. */
   private calledAt = 0
-  /** When the last call that failed was sent. */
+  /** When the last failed call was sent. */
   private failedCallAt = 0
-  /** Since when the store is known not to answer; meaningful after a failure. */
+  /** Start of the outage; valid only while `failures` is not 0. */
   private awaySince = 0
-  /** Offsets of the newest records as they were read, until reading has passed them. */
+  /** Offsets of the latest records as read, until reading has passed them. */
   private newestOffsets = new Map<string, number>()
 
   constructor(
@@ -104,7 +104,7 @@
     this.calledAt = performance.now()
     const { records, era } = await this.store.read(this.topic, place.offset, signal, this.failures > 0 ? NO_WAIT_MS : this.sink.waitMs)
     if (era !== place.era)
-      throw new HistoryGoneError(`the store's era is ${era} and was ${place.era}`)
+      throw new HistoryGoneError(`store era changed from ${place.era} to ${era}`)
     this.reportAnswer(era)
     for (const record of records)
       this.take({ ...record, era, offset: place.offset++ })
@@ -112,7 +112,7 @@
       await wait(this.sink.restMs, signal)
   }
 
-  /** Reads on from where the sink knows the topic already, if that is a place of the same era. */
+  /** Skips records that the sink already has, if its position is in the same era. */
   private skipKnown(place: TopicPosition): void {
     const known = this.sink.known?.()
     if (known?.era === place.era)
@@ -128,7 +128,7 @@
     this.place = { ...end }
   }
 
-  /** Passes a record on, unless a newer one of its key was passed on before. */
+  /** Delivers a record unless a newer one with its key was delivered before. */
   private take(record: PlacedRecord): void {
     const newest = this.newestOffsets.get(record.key)
     if (newest !== undefined && record.offset >= newest)
@@ -162,7 +162,7 @@
     if (this.failures === 0) {
       this.log.storeFailed(this.topic, error)
       this.sink.failed?.()
-      // The connection of a call that failed at once was alive until now; one that ran out of time may have been lost from its start.
+      // The connection of a call that failed at once was alive until now; a call that timed out may have been lost since it was sent.
       this.awaySince = error instanceof Error && error.name === TIMEOUT_ERROR ? this.calledAt : performance.now()
     }
     this.failures++
@@ -173,7 +173,7 @@
   private describeOutage(lostWrites: boolean): StoreOutage {
     const now = performance.now()
     if (this.failures === 0)
-      return { lastedMs: 0, mayHaveReturnedMs: now - this.calledAt, error: 'the store came back from an older copy', lostWrites }
+      return { lastedMs: 0, mayHaveReturnedMs: now - this.calledAt, error: 'the store was restored from an older snapshot', lostWrites }
     return { lastedMs: now - this.awaySince, mayHaveReturnedMs: now - this.failedCallAt, error: formatError(this.lastError), lostWrites }
   }
 }
--- a/test/gateway/backend-registry.test.ts
+++ b/test/gateway/backend-registry.test.ts
@@ -82,7 +82,7 @@
     watched.noteListRead()
     watched.upsert({ ...RECORD, draining: true })
     vi.advanceTimersByTime(300)
-    watched.remove(RECORD.id, 'its entry is gone')
+    watched.remove(RECORD.id, 'list entry was removed')
     expect(lines.slice(-2)).toMatchObject([
       { event: 'backend-state', noticedWithinMs: 4600 },
       { event: 'backend-removed', noticedWithinMs: 4600 },
@@ -94,14 +94,14 @@
 describe('what a backend server said of the requests that it takes', () => {
   test('holds on where its entry has gone and comes back', () => {
     registry.find('encode-a')!.intake.limitPerSecond = 2
-    registry.remove('encode-a', 'its entry is gone')
+    registry.remove('encode-a', 'list entry was removed')
     registry.upsert(RECORD)
     expect(registry.find('encode-a')!.intake.limitPerSecond).toBe(2)
   })
 
   test('is heard also from an answer that comes while its entry is gone', () => {
     const { intake } = registry.find('encode-a')!
-    registry.remove('encode-a', 'its entry is gone')
+    registry.remove('encode-a', 'list entry was removed')
     intake.takeLeaving()
     registry.upsert(RECORD)
     expect(isUsed()).toBe(false)
