--- a/test/gateway/backend-list.test.ts
+++ b/test/gateway/backend-list.test.ts
@@ -24,102 +24,102 @@
 })
 afterEach(() => void vi.useRealTimers())
 
-const used = (): string[] => registry.available('encode').map(backend => backend.id).sort()
+const usedIds = (): string[] => registry.available('encode').map(backend => backend.id).sort()
 
-/** A revision of the era after that of the list. */
+/** A revision in the era that follows the initial list's. */
 const nextEra = (offset: number): number => revisionAt({ era: 1, offset })
 
-describe('a list that came back from an older copy', () => {
-  test('is taken although its offsets are lower, and the changes that follow it', () => {
+describe('a list restored from an older snapshot', () => {
+  test('is applied although its offsets are lower, and so are the changes after it', () => {
     list.replaceAll({ revision: nextEra(5), entries: [createEntry('encode-a', nextEra(3)), createEntry('encode-b', nextEra(4))] })
     list.upsert(createEntry('encode-c', nextEra(6)))
     list.upsert(createEntry('encode-a', nextEra(7), { draining: true }))
-    expect(used()).toEqual(['encode-b', 'encode-c'])
+    expect(usedIds()).toEqual(['encode-b', 'encode-c'])
   })
 
-  test('does not let a backend server take work again that is known to leave', () => {
+  test('does not return a draining backend server to service', () => {
     list.upsert(createEntry('encode-a', 11, { draining: true }))
     list.replaceAll({ revision: nextEra(5), entries: [createEntry('encode-a', nextEra(3)), createEntry('encode-b', nextEra(4))] })
-    expect(used()).toEqual(['encode-b'])
+    expect(usedIds()).toEqual(['encode-b'])
   })
 
-  test('does not bring back what has gone, until it is written anew', () => {
+  test('does not restore a removed backend server until its entry is written again', () => {
     list.unlist('encode-a', 11)
     list.replaceAll({ revision: nextEra(5), entries: [createEntry('encode-a', nextEra(3)), createEntry('encode-b', nextEra(4))] })
-    expect(used()).toEqual(['encode-b'])
+    expect(usedIds()).toEqual(['encode-b'])
     list.upsert(createEntry('encode-a', nextEra(6)))
-    expect(used()).toEqual(['encode-a', 'encode-b'])
+    expect(usedIds()).toEqual(['encode-a', 'encode-b'])
   })
 
-  test('brings back what had gone and does not lapse, since its backend server lives', () => {
+  test('restores a removed entry that does not expire, because its backend server is running', () => {
     list.unlist('encode-a', 11)
     list.replaceAll({ revision: nextEra(5), entries: [createEntry('encode-a', nextEra(3)), createEntry('encode-b', nextEra(4))] })
     vi.advanceTimersByTime(6000)
-    expect(used()).toEqual(['encode-a', 'encode-b'])
+    expect(usedIds()).toEqual(['encode-a', 'encode-b'])
   })
 
-  test('does not bring back what has gone and lapses', () => {
+  test('does not restore a removed entry that expires', () => {
     list.unlist('encode-a', 11)
     list.replaceAll({ revision: nextEra(5), entries: [createEntry('encode-a', nextEra(3)), createEntry('encode-b', nextEra(4))] })
     list.unlist('encode-a', nextEra(6))
     vi.advanceTimersByTime(6000)
-    expect(used()).toEqual(['encode-b'])
+    expect(usedIds()).toEqual(['encode-b'])
   })
 
-  test('is held to what is known also where it is read again', () => {
+  test('is corrected again when it is read a second time', () => {
     list.upsert(createEntry('encode-a', 11, { draining: true }))
     const copy = { revision: nextEra(5), entries: [createEntry('encode-a', nextEra(3)), createEntry('encode-b', nextEra(4))] }
     list.adopt(copy, PEER)
     list.replaceAll(copy)
-    expect(used()).toEqual(['encode-b'])
+    expect(usedIds()).toEqual(['encode-b'])
   })
 
-  test('brings a new process of a backend server whose earlier one has gone', () => {
+  test('adds a new process of a backend server whose previous process was removed', () => {
     list.upsert(createEntry('encode-a', 11, { born: 1 }))
     list.unlist('encode-a', 12)
     list.replaceAll({ revision: nextEra(5), entries: [createEntry('encode-a', nextEra(3), { born: 2 })] })
-    expect(used()).toEqual(['encode-a'])
+    expect(usedIds()).toEqual(['encode-a'])
   })
 
-  test('uses what is missing in it on until it can have been written anew', () => {
+  test('keeps missing backend servers in use until their entries can have been written again', () => {
     list.noteSourceReturned({ ...OUTAGE, lastedMs: 0, lostWrites: true })
     list.replaceAll({ revision: nextEra(5), entries: [createEntry('encode-a', nextEra(3))] })
-    expect(used()).toEqual(['encode-a', 'encode-b'])
+    expect(usedIds()).toEqual(['encode-a', 'encode-b'])
     vi.advanceTimersByTime(2000)
-    expect(used()).toEqual(['encode-a'])
+    expect(usedIds()).toEqual(['encode-a'])
   })
 
-  test('is taken from a peer that has seen it first, with the same care', () => {
+  test('is corrected in the same way when a peer delivers it first', () => {
     list.upsert(createEntry('encode-a', 11, { draining: true }))
     list.adopt({ revision: nextEra(5), entries: [createEntry('encode-a', nextEra(3)), createEntry('encode-b', nextEra(4))] }, PEER)
-    expect(used()).toEqual(['encode-b'])
+    expect(usedIds()).toEqual(['encode-b'])
     expect(list.revision).toBe(nextEra(5))
   })
 
-  test('is not undone by a peer that has not seen it', () => {
+  test('is not reverted by a peer that has not seen it', () => {
     list.replaceAll({ revision: nextEra(5), entries: [createEntry('encode-b', nextEra(4))] })
     list.adopt({ revision: 500, entries: [createEntry('encode-a', 400)] }, PEER)
-    expect(used()).toEqual(['encode-b'])
+    expect(usedIds()).toEqual(['encode-b'])
     expect(list.changesSince(500)).toBeUndefined()
   })
 })
 
-describe('a peer\'s list that is newer', () => {
-  test('brings what has begun to leave, what is new, and what has gone', () => {
+describe('a newer list of a peer', () => {
+  test('applies draining, new and removed backend servers', () => {
     const entries = [createEntry('encode-a', 12, { draining: true }), createEntry('encode-c', 13)]
     list.adopt({ revision: 14, entries }, PEER)
-    expect(used()).toEqual(['encode-c'])
+    expect(usedIds()).toEqual(['encode-c'])
     expect(registry.find('encode-b')).toBeUndefined()
     expect(list.revision).toBe(14)
   })
 
-  test('is the one that this process passes on', () => {
+  test('is the list that this process sends to peers', () => {
     const newer = { revision: 14, entries: [createEntry('encode-a', 12, { draining: true })] }
     list.adopt(newer, PEER)
     expect(list.current).toMatchObject(newer)
   })
 
-  test('is not undone by the own read that comes later with what the peer had already', () => {
+  test('is not reverted by a later own read of older changes', () => {
     list.adopt({ revision: 14, entries: [createEntry('encode-a', 12, { draining: true })] }, PEER)
     list.upsert(createEntry('encode-b', 11))
     list.upsert(createEntry('encode-a', 12))
@@ -128,7 +128,7 @@
     expect(registry.find('encode-b')).toBeUndefined()
   })
 
-  test('does not undo an entry of a whole list that was newer than the list\'s revision', () => {
+  test('does not revert an entry that was newer than the revision of its whole list', () => {
     list.replaceAll({ revision: 10, entries: [createEntry('encode-a', 16, { draining: true })] })
     list.adopt({ revision: 14, entries: [createEntry('encode-a', 3)] }, PEER)
     expect(registry.find('encode-a')?.takesWork).toBe(false)
@@ -136,58 +136,58 @@
     expect(registry.find('encode-a')).toBeDefined()
   })
 
-  test('is the first list of a process whose own source has brought none', () => {
-    const started = new BackendList(new BackendRegistry(createLog().log), createLog().log)
-    started.adopt(list.current, PEER)
-    expect(started.current).toEqual(list.current)
+  test('is applied as the first list by a process without a list of its own', () => {
+    const emptyList = new BackendList(new BackendRegistry(createLog().log), createLog().log)
+    emptyList.adopt(list.current, PEER)
+    expect(emptyList.current).toEqual(list.current)
   })
 })
 
-describe('a whole list of the own source', () => {
-  test('changes nothing where it is older than what peers have told', () => {
+describe('a whole list from the own source', () => {
+  test('is ignored if a peer has sent a newer list', () => {
     list.adopt({ revision: 14, entries: [createEntry('encode-a', 12, { draining: true })] }, PEER)
     list.replaceAll({ revision: 11, entries: [createEntry('encode-a', 3), createEntry('encode-b', 7)] })
-    expect(used()).toEqual([])
+    expect(usedIds()).toEqual([])
     expect(list.revision).toBe(14)
   })
 
-  test('replaces what is known where it is as new', () => {
+  test('replaces the current list if its revision is the same', () => {
     list.replaceAll({ revision: 10, entries: [createEntry('encode-b', 7)] })
-    expect(used()).toEqual(['encode-b'])
+    expect(usedIds()).toEqual(['encode-b'])
   })
 })
 
-describe('changes that a peer tells', () => {
+describe('changes received from a peer', () => {
   const CHANGES = [
     { id: 'encode-a', revision: 12, record: createRecord({ id: 'encode-a', draining: true }) },
     { id: 'encode-c', revision: 13, record: createRecord({ id: 'encode-c' }) },
     { id: 'encode-b', revision: 14 },
   ]
 
-  test('take effect in their order, and are told on', () => {
+  test('are applied in order and sent on to other peers', () => {
     list.adoptChanges(CHANGES, 14, PEER)
-    expect(used()).toEqual(['encode-c'])
+    expect(usedIds()).toEqual(['encode-c'])
     expect(list.revision).toBe(14)
     expect(list.changesSince(12)).toEqual(CHANGES.slice(1))
     expect(list.changesSince(14)).toEqual([])
   })
 
-  test('do nothing where they were read meanwhile', () => {
+  test('are ignored if they were read meanwhile', () => {
     list.upsert(createEntry('encode-a', 12, { draining: true }))
     list.upsert(createEntry('encode-a', 15))
     list.adoptChanges(CHANGES, 14, PEER)
-    expect(used()).toEqual(['encode-a', 'encode-b'])
+    expect(usedIds()).toEqual(['encode-a', 'encode-b'])
   })
 
-  test('end the use of what has gone when the peer does', () => {
+  test('remove a backend server at the end of the peer\'s grace period', () => {
     list.adoptChanges([{ id: 'encode-b', revision: 14, usedForMs: 500 }], 14, PEER)
     expect(list.changesSince(10)).toMatchObject([{ id: 'encode-b', usedForMs: 500 }])
     vi.advanceTimersByTime(600)
-    expect(used()).toEqual(['encode-a'])
+    expect(usedIds()).toEqual(['encode-a'])
     expect(list.changesSince(10)).toMatchObject([{ id: 'encode-b', usedForMs: undefined }])
   })
 
-  test('are not told to a peer that lacks more than is remembered', () => {
+  test('are not sent to a peer that lacks changes no longer kept', () => {
     expect(list.changesSince(9)).toBeUndefined()
     for (let revision = 11; revision <= 300; revision++)
       list.upsert(createEntry('encode-a', revision, { draining: revision % 2 === 0 }))
@@ -196,91 +196,91 @@
   })
 })
 
-describe('a peer\'s list that is not newer', () => {
-  test.each([9, 10])('changes nothing (revision %i)', (revision) => {
+describe('a list of a peer that is not newer', () => {
+  test.each([9, 10])('is ignored (revision %i)', (revision) => {
     list.adopt({ revision, entries: [] }, PEER)
-    expect(used()).toEqual(['encode-a', 'encode-b'])
+    expect(usedIds()).toEqual(['encode-a', 'encode-b'])
   })
 })
 
-describe('a backend server that has gone by a peer\'s word', () => {
-  const GONE: ListedBackends = { revision: 14, entries: [createEntry('encode-a', 3)] }
+describe('a backend server whose removal a peer reports', () => {
+  const LIST_WITHOUT_B: ListedBackends = { revision: 14, entries: [createEntry('encode-a', 3)] }
 
-  test('gets nothing more where only a read of this process was lost', () => {
-    list.adopt(GONE, PEER)
-    expect(used()).toEqual(['encode-a'])
+  test('gets no more work if only a read of this process was lost', () => {
+    list.adopt(LIST_WITHOUT_B, PEER)
+    expect(usedIds()).toEqual(['encode-a'])
   })
 
-  test('gets nothing more also right after this process\'s own source returned', () => {
+  test('gets no more work right after this process\'s own source recovered', () => {
     list.noteSourceFailed()
     list.noteSourceReturned(OUTAGE)
-    list.adopt(GONE, PEER)
-    expect(used()).toEqual(['encode-a'])
+    list.adopt(LIST_WITHOUT_B, PEER)
+    expect(usedIds()).toEqual(['encode-a'])
   })
 
-  test('is used for less than two seconds more while the own source is away, since the peer\'s may have been too', () => {
+  test('stays in use for less than two seconds during an outage of the own source, which the peer\'s may share', () => {
     list.noteSourceFailed()
-    list.adopt(GONE, PEER)
+    list.adopt(LIST_WITHOUT_B, PEER)
     vi.advanceTimersByTime(1400)
-    expect(used()).toEqual(['encode-a', 'encode-b'])
+    expect(usedIds()).toEqual(['encode-a', 'encode-b'])
     vi.advanceTimersByTime(200)
-    expect(used()).toEqual(['encode-a'])
+    expect(usedIds()).toEqual(['encode-a'])
   })
 
-  test.each([true, false])('is used on as long as the peer does (own source away: %s)', (isSourceAway) => {
+  test.each([true, false])('stays in use as long as at the peer (own source unavailable: %s)', (isSourceAway) => {
     if (isSourceAway)
       list.noteSourceFailed()
-    list.adopt({ ...GONE, lapsing: [{ id: 'encode-b', remainingMs: 500 }] }, PEER)
+    list.adopt({ ...LIST_WITHOUT_B, lapsing: [{ id: 'encode-b', remainingMs: 500 }] }, PEER)
     expect(list.current.lapsing).toEqual([{ id: 'encode-b', remainingMs: 500 }])
     vi.advanceTimersByTime(400)
-    expect(used()).toEqual(['encode-a', 'encode-b'])
+    expect(usedIds()).toEqual(['encode-a', 'encode-b'])
     vi.advanceTimersByTime(200)
-    expect(used()).toEqual(['encode-a'])
+    expect(usedIds()).toEqual(['encode-a'])
   })
 
-  test('stays if its entry comes back in that time', () => {
+  test('stays in use if its entry is written again in that time', () => {
     list.noteSourceFailed()
-    list.adopt(GONE, PEER)
-    list.adopt({ revision: 15, entries: [...GONE.entries, createEntry('encode-b', 15)] }, PEER)
+    list.adopt(LIST_WITHOUT_B, PEER)
+    list.adopt({ revision: 15, entries: [...LIST_WITHOUT_B.entries, createEntry('encode-b', 15)] }, PEER)
     vi.advanceTimersByTime(5000)
-    expect(used()).toEqual(['encode-a', 'encode-b'])
+    expect(usedIds()).toEqual(['encode-a', 'encode-b'])
   })
 })
 
-describe('gateways that miss reads and hear each other', () => {
-  /** One change of the platform's list: an entry that is ready, draining or gone. */
-  const change = fc.record({ id: fc.constantFrom('a', 'b', 'c'), state: fc.constantFrom('ready', 'draining', 'gone') })
-  /** For each gateway, how many changes its own source brings before it hears the other. */
-  const steps = fc.array(fc.record({ reader: fc.nat(1), changes: fc.nat(4), hears: fc.constantFrom('nothing', 'changes', 'all') }), { maxLength: 40 })
+describe('gateways that miss reads and exchange updates', () => {
+  /** One change of the platform's list: an entry becomes ready, draining or removed. */
+  const change = fc.record({ id: fc.constantFrom('a', 'b', 'c'), state: fc.constantFrom('ready', 'draining', 'removed') })
+  /** One step: a gateway reads some changes from its own source, then sends none, the changes or the whole list to the other. */
+  const steps = fc.array(fc.record({ reader: fc.nat(1), changes: fc.nat(4), exchange: fc.constantFrom('nothing', 'changes', 'all') }), { maxLength: 40 })
 
   function read(target: BackendList, { id, state }: { id: string, state: string }, revision: number): void {
-    if (state === 'gone')
+    if (state === 'removed')
       target.unlist(id, revision)
     else
       target.upsert(createEntry(id, revision, { draining: state === 'draining' }))
   }
 
-  test('hold just what the platform listed at their revision, whatever the order', () => {
+  test('hold exactly the platform\'s list at their revision, in any order of events', () => {
     fc.assert(fc.property(fc.array(change, { minLength: 1, maxLength: 20 }), steps, (changes, order) => {
       const lists = [0, 1].map(() => new BackendList(new BackendRegistry(createLog().log), createLog().log))
       const readUpTo = [0, 0]
-      for (const { reader, changes: count, hears } of order) {
+      for (const { reader, changes: count, exchange } of order) {
         for (let step = 0; step < count && readUpTo[reader] < changes.length; step++)
           read(lists[reader], changes[readUpTo[reader]++], readUpTo[reader])
-        const teller = lists[reader]
-        const hearer = lists[1 - reader]
-        const told = teller.changesSince(hearer.revision)
-        if (hears === 'changes' && told)
-          hearer.adoptChanges(told, teller.revision, PEER)
-        else if (hears === 'all')
-          hearer.adopt(teller.current, PEER)
+        const sender = lists[reader]
+        const receiver = lists[1 - reader]
+        const sentChanges = sender.changesSince(receiver.revision)
+        if (exchange === 'changes' && sentChanges)
+          receiver.adoptChanges(sentChanges, sender.revision, PEER)
+        else if (exchange === 'all')
+          receiver.adopt(sender.current, PEER)
       }
-      for (const held of lists) {
+      for (const replica of lists) {
         const expected = new Map<string, string>()
-        for (const { id, state } of changes.slice(0, held.revision))
+        for (const { id, state } of changes.slice(0, replica.revision))
           expected.set(id, state)
-        const listed = held.current.entries.map(({ record }) => [record.id, record.draining ? 'draining' : 'ready'] as const)
-        expect(new Map(listed)).toEqual(new Map([...expected].filter(([, state]) => state !== 'gone')))
+        const listed = replica.current.entries.map(({ record }) => [record.id, record.draining ? 'draining' : 'ready'] as const)
+        expect(new Map(listed)).toEqual(new Map([...expected].filter(([, state]) => state !== 'removed')))
       }
     }), { seed: SEED })
   })
--- a/test/gateway/backend-registry.test.ts
+++ b/test/gateway/backend-registry.test.ts
@@ -16,16 +16,16 @@
 
 const isUsed = (): boolean => registry.available('encode').length > 0
 
-describe('a backend server whose entry has gone', () => {
-  test('gets nothing more where the source of the list was reachable all the time', () => {
+describe('a backend server whose entry was removed', () => {
+  test('gets no more work if the source of the list was always reachable', () => {
     registry.unlist('encode-a')
     expect(isUsed()).toBe(false)
   })
 
   test.each([
-    ['removed by itself', () => registry.unlist('encode-a')],
+    ['removed individually', () => registry.unlist('encode-a')],
     ['missing in a whole list', () => registry.replaceAll([])],
-  ])('%s right after the source was unreachable, is used for less than two seconds more', (_name, removeEntry) => {
+  ])('%s right after an outage of the source, stays in use for less than two seconds', (_name, removeEntry) => {
     registry.noteSourceReturned(OUTAGE)
     removeEntry()
     vi.advanceTimersByTime(1800)
@@ -35,10 +35,10 @@
   })
 
   test.each<[string, Partial<SourceOutage>, number]>([
-    ['too short for an entry to lapse', { lastedMs: 300 }, 0],
-    ['whose end was noticed late', { mayHaveReturnedMs: 4000 }, 800],
-    ['whose end was noticed too late', { mayHaveReturnedMs: 5000 }, 0],
-  ])('after an outage %s, is used only as long as its leaving may stay unnoticed', (_name, outage, usedForMs) => {
+    ['too short for an entry to expire', { lastedMs: 300 }, 0],
+    ['whose end was detected late', { mayHaveReturnedMs: 4000 }, 800],
+    ['whose end was detected too late', { mayHaveReturnedMs: 5000 }, 0],
+  ])('after an outage %s, stays in use only as long as the platform allows', (_name, outage, usedForMs) => {
     registry.noteSourceReturned({ ...OUTAGE, ...outage })
     registry.unlist('encode-a')
     vi.advanceTimersByTime(Math.max(0, usedForMs - 50))
@@ -47,7 +47,7 @@
     expect(isUsed()).toBe(false)
   })
 
-  test('stays, with what was learned of it, if the entry is listed again in that time', () => {
+  test('stays in use with its learned state if the entry is listed again in that time', () => {
     const backend = registry.find('encode-a')
     registry.noteSourceReturned(OUTAGE)
     registry.unlist('encode-a')
@@ -58,14 +58,14 @@
     expect(isUsed()).toBe(true)
   })
 
-  test('gets nothing more, at once, if another backend server has its address', () => {
+  test('gets no more work if another backend server has its address', () => {
     registry.noteSourceReturned(OUTAGE)
     registry.unlist('encode-a')
     registry.remove('encode-a', 'another backend server has its address')
     expect(isUsed()).toBe(false)
   })
 
-  test('gets nothing more, at once, if it says that it is leaving', () => {
+  test('gets no more work if its entry says that it is draining', () => {
     registry.noteSourceReturned(OUTAGE)
     registry.upsert({ ...RECORD, draining: true })
     expect(isUsed()).toBe(false)
@@ -73,7 +73,7 @@
 })
 
 describe('a change of the list', () => {
-  test('is logged with how old it may be: the time between the last two reads of the list', () => {
+  test('is logged with its maximum age, the interval between the last two reads of the list', () => {
     const { log, lines } = createLog()
     const watched = new BackendRegistry(log)
     watched.upsert(RECORD)
@@ -91,15 +91,15 @@
   })
 })
 
-describe('what a backend server said of the requests that it takes', () => {
-  test('holds on where its entry has gone and comes back', () => {
+describe('the intake state that a backend server announced', () => {
+  test('is kept if its entry is removed and listed again', () => {
     registry.find('encode-a')!.intake.limitPerSecond = 2
     registry.remove('encode-a', 'list entry was removed')
     registry.upsert(RECORD)
     expect(registry.find('encode-a')!.intake.limitPerSecond).toBe(2)
   })
 
-  test('is heard also from an answer that comes while its entry is gone', () => {
+  test('is updated by a response that arrives while its entry is removed', () => {
     const { intake } = registry.find('encode-a')!
     registry.remove('encode-a', 'list entry was removed')
     intake.takeLeaving()
@@ -107,7 +107,7 @@
     expect(isUsed()).toBe(false)
   })
 
-  test('keeps work from one that says that it leaves, whatever the list says later of the same process', () => {
+  test('excludes a process that announced its leaving, whatever its list entry says later', () => {
     registry.find('encode-a')!.intake.takeLeaving()
     registry.upsert({ ...RECORD, capacity: 5 })
     expect(isUsed()).toBe(false)
@@ -116,7 +116,7 @@
     expect(isUsed()).toBe(false)
   })
 
-  test('does not hold for a later process of it', () => {
+  test('does not apply to a later process of the backend server', () => {
     registry.upsert({ ...RECORD, born: 1 })
     registry.find('encode-a')!.intake.limitPerSecond = 2
     registry.find('encode-a')!.intake.takeLeaving()
--- a/test/gateway/gateway-share.test.ts
+++ b/test/gateway/gateway-share.test.ts
@@ -1,8 +1,8 @@
 import { countSharingGateways, shareOfConnections } from '@eidermast/gateway'
 import { describe, expect, test } from 'vitest'
 
-describe('the share of a common limit', () => {
-  test.each([1, 3, 22])('leaves a part for one gateway that nobody of %i knows yet', (listed) => {
+describe('the share of a deployment-wide limit', () => {
+  test.each([1, 3, 22])('reserves a share for one unlisted gateway beside %i listed ones', (listed) => {
     const limit = 100
     expect(shareOfConnections(limit, listed) * (listed + 1)).toBeLessThanOrEqual(limit)
     expect(countSharingGateways(listed)).toBe(listed + 1)
--- a/test/gateway/peer-fetch.test.ts
+++ b/test/gateway/peer-fetch.test.ts
@@ -18,8 +18,8 @@
 })
 afterEach(() => void vi.useRealTimers())
 
-describe('a state that a peer holds', () => {
-  test('is fetched where the own read has not brought it in time', async () => {
+describe('the state of a peer', () => {
+  test('is fetched if the own read does not deliver it in time', async () => {
     void peerFetch.learn(PEER, 6)
     await vi.advanceTimersByTimeAsync(PATIENCE_MS - 1)
     expect(fetch).not.toHaveBeenCalled()
@@ -27,27 +27,27 @@
     expect(fetch).toHaveBeenCalledExactlyOnceWith(PEER)
   })
 
-  test('is not fetched where the own read brings it meanwhile', async () => {
+  test('is not fetched if the own read delivers it meanwhile', async () => {
     void peerFetch.learn(PEER, 6)
     revision = 6
     await vi.advanceTimersByTimeAsync(PATIENCE_MS)
     expect(fetch).not.toHaveBeenCalled()
   })
 
-  test.each([['older', 4], ['the same', 5], ['not told', undefined]])('is not fetched where its revision is %s', async (_name, held) => {
+  test.each([['older', 4], ['the same', 5], ['not sent', undefined]])('is not fetched if its revision is %s', async (_name, held) => {
     void peerFetch.learn(PEER, held)
     await vi.advanceTimersByTimeAsync(PATIENCE_MS)
     expect(fetch).not.toHaveBeenCalled()
   })
 
-  test('is fetched once, however many heartbeats tell of it meanwhile', async () => {
+  test('is fetched once, however many heartbeats report it meanwhile', async () => {
     for (let heartbeat = 0; heartbeat < 5; heartbeat++)
       void peerFetch.learn(PEER, 6)
     await vi.advanceTimersByTimeAsync(PATIENCE_MS)
     expect(fetch).toHaveBeenCalledOnce()
   })
 
-  test('is fetched at the next heartbeat where a fetch fails', async () => {
+  test('is fetched on the next heartbeat after a failed fetch', async () => {
     const error = new Error('no answer')
     fetch.mockRejectedValueOnce(error)
     void peerFetch.learn(PEER, 6)
--- a/test/platform/crashing-requests.test.ts
+++ b/test/platform/crashing-requests.test.ts
@@ -1,20 +1,13 @@
 /**
- * What users saw: one request ended every backend server that began to run it.
- * It came again and again with the same path, client account and body, at any
- * gateway, and was sent on each time: 12 backend servers ended by one request
- * and 14 by another, with the streams of other clients on them.
- *
- * Order of events: a gateway sends the request, its backend server ends, and the
- * request ends as of unknown outcome. The client sends it again, to another
- * gateway, which sees it for the first time.
- *
- * Cause: nothing that a gateway learned of a request outlived its end, and no
- * gateway told another. Each try was judged anew, as the first of its kind.
- *
- * Evidence: in the logs of the users' record the request was on each of the
- * eight backend servers that ended under calls within 22 s; no other request
- * was on more than two. Three gateways saw the first four ends. Without the
- * mend the first test below counts 14 sends later than the bound.
+ * Guards against a poison request that is retried without limit. A request that
+ * crashes every backend server that runs it ends with an unknown outcome, and its
+ * client sends it again to any gateway. When gateways kept nothing about a request
+ * after its end and did not inform each other, each attempt was treated as the
+ * first: single requests ended 12 and 14 backend servers, together with the
+ * streams of other clients on them. In the recorded logs such a request was on
+ * each of the eight backend servers that ended within 22 s, and no other request
+ * was on more than two; three gateways saw the first four ends. Without crash
+ * reports the first test below counts 14 requests sent later than the bound.
  */
 import type { StartedGateway } from './support/in-process-gateway.js'
 import { wait } from '@eidermast/common'
@@ -24,27 +17,27 @@
 import { startGateway } from './support/in-process-gateway.js'
 import { StandInStore, StoreFault } from './support/stand-in-store.js'
 
-/** Backend servers that a request may end before it is known to be the cause. */
-const CRASHES_BEFORE = 3
-/** Milliseconds after that within which all gateways know (settings, `contact-ms`). */
+/** Backend servers that a request may crash before it is identified as the cause. */
+const MAX_CRASHES = 3
+/** Time within which all gateways know the cause (setting `contact-ms`). */
 const CONTACT_MS = 3000
-/** Times that it may be sent to backend servers later than that. */
-const SENT_AFTER = 3
+/** Number of times that the request may still be sent to backend servers after that time. */
+const MAX_LATE_REQUESTS = 3
 const PATH = '/plain/x'
 const GATEWAYS = 3
 const POOL_SIZE = 10
-/** Milliseconds between the sendings of the crashing request, and for how long it comes. */
+/** Interval and total duration of sending the crashing request. */
 const CRASHING_INTERVAL_MS = 500
-const PLAY_MS = 10_000
-/** Milliseconds between other requests. */
-const BESIDE_INTERVAL_MS = 20
-/** Times that half of the backend servers end together, and milliseconds before each. */
+const CRASHING_MS = 10_000
+/** Interval between other requests. */
+const OTHER_INTERVAL_MS = 20
+/** Number of times that half of the backend servers end together, and the time before each. */
 const WAVES = 3
-const WAVE_MS = 1500
-/** Milliseconds between looks at what gateways refuse. */
-const WATCH_INTERVAL_MS = 10
-/** Part of the requests that is served once backend servers are back: as many as are served while the list holds ones that have ended. */
-const SERVED_SHARE = 0.9
+const WAVE_INTERVAL_MS = 1500
+/** Interval between checks of the quarantined fingerprints. */
+const CHECK_INTERVAL_MS = 10
+/** Minimum fraction of requests served after backend servers have restarted, while the list still contains ended ones. */
+const MIN_SERVED_SHARE = 0.9
 const CONFIGURATION = {
   Version: 3,
   Routes: [{ Name: 'plain', Host: 'host.example', PathPrefix: '/plain/', Type: 'idempotent', Service: 'plain', TimeoutMs: 4000, TargetLatencyMs: 1000, MaxAttempts: 2 }],
@@ -79,13 +72,13 @@
   await Promise.all([store.stop(), pool.stop()])
 })
 
-/** An answer as its client got it. */
+/** A response as received by the client. */
 interface Answer {
   status: number
   retryAfter: unknown
 }
 
-/** Sends a request to the gateways in turn. */
+/** Sends a request to the gateways in round-robin order. */
 async function send(body: string): Promise<Answer> {
   const id = sent++
   const { address } = gateways[id % gateways.length]
@@ -95,7 +88,7 @@
   return { status: response.statusCode, retryAfter: response.headers['retry-after'] }
 }
 
-/** Sends requests for some time; returns their answers. */
+/** Sends requests for `forMs` milliseconds; returns their responses. */
 async function sendFor(forMs: number, intervalMs: number, body: () => string): Promise<Answer[]> {
   const answers: Promise<Answer>[] = []
   const endAt = performance.now() + forMs
@@ -114,25 +107,25 @@
   return [...new Set(answers.map(({ status }) => status))]
 }
 
-/** Fingerprints that gateways refuse, of all of them together. */
+/** Number of quarantined fingerprints, summed over all gateways. */
 function totalQuarantined(): number {
   return gateways.reduce((sum, { gateway }) => sum + gateway.crashBoard.quarantined, 0)
 }
 
-/** Lets the request end backend servers until every gateway refuses it. */
+/** Sends the crashing request until every gateway refuses it. */
 async function crashUntilRefused(): Promise<void> {
-  await sendCrashing(CRASHING_INTERVAL_MS * CRASHES_BEFORE)
+  await sendCrashing(CRASHING_INTERVAL_MS * MAX_CRASHES)
   await vi.waitFor(() => expect(gateways.map(({ gateway }) => gateway.crashBoard.quarantined)).toEqual(gateways.map(() => 1)), { timeout: CONTACT_MS })
 }
 
-describe('a request that ends every backend server that runs it', () => {
-  test('is sent on no more soon after the third end, at whichever gateway it comes', async () => {
-    await sendCrashing(PLAY_MS)
-    expect(pool.ends.length).toBeGreaterThanOrEqual(CRASHES_BEFORE)
-    expect(pool.sentLaterThan(CONTACT_MS, PATH).length).toBeLessThanOrEqual(SENT_AFTER)
+describe('a request that crashes every backend server that runs it', () => {
+  test('is no longer forwarded by any gateway soon after the third crash', async () => {
+    await sendCrashing(CRASHING_MS)
+    expect(pool.ends.length).toBeGreaterThanOrEqual(MAX_CRASHES)
+    expect(pool.sentLaterThan(CONTACT_MS, PATH).length).toBeLessThanOrEqual(MAX_LATE_REQUESTS)
   })
 
-  test('is refused at once, as not run, and is not asked to come again', async () => {
+  test('is refused immediately as not run, without a request to retry', async () => {
     await crashUntilRefused()
     const seenBefore = pool.crashingSeen.length
     const answers = await sendCrashing(CRASHING_INTERVAL_MS * GATEWAYS)
@@ -140,14 +133,14 @@
     expect(pool.crashingSeen.length).toBe(seenBefore)
   })
 
-  test('ends few backend servers also while the store is out, since gateways tell each other', async () => {
+  test('crashes few backend servers during a store outage too, because gateways exchange reports', async () => {
     store.fault = StoreFault.Reset
     await sendCrashing(CONTACT_MS)
     expect(statusesOf(await sendCrashing(CONTACT_MS))).toEqual([503])
-    expect(pool.ends.length).toBeLessThanOrEqual(CRASHES_BEFORE + SENT_AFTER)
+    expect(pool.ends.length).toBeLessThanOrEqual(MAX_CRASHES + MAX_LATE_REQUESTS)
   })
 
-  test('is refused by gateways that start after the loss of all', async () => {
+  test('is refused by gateways that start after all others were lost', async () => {
     await crashUntilRefused()
     const endedBefore = pool.ends.length
     await Promise.all(gateways.map(({ gateway }) => gateway.close()))
@@ -157,30 +150,30 @@
     expect(pool.ends.length).toBe(endedBefore)
   })
 
-  test('costs other callers nothing once it is refused, and has none of them refused', async () => {
+  test('does not affect other callers once it is refused, and none of them is refused', async () => {
     let number = 0
-    const beside = (forMs: number): Promise<Answer[]> => sendFor(forMs, BESIDE_INTERVAL_MS, () => `beside-${number++}`)
-    const [during] = await Promise.all([beside(CONTACT_MS), sendCrashing(CONTACT_MS)])
-    const [after] = await Promise.all([beside(CONTACT_MS), sendCrashing(CONTACT_MS)])
+    const sendOthers = (forMs: number): Promise<Answer[]> => sendFor(forMs, OTHER_INTERVAL_MS, () => `other-${number++}`)
+    const [during] = await Promise.all([sendOthers(CONTACT_MS), sendCrashing(CONTACT_MS)])
+    const [after] = await Promise.all([sendOthers(CONTACT_MS), sendCrashing(CONTACT_MS)])
     expect(statusesOf(during)).not.toContain(503)
     expect(statusesOf(after)).toEqual([200])
   })
 })
 
 describe('requests that share a fingerprint', () => {
-  test('are never refused for it where backend servers end together again and again under them', async () => {
+  test('are never refused if several backend servers end together repeatedly while running them', async () => {
     let refused = 0
-    const watch = setInterval(() => refused += totalQuarantined(), WATCH_INTERVAL_MS)
-    const answers = sendFor(WAVES * WAVE_MS + CONTACT_MS, BESIDE_INTERVAL_MS, () => 'look-up')
+    const checks = setInterval(() => refused += totalQuarantined(), CHECK_INTERVAL_MS)
+    const answers = sendFor(WAVES * WAVE_INTERVAL_MS + CONTACT_MS, OTHER_INTERVAL_MS, () => 'look-up')
     for (let wave = 0; wave < WAVES; wave++) {
-      await wait(WAVE_MS)
+      await wait(WAVE_INTERVAL_MS)
       pool.endSome(POOL_SIZE / 2)
     }
-    const last = (await answers).slice(-CONTACT_MS / BESIDE_INTERVAL_MS / 2)
-    clearInterval(watch)
+    const last = (await answers).slice(-CONTACT_MS / OTHER_INTERVAL_MS / 2)
+    clearInterval(checks)
     expect(pool.ends.length).toBeGreaterThan(POOL_SIZE)
     expect(refused).toBe(0)
-    // One may meet only backend servers that have ended and are still listed.
-    expect(last.filter(({ status }) => status === 200).length).toBeGreaterThan(last.length * SERVED_SHARE)
+    // A request may be sent only to backend servers that have ended and are still listed.
+    expect(last.filter(({ status }) => status === 200).length).toBeGreaterThan(last.length * MIN_SERVED_SHARE)
   })
 })
--- a/test/platform/evacuation.test.ts
+++ b/test/platform/evacuation.test.ts
@@ -1,7 +1,7 @@
 /**
- * Operators order that nothing more is sent to the backend servers of a failure
- * domain. Each gateway has a way of its own to the store, which fails in the
- * ways in which a change becomes known late.
+ * Evacuation of a failure domain: operators order that its backend servers get
+ * no more requests. Each gateway reaches the store through its own proxy, which
+ * fails in the ways that delay the propagation of the order.
  */
 import type { StartedGateway } from './support/in-process-gateway.js'
 import { wait } from '@eidermast/common'
@@ -15,11 +15,11 @@
 
 const OPERATOR_TOPIC = 'keyed.op'
 const SERVER_TOPIC = 'keyed.servers'
-/** Milliseconds after its acknowledgement from which an evacuation binds gateways in touch (the platform's bounds). */
+/** Time after its acknowledgement until an evacuation must be in force on connected gateways (the platform's bounds). */
 const EVACUATION_MS = 5000
 const SEND_INTERVAL_MS = 50
-/** The stages of one backend server are done in time also where the machine is slow. */
-const STAGED_ONE_IN = 2
+/** Few enough requests for one stage backend server to finish in time on a slow machine. */
+const ROUNDS_PER_STAGED_REQUEST = 2
 const ROUTE = { Host: 'host.example', TimeoutMs: 6000, TargetLatencyMs: 3000 }
 const CONFIGURATION = {
   Version: 3,
@@ -37,10 +37,10 @@
 let backends: StandInBackend[]
 
 const evacuate = (failureDomain: string): void => store.put(OPERATOR_TOPIC, `evacuate/${failureDomain}`, {})
-const takeBack = (failureDomain: string): void => store.put(OPERATOR_TOPIC, `evacuate/${failureDomain}`, undefined)
+const endEvacuation = (failureDomain: string): void => store.put(OPERATOR_TOPIC, `evacuate/${failureDomain}`, undefined)
 const inDomain = (failureDomain: string): StandInBackend[] => backends.filter(backend => backend.failureDomain === failureDomain)
 
-async function startOne(number: number): Promise<void> {
+async function startGatewayBehindProxy(number: number): Promise<void> {
   lines[number] = new StoreLine(storeAddress)
   gateways[number] = await startGateway(`gateway-${number}`, await lines[number].start())
 }
@@ -60,9 +60,9 @@
   store.put(OPERATOR_TOPIC, 'config', CONFIGURATION)
   lines = []
   gateways = []
-  await startOne(0)
+  await startGatewayBehindProxy(0)
   await vi.waitFor(() => expect(store.newestOf('keyed.eidermast-gateways').has('gateway-0')).toBe(true))
-  await startOne(1)
+  await startGatewayBehindProxy(1)
   await vi.waitFor(() => {
     for (const { gateway } of gateways) {
       expect(gateway.registry.size).toBe(backends.length)
@@ -84,39 +84,39 @@
   return response.statusCode
 }
 
-/** Sends to all gateways for some time; resolves with the statuses. */
+/** Sends requests to all gateways for some time; resolves with the status codes. */
 async function sendFor(milliseconds: number): Promise<number[]> {
   const answers: Promise<number>[] = []
-  let sendings = 0
+  let rounds = 0
   const endAt = performance.now() + milliseconds
   while (performance.now() < endAt) {
     for (const gateway of gateways) {
       answers.push(send(gateway, '/plain/x', `plain-${answers.length}`))
-      if (sendings % STAGED_ONE_IN === 0)
+      if (rounds % ROUNDS_PER_STAGED_REQUEST === 0)
         answers.push(send(gateway, '/staged/x', `staged-${answers.length}`))
     }
-    sendings++
+    rounds++
     await wait(SEND_INTERVAL_MS)
   }
   return Promise.all(answers)
 }
 
-/** Work that reached backend servers of a failure domain after a moment. */
-function arrivalsAfter(failureDomain: string, moment: number): string[] {
-  return inDomain(failureDomain).flatMap(backend => backend.seen).filter(({ path, at }) => at > moment && path !== '/-/stage-free').map(({ path, at }) => `${path} ${Math.round(at - moment)} ms late`)
+/** Requests that reached backend servers of a failure domain after a point in time. */
+function arrivalsAfter(failureDomain: string, deadline: number): string[] {
+  return inDomain(failureDomain).flatMap(backend => backend.seen).filter(({ path, at }) => at > deadline && path !== '/-/stage-free').map(({ path, at }) => `${path} ${Math.round(at - deadline)} ms late`)
 }
 
 describe('the backend servers of an evacuated failure domain', () => {
   test.each([
-    ['the store is well', () => {}],
+    ['the store is available', () => {}],
     ['one gateway is cut off from the store', () => {
       lines[1].isCut = true
       lines[1].silenceOpenConnections()
     }],
-    ['the reads of one gateway were lost', () => lines[1].silenceOpenConnections()],
-    ['the reads of all gateways were lost', () => lines.forEach(line => line.silenceOpenConnections())],
-  ])('get nothing after the bound where %s', async (_name, disturb) => {
-    disturb()
+    ['the reads of one gateway are lost', () => lines[1].silenceOpenConnections()],
+    ['the reads of all gateways are lost', () => lines.forEach(line => line.silenceOpenConnections())],
+  ])('get no requests after the deadline if %s', async (_name, injectFault) => {
+    injectFault()
     await wait(100)
     evacuate('zone-a')
     const acknowledgedAt = performance.now()
@@ -126,33 +126,33 @@
     expect(statuses.filter(status => status !== 200)).toEqual([])
   })
 
-  test('get work again when the evacuation is taken back', async () => {
+  test('get work again when the evacuation is withdrawn', async () => {
     evacuate('zone-a')
     await vi.waitFor(() => gateways.forEach(({ gateway }) => expect(gateway.evacuations.evacuated).toEqual(new Set(['zone-a']))))
-    takeBack('zone-a')
+    endEvacuation('zone-a')
     await vi.waitFor(() => gateways.forEach(({ gateway }) => expect(gateway.evacuations.evacuated.size).toBe(0)))
     await sendFor(300)
     expect(inDomain('zone-a').every(backend => backend.seen.length > 0)).toBe(true)
   })
 
-  test('get nothing from a gateway that starts while the records of the order are gone from the history', async () => {
+  test('get no requests from a gateway that starts after the order\'s records were deleted from the history', async () => {
     evacuate('zone-a')
     store.dropHistory(OPERATOR_TOPIC)
-    await startOne(2)
+    await startGatewayBehindProxy(2)
     await vi.waitFor(() => expect(gateways[2].gateway.registry.size).toBe(backends.length), { timeout: 3000 })
     expect(gateways[2].gateway.registry.available('plain').map(({ id }) => id)).toEqual(['plain-zone-b'])
   })
 
-  test('get work again where the order was taken back in history that the store has dropped', async () => {
+  test('get work again if the withdrawal is in history that the store has deleted', async () => {
     evacuate('zone-a')
     await vi.waitFor(() => gateways.forEach(({ gateway }) => expect(gateway.evacuations.evacuated.size).toBe(1)))
     lines.forEach(line => line.silenceOpenConnections())
-    takeBack('zone-a')
+    endEvacuation('zone-a')
     store.dropHistory(OPERATOR_TOPIC)
     await vi.waitFor(() => gateways.forEach(({ gateway }) => expect(gateway.evacuations.evacuated.size).toBe(0)), { timeout: EVACUATION_MS })
   })
 
-  test('get nothing from backend servers\' entries that come later', async () => {
+  test('include backend servers that are listed later', async () => {
     evacuate('zone-a')
     await vi.waitFor(() => expect(gateways[0].gateway.evacuations.evacuated.size).toBe(1))
     const late = new StandInBackend('plain-late', 'plain', 'zone-a')
@@ -163,13 +163,13 @@
     expect(gateways[0].gateway.registry.available('plain').map(({ id }) => id)).toEqual(['plain-zone-b'])
   })
 
-  test('end what they work on', async () => {
+  test('finish the requests in progress', async () => {
     const slow = inDomain('zone-a').find(({ service }) => service === 'plain')!
     const only = inDomain('zone-b').find(({ service }) => service === 'plain')!
     let answer = (): void => {}
-    const left = vi.fn()
+    const interrupted = vi.fn()
     slow.respond = (seen, response) => {
-      response.on('close', () => response.writableEnded || left())
+      response.on('close', () => response.writableEnded || interrupted())
       answer = () => {
         response.writeHead(200, { 'Attempt-Id': String(seen.headers['attempt-id']), 'Server-Signature': 'signed' })
         response.end('whole')
@@ -183,13 +183,13 @@
     await vi.waitFor(() => expect(gateways[0].gateway.registry.callsInEvacuated).toBe(1))
     answer()
     expect(await status).toBe(200)
-    expect(left).not.toHaveBeenCalled()
+    expect(interrupted).not.toHaveBeenCalled()
     await vi.waitFor(() => expect(gateways[0].gateway.registry.callsInEvacuated).toBe(0))
   })
 })
 
 describe('a service whose backend servers are all in evacuated failure domains', () => {
-  test('is refused at once, as not run', async () => {
+  test('is refused immediately, as not run', async () => {
     inDomain('zone-b').forEach(backend => (backend.respond = hang(() => {})))
     evacuate('zone-a')
     evacuate('zone-b')
--- a/test/platform/gateway-start.test.ts
+++ b/test/platform/gateway-start.test.ts
@@ -15,15 +15,15 @@
     await import('../../platform/build.mjs' as string)
   })
 
-  test.each(['clients', 'readiness', 'peers', 'metrics'] as const)('ends with a code and a line that says why where its port for %s is taken', async (kind) => {
+  test.each(['clients', 'readiness', 'peers', 'metrics'] as const)('exits with code 1 and logs the reason if its port for %s is in use', async (kind) => {
     const ports = await freePorts()
-    const holder = createServer().listen(ports[kind], '127.0.0.1')
-    await once(holder, 'listening')
+    const portOwner = createServer().listen(ports[kind], '127.0.0.1')
+    await once(portOwner, 'listening')
     const settings = path.join(mkdtempSync(path.join(tmpdir(), 'eidermast-start-')), 'gateway.ini')
     writeFileSync(settings, createSettings('gateway-a', ports, '127.0.0.1:1'))
     const child = spawn(process.execPath, [BUNDLE], { env: { ...process.env, EIDERMAST_SETTINGS: settings }, stdio: ['ignore', 'pipe', 'inherit'] })
     const [output, [code]] = await Promise.all([text(child.stdout), once(child, 'exit')])
-    holder.close()
+    portOwner.close()
     expect(code).toBe(1)
     expect(output).toMatch(/"event":"start-failed".*EADDRINUSE/)
   })
--- a/test/platform/gateway.test.ts
+++ b/test/platform/gateway.test.ts
@@ -57,7 +57,7 @@
 }
 
 describe('a gateway without a configuration', () => {
-  test('is not ready, and asks clients to retry later', async () => {
+  test('is not ready and asks clients to retry later', async () => {
     expect((await request(readiness)).statusCode).toBe(503)
     const response = await send('/plain/x')
     expect(response.statusCode).toBe(503)
@@ -68,7 +68,7 @@
 describe('a request', () => {
   beforeEach(publish)
 
-  test('reaches a backend server unchanged but for the system\'s own headers', async () => {
+  test('reaches a backend server unchanged except for the gateway\'s own headers', async () => {
     const response = await send('/plain/x?query=1', { 'x-own': 'kept', 'tenant': 'forged' })
     expect(await response.body.text()).toBe('answer to /plain/x?query=1')
     expect(response.headers['server-signature']).toBe('signed')
@@ -82,25 +82,25 @@
   test.each([
     ['without a route', '/none/', {}, 404],
     ['with an unknown key', '/plain/', { 'api-key': 'other' }, 401],
-    ['with a deadline that is no number', '/plain/', { 'deadline-ms': 'soon' }, 400],
+    ['with a deadline that is not a number', '/plain/', { 'deadline-ms': 'soon' }, 400],
     ['with too many bytes of headers', '/plain/', { 'x-long': 'x'.repeat(9000) }, 431],
-  ])('%s reaches nobody', async (_name, path, headers, status) => {
+  ])('%s reaches no backend server', async (_name, path, headers, status) => {
     expect((await send(path, headers)).statusCode).toBe(status)
     expect(backends.flatMap(backend => backend.seen)).toEqual([])
   })
 
-  test('with too large a body reaches nobody', async () => {
+  test('with too large a body reaches no backend server', async () => {
     expect((await send('/plain/', {}, 'x'.repeat(2000))).statusCode).toBe(413)
     expect(backends.flatMap(backend => backend.seen)).toEqual([])
   })
 
-  test('that may run once runs once, and ends without a promise that it did not run when its answer is lost', async () => {
+  test('that is not idempotent runs once, and is not reported as not run if its response is lost', async () => {
     backends[0].respond = (_, response) => void response.destroy()
     expect((await send('/once/x')).statusCode).toBe(502)
     expect(backends[0].seen).toHaveLength(1)
   })
 
-  test('that may run again gets the backend server\'s own failure where no other backend server is', async () => {
+  test('that is idempotent gets the backend server\'s own error if there is no other backend server', async () => {
     backends[0].respond = answerWhole(500)
     const response = await send('/plain/x')
     expect(response.statusCode).toBe(500)
@@ -108,9 +108,9 @@
   })
 
   test.each([
-    ['a whole answer', '/plain/x', 0, 'answer'],
+    ['a complete response', '/plain/x', 0, 'answer'],
     ['a stream', '/stream/x', 1, 'id: 1\ndata: 1\n\n'],
-  ])('whose backend server sends %s without a length gets it without one, so that nothing cut short is framed as complete', async (_name, path, first, body) => {
+  ])('whose backend server sends %s without a length gets it without one, so that a truncated response is not framed as complete', async (_name, path, first, body) => {
     backends.slice(first).forEach(backend => backend.respond = answerUnframed(body))
     const response = await send(path)
     expect(response.statusCode).toBe(200)
@@ -120,50 +120,50 @@
     expect(await response.body.text()).toBe(body)
   })
 
-  test('whose client leaves stops its backend server', async () => {
-    const left = vi.fn()
-    backends[0].respond = hang(left)
-    const leaving = new AbortController()
-    const sent = request(`${address}/plain/x`, { method: 'POST', headers: HEADERS, signal: leaving.signal })
+  test('whose client disconnects is cancelled at its backend server', async () => {
+    const disconnected = vi.fn()
+    backends[0].respond = hang(disconnected)
+    const client = new AbortController()
+    const sent = request(`${address}/plain/x`, { method: 'POST', headers: HEADERS, signal: client.signal })
     await vi.waitFor(() => expect(backends[0].seen).toHaveLength(1))
-    leaving.abort()
+    client.abort()
     await expect(sent).rejects.toThrow()
-    await vi.waitFor(() => expect(left).toHaveBeenCalled())
+    await vi.waitFor(() => expect(disconnected).toHaveBeenCalled())
   })
 })
 
 describe('a stream', () => {
-  const WHOLE = [1, 2, 3, 4, 5, 6].map(id => `id: ${id}\ndata: ${id}\n\n`).join('')
+  const ALL_EVENTS = [1, 2, 3, 4, 5, 6].map(id => `id: ${id}\ndata: ${id}\n\n`).join('')
 
   beforeEach(publish)
 
-  test('is passed on whole', async () => {
+  test('is forwarded completely', async () => {
     backends.slice(1).forEach(backend => backend.respond = streamEvents(6))
     const response = await send('/stream/x')
-    expect(await response.body.text()).toBe(WHOLE)
+    expect(await response.body.text()).toBe(ALL_EVENTS)
   })
 
-  test('that may be resumed goes on at another backend server, without a missing, doubled or half event', async () => {
-    let broken = false
+  test('that is resumable continues at another backend server, without missing, duplicate or partial events', async () => {
+    let isInterrupted = false
     for (const backend of backends.slice(1)) {
       backend.respond = (seen, response) => {
-        const respond = broken ? streamEvents(6) : streamEvents(6, 3)
-        broken = true
+        const respond = isInterrupted ? streamEvents(6) : streamEvents(6, 3)
+        isInterrupted = true
         return respond(seen, response)
       }
     }
     const response = await send('/resumed/x')
-    expect(await response.body.text()).toBe(WHOLE)
+    expect(await response.body.text()).toBe(ALL_EVENTS)
     const seen = backends.slice(1).flatMap(backend => backend.seen)
     expect(seen.map(entry => entry.headers['last-event-id'])).toEqual(expect.arrayContaining([undefined, '3']))
   })
 
-  test('that goes on with an answer without a length ends as broken: its end cannot be told from a cut', async () => {
-    let broken = false
+  test('that is resumed with a response without a length ends as broken, because its end is indistinguishable from a truncation', async () => {
+    let isInterrupted = false
     for (const backend of backends.slice(1)) {
       backend.respond = (seen, response) => {
-        const respond = broken ? answerUnframed('id: 4\ndata: 4\n\n') : streamEvents(6, 3)
-        broken = true
+        const respond = isInterrupted ? answerUnframed('id: 4\ndata: 4\n\n') : streamEvents(6, 3)
+        isInterrupted = true
         return respond(seen, response)
       }
     }
@@ -171,7 +171,7 @@
     await expect(response.body.text()).rejects.toThrow()
   })
 
-  test('that may not be resumed ends as broken, never as whole', async () => {
+  test('that is not resumable ends as broken, never as complete', async () => {
     backends.slice(1).forEach(backend => backend.respond = streamEvents(6, 3))
     const response = await send('/stream/x')
     await expect(response.body.text()).rejects.toThrow()
@@ -180,18 +180,18 @@
 })
 
 describe('a planned stop', () => {
-  test('answers what is under way and what still comes, and is not ready at once', async () => {
+  test('answers requests in flight and those that still arrive, and is immediately not ready', async () => {
     await publish()
     backends[0].respond = async (seen, response) => {
       await new Promise(resolve => setTimeout(resolve, 300))
       await answerWhole()(seen, response)
     }
-    const underWay = send('/plain/x')
+    const inFlight = send('/plain/x')
     await vi.waitFor(() => expect(backends[0].seen).toHaveLength(1))
     const drained = gateway.drain()
     expect((await request(readiness)).statusCode).toBe(503)
     const later = send('/plain/y', { 'attempt-id': 'id-2' })
-    expect((await underWay).statusCode).toBe(200)
+    expect((await inFlight).statusCode).toBe(200)
     expect((await later).statusCode).toBe(200)
     expect((await later).headers.connection).toBe('close')
     await drained
--- a/test/platform/gateways.test.ts
+++ b/test/platform/gateways.test.ts
@@ -77,7 +77,7 @@
 }
 
 describe('two gateways', () => {
-  test('run the stages of all requests at the coordinator, and give each request its own results', async () => {
+  test('run the stages of all requests on the coordinator and give each request its own results', async () => {
     const answers = await Promise.all([send(gateways[1], 'id-1'), send(gateways[0], 'id-2')])
     for (const answer of answers)
       expect(await answer.body.text()).toContain('data: 3')
@@ -88,7 +88,7 @@
     expect(new Set(inputs.flat()).size).toBe(4)
   })
 
-  test('serve a request whose coordinator dies while its stages run', async () => {
+  test('serve a request whose coordinator fails while its stages run', async () => {
     const answer = send(gateways[1], 'id-1')
     await vi.waitFor(() => expect(stageCalls().length).toBeGreaterThan(0))
     await gateways[0].gateway.close()
@@ -114,8 +114,8 @@
     expect((await send(gateways[to], 'id-1')).statusCode).toBe(404)
   })
 
-  // Calls for 30 changes: 60 before gateways told each other (two runs), 32 since (three runs).
-  test('read the store once for each change together, and know it within half a second', async () => {
+  // 30 changes cost 60 calls when gateways did not exchange changes (two runs), and 32 with the exchange (three runs).
+  test('read the store about once per change in total, and know each change within half a second', async () => {
     const callsBefore = store.callsTo.get('keyed.servers')!
     const CHANGES = 30
     for (let change = 1; change <= CHANGES; change++) {
@@ -132,13 +132,13 @@
     expect(performance.now() - changedAt).toBeLessThan(500)
   })
 
-  test('list themselves again where the withdrawal of an earlier process of their name is taken late', async () => {
+  test('announce themselves again if the withdrawal of an earlier process of their name arrives late', async () => {
     store.put('keyed.eidermast-gateways', 'gateway-b', undefined)
     await vi.waitFor(() => expect(store.newestOf('keyed.eidermast-gateways').has('gateway-b')).toBe(true), { timeout: 5000 })
     await vi.waitFor(() => expect(gateways.map(({ gateway }) => gateway.members.count)).toEqual([2, 2]), { timeout: 5000 })
   })
 
-  test('never take an older configuration from a peer', async () => {
+  test('never apply an older configuration of a peer', async () => {
     store.fault = StoreFault.Busy
     gateways[0].gateway.configuration.offer(JSON.stringify(createConfiguration(9)), 'test')
     await vi.waitFor(() => expect(gateways[1].gateway.configuration.version).toBe(9), { timeout: 3000 })
--- a/test/platform/leaving-backends.test.ts
+++ b/test/platform/leaving-backends.test.ts
@@ -7,10 +7,10 @@
 import { StandInStore } from './support/stand-in-store.js'
 
 const SERVER_TOPIC = 'keyed.servers'
-/** One gateway gets two connections of these, since it leaves the share of one more gateway unused. */
+/** A single gateway may use two of these, because one share is reserved for an unlisted gateway. */
 const MAX_CONNECTIONS = 4
 const CONNECTIONS = 2
-/** Milliseconds until a backend server under test answers. */
+/** Response time of the backend server under test. */
 const ANSWER_MS = 1500
 const CONFIGURATION = {
   Version: 3,
@@ -43,7 +43,7 @@
 
 const isUsed = (): boolean => gateway.registry.available('plain').length > 0
 
-/** Sends a request; resolves with its status and how long it took in milliseconds. */
+/** Sends a request; resolves with its status code and duration. */
 async function send(requestId: string): Promise<{ status: number, tookMs: number }> {
   const sentAt = performance.now()
   const headers = { 'host': 'host.example', 'attempt-id': requestId, 'deadline-ms': '5000' }
@@ -54,27 +54,27 @@
 
 describe('a request that waits for a connection', () => {
   test.each([
-    ['says that it is leaving', () => backend.entry('draining')],
-    ['is gone', () => undefined],
-  ])('is turned away at once when its backend server %s', async (_name, entry) => {
+    ['is listed as draining', () => backend.entry('draining')],
+    ['is removed from the list', () => undefined],
+  ])('is rejected immediately when its backend server %s', async (_name, entry) => {
     backend.respond = async (seen, response) => {
       await wait(ANSWER_MS)
       await answerWhole()(seen, response)
     }
-    const underWay = Array.from({ length: CONNECTIONS }, (_, index) => send(`under-way-${index}`))
+    const inFlight = Array.from({ length: CONNECTIONS }, (_, index) => send(`in-flight-${index}`))
     await vi.waitFor(() => expect(backend.seen).toHaveLength(CONNECTIONS))
     const waiting = send('waiting')
     await wait(100)
     store.put(SERVER_TOPIC, backend.id, entry())
     expect(await waiting).toMatchObject({ status: 503 })
     expect((await waiting).tookMs).toBeLessThan(ANSWER_MS / 2)
-    expect((await Promise.all(underWay)).map(({ status }) => status)).toEqual(underWay.map(() => 200))
+    expect((await Promise.all(inFlight)).map(({ status }) => status)).toEqual(inFlight.map(() => 200))
     expect(backend.seen).toHaveLength(CONNECTIONS)
   })
 })
 
-describe('a backend server whose entry goes', () => {
-  test('gets nothing more where the store drops its history and answers all the time', async () => {
+describe('a backend server whose entry is removed', () => {
+  test('gets no more work if the store deletes its history but keeps responding', async () => {
     store.put(SERVER_TOPIC, backend.id, undefined)
     store.dropHistory(SERVER_TOPIC)
     await wait(600)
--- a/test/platform/lost-read.test.ts
+++ b/test/platform/lost-read.test.ts
@@ -1,20 +1,12 @@
 /**
- * What users saw: requests reached a model engine 2.7 and 2.8 s after the store
- * had its word that it leaves, where two seconds are the bound; one of them
- * was sent 16 ms after it had come.
- *
- * Order of events: one gateway's read of the list of backend servers is lost,
- * and its connection says nothing of it. A backend server says that it leaves;
- * the other gateways know that within milliseconds. The first one waits for its
- * read, chooses that backend server again and again, and learns of its leaving
- * only when the read is abandoned, 4.6 s after it was sent.
- *
- * Cause: a gateway learned of backend servers from its own reads alone, though
- * it exchanged heartbeats with gateways that knew.
- *
- * Evidence: on days on which the store left one gateway without an answer, that
- * gateway logged the leaving 0.3 to 6.5 s after its peers (`backend-state`,
- * with a `noticedWithinMs` of 9 to 12 s). Without the mend the tests below
+ * Guards against requests to backend servers that left while a gateway's read of
+ * the backend server list was lost: the connection is dead without an error, and
+ * the read is aborted only at its time-out, 4.6 s after it was sent. When gateways
+ * learned of backend servers only from their own reads, requests reached a model
+ * engine 2.7 and 2.8 s after the store had acknowledged that it was leaving, where
+ * the bound is two seconds; the peers had known within milliseconds. Such a gateway
+ * logged the change 0.3 to 6.5 s after its peers (`backend-state` with a
+ * `noticedWithinMs` of 9 to 12 s). Without updates from peers the tests below
  * count requests until 4.4 s after the read was lost.
  */
 import type { StartedGateway } from './support/in-process-gateway.js'
@@ -27,16 +19,16 @@
 import { StoreLine } from './support/store-line.js'
 
 const SERVER_TOPIC = 'keyed.servers'
-/** Milliseconds after the loss of its connections from which a gateway is in touch again (settings, `contact-ms`). */
+/** Time after the loss of its connections until a gateway must be connected again (setting `contact-ms`). */
 const CONTACT_MS = 3000
-/** Milliseconds after its word from which a leaving backend server gets nothing (settings, `drain-ms`). */
+/** Time after the store's acknowledgement until a leaving backend server must get no more requests (setting `drain-ms`). */
 const DRAIN_MS = 2000
-/** Milliseconds for the way of a request on a machine that has other work. */
+/** Allowance for the latency of a request on a busy machine. */
 const SLACK_MS = 150
-/** Milliseconds between requests, and for how long they are sent: until well after the lost read is abandoned. */
+/** Interval and total duration of sending requests: until well after the lost read is aborted. */
 const SEND_INTERVAL_MS = 50
 const SEND_MS = 5500
-/** Milliseconds after which the stand-in store has answered every read, and more. */
+/** Longer than the stand-in store holds any read. */
 const READ_HOLD_MS = 400
 const CONFIGURATION = {
   Version: 3,
@@ -46,7 +38,7 @@
 }
 
 let store: StandInStore
-/** The ways of the peer and of the gateway to the store. */
+/** Proxies between the peer and the store, and between the gateway and the store. */
 let lines: StoreLine[]
 let peer: StartedGateway
 let gateway: StartedGateway
@@ -70,7 +62,7 @@
       expect(started.gateway.members.coordinator.name).toBe('gateway-a')
     }
   }, { timeout: 3000 })
-  // The reads that are lost are those of gateways that know who coordinates.
+  // Only reads that start after the gateways have agreed on a coordinator are to be lost.
   await wait(READ_HOLD_MS)
 })
 
@@ -96,16 +88,16 @@
   await Promise.all(answers)
 }
 
-/** Requests that reached the leaving backend server after a moment, with the slack of the machine. */
-function arrivalsAfter(latest: number): string[] {
-  return backends[0].seen.filter(({ at }) => at > latest + SLACK_MS).map(({ at }) => `${Math.round(at - latest)} ms late`)
+/** Requests that reached the leaving backend server more than SLACK_MS after a deadline. */
+function arrivalsAfter(deadline: number): string[] {
+  return backends[0].seen.filter(({ at }) => at > deadline + SLACK_MS).map(({ at }) => `${Math.round(at - deadline)} ms late`)
 }
 
 describe('a gateway whose read of the list was lost', () => {
   test.each([
-    ['says that it is leaving', () => backends[0].entry('draining')],
-    ['leaves without a word', () => undefined],
-  ])('sends nothing too late to a backend server that %s, as its peer knows', async (_name, entry) => {
+    ['is listed as draining', () => backends[0].entry('draining')],
+    ['is removed without draining', () => undefined],
+  ])('sends no late requests to a backend server that %s, because its peer knows', async (_name, entry) => {
     const lostAt = performance.now()
     lines[1].silenceOpenConnections()
     await wait(100)
@@ -118,17 +110,17 @@
 })
 
 describe('a gateway whose VM was suspended', () => {
-  test('reads anew at once when it wakes, though its steady clock says that its reads have just begun', async () => {
+  test('restarts its reads when it resumes, although by its monotonic clock they have just begun', async () => {
     lines.forEach(line => line.silenceOpenConnections())
     await wait(100)
     store.put(SERVER_TOPIC, backends[0].id, backends[0].entry('draining'))
-    const timeOfDay = vi.spyOn(Date, 'now')
-    timeOfDay.mockImplementation(() => performance.timeOrigin + performance.now() + 5000)
+    const wallClock = vi.spyOn(Date, 'now')
+    wallClock.mockImplementation(() => performance.timeOrigin + performance.now() + 5000)
     await vi.waitFor(() => {
       for (const { gateway: started } of [peer, gateway])
         expect(started.registry.available('plain').map(({ id }) => id)).toEqual([backends[1].id])
     }, { timeout: 1000 })
-    timeOfDay.mockRestore()
+    wallClock.mockRestore()
   })
 })
 
@@ -146,7 +138,7 @@
     expect(arrivalsAfter(Math.max(lostAt + CONTACT_MS, leftAt + DRAIN_MS))).toEqual([])
   })
 
-  test('send nothing to a leaving backend server once they are in touch, since the coordinator notices in time', async () => {
+  test('send nothing to a draining backend server once they are connected, because the coordinator detects the loss in time', async () => {
     const lostAt = performance.now()
     lines.forEach(line => line.silenceOpenConnections())
     await wait(100)
