--- a/packages/gateway/src/process/backend-list.ts
+++ b/packages/gateway/src/process/backend-list.ts
@@ -12,12 +12,12 @@
 import type { BackendChange, LapsingBackend, ListedBackend, ListedBackends } from '../connection/backends/backend.js'
 import type { Member } from '../connection/peers/member.js'
 import type { BackendRegistry } from './backend-registry.js'
-import type { KnownList } from './older-copy.js'
 import type { BackendSink, SourceOutage } from './platform-adapter.js'
+import type { PreviousList } from './stale-entry-filter.js'
 import { lifeOf } from '../connection/backends/backend.js'
 import { GatewayLog } from './gateway-log.js'
 import { decidePeerLapseGrace } from './lapse-grace.js'
-import { OlderCopy } from './older-copy.js'
+import { StaleEntryFilter } from './stale-entry-filter.js'
 
 /**
  * Number of recent changes kept for peers. A site of 236 backend servers has
@@ -32,10 +32,10 @@
   /** Most recent changes for peers, oldest first. */
   private readonly changes: BackendChange[] = []
   /** `changes` is complete for all revisions above this one. */
-  private changesFrom = 0
-  private sourceAway = false
+  private changesCompleteAfter = 0
+  private sourceUnavailable = false
   /** Overrides stale entries after the store was restored from an older snapshot. */
-  private readonly olderCopy = new OlderCopy(entry => this.list(entry))
+  private readonly staleEntryFilter = new StaleEntryFilter(entry => this.setEntry(entry))
   private readonly log: GatewayLog
 
   constructor(private readonly registry: BackendRegistry, log: EventLog) {
@@ -48,8 +48,8 @@
   }
 
   /** Whether the list's source does not respond. */
-  get isSourceAway(): boolean {
-    return this.sourceAway
+  get isSourceUnavailable(): boolean {
+    return this.sourceUnavailable
   }
 
   /** The list as sent to peers. */
@@ -58,15 +58,15 @@
   }
 
   noteSourceAnswered(): void {
-    this.registry.noteListRead()
+    this.registry.recordListRead()
   }
 
   noteSourceFailed(): void {
-    this.sourceAway = true
+    this.sourceUnavailable = true
   }
 
   noteSourceReturned(outage: SourceOutage): void {
-    this.sourceAway = false
+    this.sourceUnavailable = false
     this.registry.noteSourceReturned(outage)
   }
 
@@ -74,23 +74,23 @@
   replaceAll({ revision, entries }: ListedBackends): void {
     if (revision < this.currentRevision)
       return
-    const believed = this.olderCopy.correct({ revision, entries }, this.known)
-    this.forgetChanges(revision)
+    const trusted = this.staleEntryFilter.filter({ revision, entries }, this.previousList)
+    this.resetChanges(revision)
     this.currentRevision = revision
-    this.olderCopy.noteGone(this.missingIn(believed))
+    this.staleEntryFilter.recordRemoved(this.entriesMissingFrom(trusted))
     this.entries.clear()
-    for (const entry of believed)
+    for (const entry of trusted)
       this.entries.set(entry.record.id, entry)
-    this.registry.replaceAll(believed.map(entry => entry.record))
-    this.registry.noteWholeList()
+    this.registry.replaceAll(trusted.map(entry => entry.record))
+    this.registry.markWholeListLoaded()
   }
 
   upsert({ record, revision }: ListedBackend): void {
-    this.take({ id: record.id, record, revision })
+    this.applyChange({ id: record.id, record, revision })
   }
 
   unlist(id: string, revision: number): void {
-    if (this.take({ id, revision }))
+    if (this.applyChange({ id, revision }))
       this.registry.unlist(id)
   }
 
@@ -98,7 +98,7 @@
   changesSince(revision: number): BackendChange[] | undefined {
     if (revision >= this.currentRevision)
       return []
-    if (revision < this.changesFrom)
+    if (revision < this.changesCompleteAfter)
       return undefined
     const usedForMs = usedForMsById(this.registry.lapsing)
     return this.changes.filter(change => change.revision > revision)
@@ -109,10 +109,10 @@
   adoptChanges(changes: readonly BackendChange[], revision: number, peer: Member): void {
     if (revision <= this.currentRevision)
       return
-    this.noteAdoption(revision, peer)
+    this.recordPeerRead(revision, peer)
     for (const change of changes) {
-      if (this.take(change) && !change.record)
-        this.useOnAsPeerDoes(change.id, change.usedForMs)
+      if (this.applyChange(change) && !change.record)
+        this.unlistWithPeerGrace(change.id, change.usedForMs)
     }
     this.currentRevision = revision
   }
@@ -121,58 +121,58 @@
   adopt(list: ListedBackends, peer: Member): void {
     if (list.revision <= this.currentRevision)
       return
-    this.noteAdoption(list.revision, peer)
-    this.forgetChanges(list.revision)
-    const entries = this.olderCopy.correct(list, this.known)
+    this.recordPeerRead(list.revision, peer)
+    this.resetChanges(list.revision)
+    const entries = this.staleEntryFilter.filter(list, this.previousList)
     const listed = new Set(entries.map(entry => entry.record.id))
     const usedForMs = usedForMsById(list.lapsing ?? [])
-    this.olderCopy.noteGone(this.missingIn(entries))
+    this.staleEntryFilter.recordRemoved(this.entriesMissingFrom(entries))
     for (const [id, known] of this.entries) {
       if (listed.has(id) || known.revision > list.revision)
         continue
       this.entries.delete(id)
-      this.useOnAsPeerDoes(id, usedForMs.get(id))
+      this.unlistWithPeerGrace(id, usedForMs.get(id))
     }
     for (const entry of entries) {
       if (entry.revision > this.revisionOf(entry.record.id))
-        this.list(entry)
+        this.setEntry(entry)
     }
     this.currentRevision = list.revision
-    this.registry.noteWholeList()
+    this.registry.markWholeListLoaded()
   }
 
   /** Applies one change if it is newer than the known entry; the caller unlists removed backend servers. Returns whether it was applied. */
-  private take(change: BackendChange): boolean {
+  private applyChange(change: BackendChange): boolean {
     const { id, revision, record } = change
     if (revision <= this.currentRevision)
       return false
     this.currentRevision = revision
-    this.olderCopy.noteChange(id, record)
-    this.remember(change)
+    this.staleEntryFilter.recordChange(id, record)
+    this.appendChange(change)
     // A whole list may contain entries that are newer than its own revision.
     if (revision <= this.revisionOf(id))
       return false
     if (record) {
-      this.list({ record, revision })
+      this.setEntry({ record, revision })
       return true
     }
-    this.olderCopy.noteGone([this.entries.get(id) ?? []].flat())
+    this.staleEntryFilter.recordRemoved([this.entries.get(id) ?? []].flat())
     this.entries.delete(id)
     return true
   }
 
-  /** View of the current list for the reconciler. */
-  private get known(): KnownList {
+  /** The list as known before the next whole list is applied. */
+  private get previousList(): PreviousList {
     return { revision: this.currentRevision, find: id => this.entries.get(id)?.record }
   }
 
   /** Current entries that a whole list no longer contains. */
-  private missingIn(entries: readonly ListedBackend[]): ListedBackend[] {
+  private entriesMissingFrom(entries: readonly ListedBackend[]): ListedBackend[] {
     const listed = new Set(entries.map(({ record }) => lifeOf(record)))
     return [...this.entries.values()].filter(({ record }) => !listed.has(lifeOf(record)))
   }
 
-  private list(entry: ListedBackend): void {
+  private setEntry(entry: ListedBackend): void {
     this.entries.set(entry.record.id, entry)
     this.registry.upsert(entry.record)
   }
@@ -181,26 +181,26 @@
     return this.entries.get(id)?.revision ?? 0
   }
 
-  private useOnAsPeerDoes(id: string, usedByPeerMs: number | undefined): void {
-    this.registry.unlistAfter(id, decidePeerLapseGrace({ usedByPeerMs, isSourceAway: this.sourceAway }))
+  private unlistWithPeerGrace(id: string, peerGraceMs: number | undefined): void {
+    this.registry.unlistAfterGrace(id, decidePeerLapseGrace({ peerGraceMs, isSourceUnavailable: this.sourceUnavailable }))
   }
 
-  private noteAdoption(revision: number, peer: Member): void {
+  private recordPeerRead(revision: number, peer: Member): void {
     this.log.backendListAdopted(peer, revision, this.currentRevision, this.registry.listAgeMs)
-    this.registry.noteListRead()
+    this.registry.recordListRead()
   }
 
-  private remember(change: BackendChange): void {
+  private appendChange(change: BackendChange): void {
     this.changes.push(change)
-    const forgotten = this.changes.length > MAX_CHANGES ? this.changes.shift() : undefined
-    if (forgotten)
-      this.changesFrom = forgotten.revision
+    const dropped = this.changes.length > MAX_CHANGES ? this.changes.shift() : undefined
+    if (dropped)
+      this.changesCompleteAfter = dropped.revision
   }
 
   /** A whole list does not contain the individual changes that led to it. */
-  private forgetChanges(revision: number): void {
+  private resetChanges(revision: number): void {
     this.changes.length = 0
-    this.changesFrom = revision
+    this.changesCompleteAfter = revision
   }
 }
 
--- a/packages/gateway/src/process/backend-registry.ts
+++ b/packages/gateway/src/process/backend-registry.ts
@@ -21,10 +21,10 @@
 }
 
 /** Scheduled removal of a backend server whose entry has expired. */
-interface Removal {
+interface PendingRemoval {
   timer: NodeJS.Timeout
   /** Due time on the monotonic clock, in milliseconds. */
-  at: number
+  dueAt: number
 }
 
 /** Backend servers by id and service; updated by `BackendList`. */
@@ -36,16 +36,16 @@
   /** End of the grace period for removed entries, on the monotonic clock in milliseconds. */
   private graceUntil = 0
   /** Times of the last two reads of the list, on the monotonic clock in milliseconds. */
-  private readAt = performance.now()
-  private readBeforeAt = performance.now()
+  private lastReadAt = performance.now()
+  private previousReadAt = performance.now()
   /** Scheduled removals of backend servers whose entries have expired, by id. */
-  private readonly lapsed = new Map<string, Removal>()
+  private readonly pendingRemovals = new Map<string, PendingRemoval>()
   /** Last outage of the list's source, in which entries may have expired; undefined before the first one. */
   private lastOutage: SourceOutage | undefined
   /** Evacuated failure domains; their backend servers get no work. */
   private evacuated: ReadonlySet<string> = new Set()
   /** A whole list has been loaded, so any backend server added from now on has just started. */
-  private hasList = false
+  private hasWholeList = false
   private readonly log: GatewayLog
 
   constructor(
@@ -86,13 +86,13 @@
 
   /** Age of the last read of the list in milliseconds; an upper bound on the age of any change not yet seen. */
   get listAgeMs(): number {
-    return performance.now() - this.readAt
+    return performance.now() - this.lastReadAt
   }
 
   /** The platform or a peer delivered the list; called before the changes are applied. */
-  noteListRead(): void {
-    this.readBeforeAt = this.readAt
-    this.readAt = performance.now()
+  recordListRead(): void {
+    this.previousReadAt = this.lastReadAt
+    this.lastReadAt = performance.now()
   }
 
   /** The source responds again after an outage, during which entries may have expired. */
@@ -103,7 +103,7 @@
 
   /** Adds a backend server or updates its record. */
   upsert(record: BackendRecord): void {
-    this.endLapse(record.id)
+    this.cancelRemoval(record.id)
     const existing = this.byId.get(record.id)
     if (existing && isSameProcess(existing.record, record))
       return this.update(existing, record)
@@ -114,29 +114,29 @@
 
   /** Removes a backend server whose entry was deleted, at once or after the current grace period. */
   unlist(id: string): void {
-    this.unlistAfter(id, this.graceUntil - performance.now())
+    this.unlistAfterGrace(id, this.graceUntil - performance.now())
   }
 
   /** Removes a backend server whose entry was deleted, after `graceMs` milliseconds unless it is listed again before then. */
-  unlistAfter(id: string, graceMs: number): void {
+  unlistAfterGrace(id: string, graceMs: number): void {
     if (graceMs <= 0 || !this.byId.has(id))
       return this.remove(id, 'list entry was removed')
-    if (this.lapsed.has(id))
+    if (this.pendingRemovals.has(id))
       return
     this.log.backendLapsed(id, graceMs, this.lastOutage)
     const timer = setTimeout(() => this.remove(id, 'list entry expired and was not renewed'), graceMs)
-    this.lapsed.set(id, { timer: timer.unref(), at: performance.now() + graceMs })
+    this.pendingRemovals.set(id, { timer: timer.unref(), dueAt: performance.now() + graceMs })
   }
 
   /** Backend servers whose entries have expired and that still get work for a grace period. */
   get lapsing(): LapsingBackend[] {
     const now = performance.now()
-    return [...this.lapsed].map(([id, { at }]) => ({ id, remainingMs: at - now }))
+    return [...this.pendingRemovals].map(([id, { dueAt: at }]) => ({ id, remainingMs: at - now }))
   }
 
   /** Removes a backend server immediately; it gets no further work. */
   remove(id: string, reason: string): void {
-    this.endLapse(id)
+    this.cancelRemoval(id)
     const backend = this.byId.get(id)
     if (!backend)
       return
@@ -152,7 +152,7 @@
   /** A backend server itself announced that it is leaving, regardless of its list entry. */
   noteLeaving(backend: Backend): void {
     if (!backend.removed)
-      this.reportStateChange(backend)
+      this.notifyStateChange(backend)
   }
 
   /** Like `remove`, unless the id now belongs to a newer process. */
@@ -173,8 +173,8 @@
   }
 
   /** A whole list was loaded, from the source or from a peer. */
-  noteWholeList(): void {
-    this.hasList = true
+  markWholeListLoaded(): void {
+    this.hasWholeList = true
   }
 
   /** Replaces the set of evacuated failure domains. Also applies to backend servers that are listed there later. */
@@ -186,8 +186,8 @@
         continue
       backend.evacuated = evacuated
       if (!evacuated)
-        this.noteCold(backend, this.coldStartMs(backend.service))
-      this.reportStateChange(backend)
+        this.markCold(backend, this.coldStartMs(backend.service))
+      this.notifyStateChange(backend)
     }
   }
 
@@ -199,7 +199,7 @@
 
   /** Interval between the last two reads of the list in milliseconds: the maximum age of a change in the last one. */
   private get noticedWithinMs(): number {
-    return this.readAt - this.readBeforeAt
+    return this.lastReadAt - this.previousReadAt
   }
 
   private add(record: BackendRecord): void {
@@ -208,7 +208,7 @@
     this.byId.set(record.id, backend)
     this.backendsOf(record.service).add(backend)
     this.log.backendAdded(record)
-    this.noteCold(backend, Math.max(record.coldMs ?? 0, this.hasList ? this.coldStartMs(record.service) : 0))
+    this.markCold(backend, Math.max(record.coldMs ?? 0, this.hasWholeList ? this.coldStartMs(record.service) : 0))
     for (const listener of this.listeners)
       listener.added?.(backend)
   }
@@ -219,28 +219,28 @@
     const coldMs = record.coldMs === backend.record.coldMs ? 0 : record.coldMs
     // Older releases do not report the start time of the process.
     backend.record = { ...record, born: record.born ?? backend.record.born }
-    this.noteCold(backend, coldMs ?? 0)
+    this.markCold(backend, coldMs ?? 0)
     if (!stateChanged)
       return
     this.log.backendStateChanged(record, this.noticedWithinMs)
-    this.reportStateChange(backend)
+    this.notifyStateChange(backend)
   }
 
-  private noteCold(backend: Backend, milliseconds: number): void {
+  private markCold(backend: Backend, milliseconds: number): void {
     if (milliseconds <= 0)
       return
     backend.noteCold(milliseconds, performance.now())
     this.log.backendCold(backend.record, milliseconds)
   }
 
-  private reportStateChange(backend: Backend): void {
+  private notifyStateChange(backend: Backend): void {
     for (const listener of this.listeners)
       listener.stateChanged?.(backend)
   }
 
-  private endLapse(id: string): void {
-    clearTimeout(this.lapsed.get(id)?.timer)
-    this.lapsed.delete(id)
+  private cancelRemoval(id: string): void {
+    clearTimeout(this.pendingRemovals.get(id)?.timer)
+    this.pendingRemovals.delete(id)
   }
 
   private backendsOf(service: string): Set<Backend> {
--- a/packages/gateway/src/process/gateway.ts
+++ b/packages/gateway/src/process/gateway.ts
@@ -157,7 +157,7 @@
   /** This process's own status in heartbeat replies, without the shared state. */
   private describeSelf(): SelfDescription {
     const { isSelfSlow, selfOrder } = this.members
-    return { stopping: this.stopping, slow: isSelfSlow, announcementOrder: selfOrder, sourceAway: this.backendList.isSourceAway || undefined }
+    return { stopping: this.stopping, slow: isSelfSlow, announcementOrder: selfOrder, sourceAway: this.backendList.isSourceUnavailable || undefined }
   }
 
   private createCrashBoard(): CrashBoard {
--- a/packages/gateway/src/process/lapse-grace.ts
+++ b/packages/gateway/src/process/lapse-grace.ts
@@ -48,13 +48,13 @@
 /** A removed entry as reported by a peer. */
 export interface PeerLapse {
   /** Milliseconds for which the peer keeps using the backend server; undefined if it does not. */
-  usedByPeerMs: number | undefined
+  peerGraceMs: number | undefined
   /** This process's own source of the list does not respond. */
-  isSourceAway: boolean
+  isSourceUnavailable: boolean
 }
 
 /** Grace period in milliseconds for a backend server whose removal was reported by a peer; 0 for none. */
-export function decidePeerLapseGrace({ usedByPeerMs, isSourceAway }: PeerLapse): number {
+export function decidePeerLapseGrace({ peerGraceMs: usedByPeerMs, isSourceUnavailable: isSourceAway }: PeerLapse): number {
   return usedByPeerMs ?? (isSourceAway ? PEER_LAPSE_GRACE_MS : 0)
 }
 
--- a/packages/gateway/src/process/older-copy.ts
+++ b/packages/gateway/src/process/stale-entry-filter.ts
@@ -6,7 +6,7 @@
  * records of their backend servers, and the processes whose entries had been
  * removed.
  * Rule: a process that was known to be draining remains so. An entry that had
- * been removed is withheld for LAPSE_MS, and listed afterwards unless it has
+ * been removed is withheld for EXPIRY_MS, and listed afterwards unless it has
  * expired or changed. Entries written after the restore are trusted.
  * Why: until the backend servers have renewed their entries, the snapshot repeats
  * a state that is some seconds old, and work would go to backend servers that
@@ -21,17 +21,17 @@
 import { positionOf } from '../connection/backends/revision.js'
 
 /** Limit of remembered removals. A snapshot is some seconds old, and there are a few removals per second. */
-const MAX_GONE = 500
+const MAX_REMOVED_PROCESSES = 500
 /**
  * Time within which the entry of a backend server that has ended expires from a
  * restored snapshot: the platform drops entries after three missed heartbeats
  * (3.6 s at 1.2 s each), plus 2 s after its recovery. Half brings back backend
  * servers that have ended; twice leaves a running one without work for longer.
  */
-const LAPSE_MS = 6000
+const EXPIRY_MS = 6000
 
 /** The list before a whole list was read. */
-export interface KnownList {
+export interface PreviousList {
   /** 0 if no list has been read. */
   revision: number
   /** The record of a backend server; undefined if it is not listed. */
@@ -39,49 +39,49 @@
 }
 
 /** Corrects stale entries of a list that was restored from an older snapshot. */
-export class OlderCopy {
+export class StaleEntryFilter {
   /** Processes whose entries have been removed, most recent last. */
-  private readonly gone = new Set<string>()
+  private readonly removedProcesses = new Set<string>()
   /** Entries held back because their processes had been removed, by id. */
   private readonly withheld = new Map<string, ListedBackend>()
   /** Entries up to this revision may be stale; 0 if the source was never restored from a snapshot. */
-  private copiedUpTo = 0
+  private staleUpTo = 0
 
-  /** `onKept` is called with a withheld entry that has not expired. */
-  constructor(private readonly onKept: (entry: ListedBackend) => void) {}
+  /** `onUnexpired` is called with a withheld entry that has not expired. */
+  constructor(private readonly onUnexpired: (entry: ListedBackend) => void) {}
 
   /** Returns the trusted entries of a whole list, corrected where needed. */
-  correct({ revision, entries }: ListedBackends, known: KnownList): readonly ListedBackend[] {
-    if (known.revision > 0 && positionOf(revision).era > positionOf(known.revision).era)
-      this.copiedUpTo = revision
+  filter({ revision, entries }: ListedBackends, previous: PreviousList): readonly ListedBackend[] {
+    if (previous.revision > 0 && positionOf(revision).era > positionOf(previous.revision).era)
+      this.staleUpTo = revision
     this.withheld.clear()
-    return entries.flatMap(entry => entry.revision <= this.copiedUpTo ? this.correctEntry(entry, known) : [entry])
+    return entries.flatMap(entry => entry.revision <= this.staleUpTo ? this.filterEntry(entry, previous) : [entry])
   }
 
   /** Records entries that are no longer listed. */
-  noteGone(entries: readonly ListedBackend[]): void {
+  recordRemoved(entries: readonly ListedBackend[]): void {
     for (const { record } of entries) {
-      this.gone.delete(lifeOf(record))
-      this.gone.add(lifeOf(record))
+      this.removedProcesses.delete(lifeOf(record))
+      this.removedProcesses.add(lifeOf(record))
     }
-    const tooMany = [...this.gone].slice(0, Math.max(0, this.gone.size - MAX_GONE))
-    tooMany.forEach(life => this.gone.delete(life))
+    const excess = [...this.removedProcesses].slice(0, Math.max(0, this.removedProcesses.size - MAX_REMOVED_PROCESSES))
+    excess.forEach(life => this.removedProcesses.delete(life))
   }
 
   /** Records that a change of this backend server's entry was written. */
-  noteChange(id: string, record: BackendRecord | undefined): void {
+  recordChange(id: string, record: BackendRecord | undefined): void {
     this.withheld.delete(id)
     if (record)
-      this.gone.delete(lifeOf(record))
+      this.removedProcesses.delete(lifeOf(record))
   }
 
-  private correctEntry(entry: ListedBackend, known: KnownList): ListedBackend[] {
+  private filterEntry(entry: ListedBackend, previous: PreviousList): ListedBackend[] {
     const { record } = entry
-    if (this.gone.has(lifeOf(record))) {
+    if (this.removedProcesses.has(lifeOf(record))) {
       this.withhold(entry)
       return []
     }
-    const before = known.find(record.id)
+    const before = previous.find(record.id)
     const isLeaving = before !== undefined && before.draining && lifeOf(before) === lifeOf(record)
     return [isLeaving ? { ...entry, record: { ...record, draining: true } } : entry]
   }
@@ -93,7 +93,7 @@
       if (this.withheld.get(id) !== entry)
         return
       this.withheld.delete(id)
-      this.onKept(entry)
-    }, LAPSE_MS).unref()
+      this.onUnexpired(entry)
+    }, EXPIRY_MS).unref()
   }
 }
