--- a/packages/gateway/src/process/call-reports.ts
+++ b/packages/gateway/src/process/call-reporter.ts
@@ -10,10 +10,10 @@
  * above the time to open a connection, and well below the two seconds after
  * which a leaving backend server may get no more work.
  */
-const LATE_CALL_MS = 300
+const LATE_CALL_THRESHOLD_MS = 300
 
 /** Counts calls and logs those that are delayed or turned away. */
-export class CallReports implements CallWatch {
+export class CallReporter implements CallWatch {
   constructor(private readonly metrics: GatewayMetrics, private readonly log: GatewayLog) {}
 
   waitingChanged(difference: 1 | -1): void {
@@ -22,7 +22,7 @@
 
   started(start: CallStart): void {
     this.metrics.countCallStart(start.waitedMs)
-    if (start.waitedMs >= LATE_CALL_MS)
+    if (start.waitedMs >= LATE_CALL_THRESHOLD_MS)
       this.log.workSentLate(start)
   }
 
--- a/packages/gateway/src/process/coordinator-reads.ts
+++ b/packages/gateway/src/process/coordinator-outage-watch.ts
@@ -15,18 +15,18 @@
  */
 
 /** Tracks whether the coordinator's source responds. */
-export class CoordinatorReads {
+export class CoordinatorOutageWatch {
   /** Name of the coordinator whose last reply reported an outage of its source. */
-  private awayAt: string | undefined
+  private reportedBy: string | undefined
 
-  /** `readAnew` restarts the pending reads. */
-  constructor(private readonly readAnew: () => void) {}
+  /** `restartReads` restarts the pending reads. */
+  constructor(private readonly restartReads: () => void) {}
 
   /** Handles a heartbeat reply of the first coordinator. */
-  takeWord(coordinator: string, isSourceAway: boolean): void {
-    const isNews = isSourceAway && this.awayAt !== coordinator
-    this.awayAt = isSourceAway ? coordinator : undefined
-    if (isNews)
-      this.readAnew()
+  handleReply(coordinator: string, isSourceUnavailable: boolean): void {
+    const isNew = isSourceUnavailable && this.reportedBy !== coordinator
+    this.reportedBy = isSourceUnavailable ? coordinator : undefined
+    if (isNew)
+      this.restartReads()
   }
 }
--- a/packages/gateway/src/process/gateway-share.ts
+++ b/packages/gateway/src/process/gateway-share.ts
@@ -21,11 +21,11 @@
  */
 
 /** Gateways that may be running but not listed yet. With 0 such a gateway exceeds the limit; with 2 each share is smaller than needed. */
-const SPARE_GATEWAYS = 1
+const UNLISTED_GATEWAYS = 1
 
 /** Number of gateways by which a deployment-wide limit is divided. */
 export function countSharingGateways(listed: number): number {
-  return listed + SPARE_GATEWAYS
+  return listed + UNLISTED_GATEWAYS
 }
 
 /** Fraction (0 to 1) of a deployment-wide limit for a coordinator that receives heartbeats from `heard` other gateways. */
--- a/packages/gateway/src/process/gateway.ts
+++ b/packages/gateway/src/process/gateway.ts
@@ -31,9 +31,8 @@
 import { ConfigurationHolder } from '../version/configuration-holder.js'
 import { BackendList } from './backend-list.js'
 import { BackendRegistry } from './backend-registry.js'
-import { CallReports } from './call-reports.js'
-import { CommonLimits } from './common-limits.js'
-import { CoordinatorReads } from './coordinator-reads.js'
+import { CallReporter } from './call-reporter.js'
+import { CoordinatorOutageWatch } from './coordinator-outage-watch.js'
 import { CrashBoard } from './crashes/crash-board.js'
 import { CrashWitness } from './crashes/crash-witness.js'
 import { drainClients } from './drain/drain-clients.js'
@@ -48,10 +47,11 @@
 import { Members } from './membership/members.js'
 import { GatewayPeerService } from './peer-service.js'
 import { Readiness } from './readiness.js'
+import { SharedLimits } from './shared-limits.js'
 import { ShardsByPrompt } from './stages/shard-choice.js'
 import { SharedPreparer } from './stages/shared-preparer.js'
 import { CoordinatorRole, StageCoordinators } from './stages/stage-coordinators.js'
-import { SuspensionWatch } from './suspension.js'
+import { SuspensionDetector } from './suspension.js'
 
 /** A gateway process with all its components. */
 export class Gateway {
@@ -68,16 +68,16 @@
   private readonly peers = new PeerClients()
   private readonly peerService: GatewayPeerService
   private readonly heardPeers = new HeardPeers()
-  private readonly commonLimits: CommonLimits
+  private readonly sharedLimits: SharedLimits
   private readonly connections: BackendConnections
   private readonly intakes: BackendIntakes
   private readonly stageCoordinators: StageCoordinators
   private readonly readiness: Readiness
   private readonly internalServers = new InternalServers()
-  private readonly coordinatorReads = new CoordinatorReads(() => this.platform.readAnew())
-  private readonly suspensionWatch = new SuspensionWatch(awayMs => this.takeWake(awayMs))
+  private readonly coordinatorOutages = new CoordinatorOutageWatch(() => this.platform.readAnew())
+  private readonly suspensionDetector = new SuspensionDetector(awayMs => this.handleResume(awayMs))
   /** Aborts everything that follows the platform. */
-  private readonly ending = new AbortController()
+  private readonly shutdown = new AbortController()
   private stopping = false
 
   constructor(private readonly settings: GatewaySettings, private readonly platform: PlatformAdapter, private readonly log: EventLog) {
@@ -90,17 +90,17 @@
     this.evacuations = new EvacuationList(this.gatewayLog, evacuated => this.registry.setEvacuated(evacuated))
     this.crashBoard = this.createCrashBoard()
     this.members = this.createMembers()
-    this.commonLimits = this.createCommonLimits()
-    const limitTurns = new LimitTurns(backend => this.commonLimits.ofLimit(backend))
+    this.sharedLimits = this.createSharedLimits()
+    const limitTurns = new LimitTurns(backend => this.sharedLimits.ofLimit(backend))
     this.intakes = new BackendIntakes(this.registry, platform.backendCodec.readNotice, limitTurns, this.gatewayLog)
     this.connections = this.createConnections()
     this.stageCoordinators = this.createStageCoordinators()
     this.peerService = this.createPeerService()
     this.clients = this.createClientServer()
     this.readiness = new Readiness(this.gatewayLog)
-    this.members.onShardChange(shard => this.takeCoordinatorChange(shard))
+    this.members.onShardChange(shard => this.handleCoordinatorChange(shard))
     this.configuration.onChange(table => this.stageCoordinators.applyConfiguration(table))
-    this.registry.listen({ removed: backend => this.connections.forget(backend), stateChanged: backend => this.takeStateChange(backend) })
+    this.registry.listen({ removed: backend => this.connections.forget(backend), stateChanged: backend => this.handleBackendStateChange(backend) })
   }
 
   /**
@@ -113,7 +113,7 @@
     this.metrics.addGauges(this)
     this.followPlatform()
     this.members.start()
-    this.suspensionWatch.start()
+    this.suspensionDetector.start()
     this.gatewayLog.listening()
   }
 
@@ -126,15 +126,15 @@
     this.members.markStopping(this.self)
     void this.platform.memberDirectory.withdraw(this.self)
     await drainClients(this.clients, gracePeriodMs, () => this.members.othersServe)
-    this.ending.abort()
+    this.shutdown.abort()
     this.gatewayLog.stopped(this.clients.activeRequests, performance.now() - startedAt)
   }
 
   /** Stops immediately: closes every listener and connection. */
   async close(): Promise<void> {
-    this.ending.abort()
+    this.shutdown.abort()
     this.members.stop()
-    this.suspensionWatch.stop()
+    this.suspensionDetector.stop()
     this.stageCoordinators.stop()
     this.clients.close()
     this.internalServers.close()
@@ -143,15 +143,15 @@
 
   private createMembers(): Members {
     const contact = {
-      heartbeat: (member: Member) => this.peers.heartbeat(member, { ...this.self, ...this.peerService.heldFor(member) }),
+      heartbeat: (member: Member) => this.peers.heartbeat(member, { ...this.self, ...this.peerService.sharedStateFor(member) }),
     }
-    return new Members(this.self, contact, this.log, (member, reply) => this.takeReply(member, reply))
+    return new Members(this.self, contact, this.log, (member, reply) => this.handleHeartbeatReply(member, reply))
   }
 
-  private takeReply(member: Member, reply: HeartbeatReply): void {
+  private handleHeartbeatReply(member: Member, reply: HeartbeatReply): void {
     if (member.name === this.members.coordinator.name)
-      this.coordinatorReads.takeWord(member.name, reply.sourceAway ?? false)
-    this.peerService.learn(member, reply)
+      this.coordinatorOutages.handleReply(member.name, reply.sourceAway ?? false)
+    this.peerService.applyPeerState(member, reply)
   }
 
   /** This process's own status in heartbeat replies, without the shared state. */
@@ -173,8 +173,8 @@
     return new CrashBoard({ name, ledger: platform.crashLedger, log, witness, restoresOthers: () => !this.members.isTold })
   }
 
-  private createCommonLimits(): CommonLimits {
-    return new CommonLimits({
+  private createSharedLimits(): SharedLimits {
+    return new SharedLimits({
       members: this.members,
       heardGateways: () => this.heardPeers.count(performance.now()),
       findService: name => this.configuration.table?.findService(name),
@@ -183,26 +183,26 @@
   }
 
   private createConnections(): BackendConnections {
-    const reports = new CallReports(this.metrics, this.gatewayLog)
-    return new BackendConnections(service => this.commonLimits.connections(service), reports, this.intakes)
+    const reports = new CallReporter(this.metrics, this.gatewayLog)
+    return new BackendConnections(service => this.sharedLimits.connections(service), reports, this.intakes)
   }
 
   /** The process may have been suspended: its state may be stale, and peers may have made decisions meanwhile. */
-  private takeWake(awayMs: number): void {
+  private handleResume(awayMs: number): void {
     this.gatewayLog.woke(awayMs)
     this.platform.readAnew()
     this.members.meetAgain()
   }
 
-  private takeStateChange(backend: Backend): void {
+  private handleBackendStateChange(backend: Backend): void {
     if (!backend.takesWork)
       this.connections.turnAwayWaiting(backend)
   }
 
   private createStageCoordinators(): StageCoordinators {
     const client = this.platform.stageClient(this.connections)
-    const retryBudget = new RetryBudget({ ...this.retryAllowance(), ratio: 0 }, () => countSharingGateways(this.members.shards.length))
-    const coldPace = new ColdPace(this.self.name, service => this.commonLimits.coordinatedColdRate(service))
+    const retryBudget = new RetryBudget({ ...this.retryBudgetSettings(), ratio: 0 }, () => countSharingGateways(this.members.shards.length))
+    const coldPace = new ColdPace(this.self.name, service => this.sharedLimits.coordinatedColdRate(service))
     return new StageCoordinators({ registry: this.registry, client, retryBudget, crashes: this.crashBoard, coldPace, intake: this.intakes, log: this.log })
   }
 
@@ -215,9 +215,9 @@
       ejection,
       plainChoice: new LeastLoadChoice(ejection),
       engineChoice: new PrefixAwareChoice(ejection),
-      budget: new RetryBudget(this.retryAllowance(), () => this.commonLimits.sharingGateways()),
+      budget: new RetryBudget(this.retryBudgetSettings(), () => this.sharedLimits.sharingGateways()),
       crashes: this.crashBoard,
-      coldPace: new ColdPace(this.self.name, service => this.commonLimits.ownColdRate(service)),
+      coldPace: new ColdPace(this.self.name, service => this.sharedLimits.ownColdRate(service)),
       intake: this.intakes,
       log: this.log,
       isEngine: service => this.configuration.table?.findService(service)?.engine !== undefined,
@@ -268,7 +268,7 @@
   }
 
   private followPlatform(): void {
-    const { signal } = this.ending
+    const { signal } = this.shutdown
     const { operatorSource, backendSource, memberDirectory, crashLedger } = this.platform
     const operatorSink = { offerConfiguration: (text: string) => void this.configuration.offer(text, 'platform'), evacuations: this.evacuations }
     void operatorSource.follow(operatorSink, this.members, signal)
@@ -278,7 +278,7 @@
     void memberDirectory.announce(this.self, signal)
   }
 
-  private takeCoordinatorChange(shard: StageShard): void {
+  private handleCoordinatorChange(shard: StageShard): void {
     this.stageCoordinators.takeChange(shard, this.roleIn(shard))
   }
 
@@ -289,7 +289,7 @@
   }
 
   /** The retry budget of all gateways together. */
-  private retryAllowance(): RetryBudgetSettings {
+  private retryBudgetSettings(): RetryBudgetSettings {
     const { ratio, extra, 'window-ms': windowMs } = this.settings.retry
     return { ratio, extra, windowMs }
   }
--- a/packages/gateway/src/process/peer-fetch.ts
+++ b/packages/gateway/src/process/peer-fetch.ts
@@ -17,9 +17,9 @@
 import { wait } from '@eidermast/common'
 
 /** One kind of state that is replicated between peers. */
-export interface SharedState {
+export interface ReplicatedState {
   /** Milliseconds to wait for this process's own read before fetching. */
-  patienceMs: number
+  fetchDelayMs: number
   /** Revision held by this process. */
   revision: () => number
   /** Fetches the state from a peer and applies it. */
@@ -32,10 +32,10 @@
 export class PeerFetch {
   private fetching = false
 
-  constructor(private readonly state: SharedState) {}
+  constructor(private readonly state: ReplicatedState) {}
 
   /** Handles the revision held by a peer; undefined if the peer's release does not send one. */
-  async learn(member: Member, revision = 0): Promise<void> {
+  async handlePeerRevision(member: Member, revision = 0): Promise<void> {
     if (this.fetching || !this.isBehind(revision))
       return
     this.fetching = true
@@ -44,8 +44,8 @@
   }
 
   private async catchUp(member: Member, revision: number): Promise<void> {
-    if (this.state.patienceMs > 0)
-      await wait(this.state.patienceMs)
+    if (this.state.fetchDelayMs > 0)
+      await wait(this.state.fetchDelayMs)
     if (!this.isBehind(revision))
       return
     try {
--- a/packages/gateway/src/process/peer-service.ts
+++ b/packages/gateway/src/process/peer-service.ts
@@ -26,12 +26,12 @@
 import { PeerFetch } from './peer-fetch.js'
 
 /** Configurations are fetched without delay: they change rarely and must be in force everywhere within seconds. */
-const CONFIGURATION_PATIENCE_MS = 0
+const CONFIGURATION_FETCH_DELAY_MS = 0
 /**
  * With half of it, slow processes fetch unnecessarily; with twice, less is left
  * of the two seconds during which a leaving backend server may get work.
  */
-const BACKENDS_PATIENCE_MS = 200
+const BACKENDS_FETCH_DELAY_MS = 200
 
 /** Components that peers access through this service, and the clients to reach the peers. */
 export interface PeerServiceParts {
@@ -50,10 +50,10 @@
 }
 
 /** State shared with peers, as carried by heartbeats and their replies. */
-export type HeldState = Pick<HeartbeatReply, 'version' | 'backends' | 'backendChanges' | 'evacuations' | 'limits' | 'leaving'> & { crashes?: unknown }
+export type SharedState = Pick<HeartbeatReply, 'version' | 'backends' | 'backendChanges' | 'evacuations' | 'limits' | 'leaving'> & { crashes?: unknown }
 
 /** Status of a gateway in its heartbeat replies, without the shared state. */
-export type SelfDescription = Omit<HeartbeatReply, keyof HeldState>
+export type SelfDescription = Omit<HeartbeatReply, keyof SharedState>
 
 /** Implements the procedures between gateways, and fetches newer state from peers. */
 export class GatewayPeerService implements PeerService {
@@ -63,13 +63,13 @@
   constructor(private readonly parts: PeerServiceParts) {
     const { holder, backendList, peers, log } = parts
     this.configurationFetch = new PeerFetch({
-      patienceMs: CONFIGURATION_PATIENCE_MS,
+      fetchDelayMs: CONFIGURATION_FETCH_DELAY_MS,
       revision: () => holder.version,
       fetch: member => this.fetchConfiguration(member),
       failed: (member, error) => log.peerConfigurationFailed(member, error),
     })
     this.backendsFetch = new PeerFetch({
-      patienceMs: BACKENDS_PATIENCE_MS,
+      fetchDelayMs: BACKENDS_FETCH_DELAY_MS,
       revision: () => backendList.revision,
       fetch: async member => backendList.adopt(await peers.backends(member), member),
       failed: (member, error) => log.peerBackendsFailed(member, error),
@@ -77,7 +77,7 @@
   }
 
   /** The shared state that heartbeats to this peer carry. */
-  heldFor({ address }: Member): Pick<HeartbeatReply, 'version' | 'backends' | 'crashes' | 'evacuations' | 'limits' | 'leaving'> {
+  sharedStateFor({ address }: Member): Pick<HeartbeatReply, 'version' | 'backends' | 'crashes' | 'evacuations' | 'limits' | 'leaving'> {
     const { holder, backendList, crashes, limits, leaving, evacuations: { orders } } = this.parts
     return {
       version: holder.version,
@@ -91,8 +91,8 @@
 
   heartbeat(heartbeat: Heartbeat): HeartbeatReply {
     this.parts.heardPeers.note(heartbeat.name, performance.now())
-    this.learn(heartbeat, heartbeat)
-    return { ...this.heldFor(heartbeat), backendChanges: this.changesFor(heartbeat), ...this.parts.describeSelf() }
+    this.applyPeerState(heartbeat, heartbeat)
+    return { ...this.sharedStateFor(heartbeat), backendChanges: this.changesFor(heartbeat), ...this.parts.describeSelf() }
   }
 
   configuration(): ConfigurationRecord | undefined {
@@ -113,7 +113,7 @@
   }
 
   /** Applies the state that a peer sent, and fetches what is newer but was not included. */
-  learn({ name, address }: Member, { version, backends, backendChanges, crashes, evacuations, limits, leaving }: HeldState): void {
+  applyPeerState({ name, address }: Member, { version, backends, backendChanges, crashes, evacuations, limits, leaving }: SharedState): void {
     const member = { name, address }
     if (crashes !== undefined)
       this.parts.crashes.take(address, crashes)
@@ -123,8 +123,8 @@
       this.parts.backendList.adoptChanges(backendChanges, backends, member)
     this.parts.limits.take(limits ?? [], name, performance.now())
     this.parts.leaving.take(leaving ?? [], name)
-    void this.configurationFetch.learn(member, version)
-    void this.backendsFetch.learn(member, backends)
+    void this.configurationFetch.handlePeerRevision(member, version)
+    void this.backendsFetch.handlePeerRevision(member, backends)
   }
 
   /** The list changes that a peer lacks; undefined if there are none, which is the common case. */
--- a/packages/gateway/src/process/read-wait.ts
+++ b/packages/gateway/src/process/read-wait.ts
@@ -43,16 +43,16 @@
 export const READ_MARGIN_MS = 700
 
 /**
- * Time for the first retry delay after a failure (`retry-pause.ts`) and the next
+ * Time for the first retry delay after a failure (`store-backoff.ts`) and the next
  * read. With half of it a change may take effect too late.
  */
-const NEXT_READ_MS = 400
+const RETRY_AND_READ_MS = 400
 
 /**
  * Time until peers have the changes read by this gateway: one heartbeat, the
  * delay for their own reads, and a fetch. With half of it they may get them too late.
  */
-const PASS_ON_MS = 400
+const PROPAGATION_MS = 400
 
 /** With half of it a gateway makes more than three calls per second if the bounds are tight. */
 const MIN_READ_WAIT_MS = 1000
@@ -76,22 +76,22 @@
  * often the topic changes. Half makes twice as many calls; twice has no effect on
  * large sites, where the constants below limit the pause.
  */
-const REST_FOR_EACH_GATEWAY_MS = 30
+const PAUSE_PER_GATEWAY_MS = 30
 /**
  * On a site of 236 backend servers and 69 gateways there were 11,400 to 21,200
  * calls to the store per minute without a pause, and 3,400 to 7,400 with this one
  * (eight benchmark runs each).
  */
-const MIN_TOLD_REST_MS = 1000
+const MIN_PAUSE_MS = 1000
 /** Fraction of the drain bound. With all of it, a gateway that gets no updates from peers would be late. */
-const MAX_REST_SHARE = 0.5
+const MAX_PAUSE_FRACTION = 0.5
 
 /** Milliseconds to pause after a read of the backend server list that returned changes, so that further changes are read in one batch. */
 export function restAfterChangesMs({ drainMs }: StoreBounds, peers: PeerView): number {
   if (!peers.isTold)
     return 0
-  const longestMs = Math.max(MIN_TOLD_REST_MS, drainMs * MAX_REST_SHARE)
-  return Math.min(longestMs, Math.max(MIN_TOLD_REST_MS, peers.count * REST_FOR_EACH_GATEWAY_MS))
+  const maxPauseMs = Math.max(MIN_PAUSE_MS, drainMs * MAX_PAUSE_FRACTION)
+  return Math.min(maxPauseMs, Math.max(MIN_PAUSE_MS, peers.count * PAUSE_PER_GATEWAY_MS))
 }
 
 /**
@@ -99,19 +99,19 @@
  * one per start. With 1500, gateways did not list each other within the second
  * that the tests of two gateways allow.
  */
-const MIN_DIRECTORY_REST_MS = 400
+const MIN_DIRECTORY_PAUSE_MS = 400
 /** Time after start-up during which the pause stays minimal: gateways that start together must soon agree on a coordinator. */
-const STARTING_MS = 10_000
+const STARTUP_MS = 10_000
 
 /** Milliseconds to pause after a read of the gateway directory that returned changes; `followedMs` is the time since following began. */
 export function restOfDirectoryMs(gateways: number, followedMs: number): number {
-  const isStarting = followedMs < STARTING_MS
-  return isStarting ? MIN_DIRECTORY_REST_MS : Math.max(MIN_DIRECTORY_REST_MS, gateways * REST_FOR_EACH_GATEWAY_MS)
+  const isStarting = followedMs < STARTUP_MS
+  return isStarting ? MIN_DIRECTORY_PAUSE_MS : Math.max(MIN_DIRECTORY_PAUSE_MS, gateways * PAUSE_PER_GATEWAY_MS)
 }
 
 /** Milliseconds for which the store may hold a read. */
 export function maxReadWaitMs({ contactMs, configurationMs, drainMs, evacuationMs }: StoreBounds, isToldByPeers: boolean): number {
-  const effectMs = Math.min(configurationMs, drainMs, evacuationMs)
-  const waitMs = isToldByPeers ? contactMs + effectMs : Math.max(contactMs, effectMs) - PASS_ON_MS
-  return Math.max(MIN_READ_WAIT_MS, waitMs - READ_MARGIN_MS - NEXT_READ_MS)
+  const effectDeadlineMs = Math.min(configurationMs, drainMs, evacuationMs)
+  const waitMs = isToldByPeers ? contactMs + effectDeadlineMs : Math.max(contactMs, effectDeadlineMs) - PROPAGATION_MS
+  return Math.max(MIN_READ_WAIT_MS, waitMs - READ_MARGIN_MS - RETRY_AND_READ_MS)
 }
--- a/packages/gateway/src/process/readiness.ts
+++ b/packages/gateway/src/process/readiness.ts
@@ -28,15 +28,15 @@
 
 /** Answers the load balancer's checks and logs changes. The last result is kept in memory. */
 export class Readiness {
-  private last = false
+  private lastResult = false
 
   constructor(private readonly log: GatewayLog) {}
 
   check(inputs: ReadinessInputs): boolean {
     const ready = isReady(inputs)
-    if (ready !== this.last)
+    if (ready !== this.lastResult)
       this.log.readinessChanged(ready, inputs.configurationVersion, inputs.backends)
-    this.last = ready
+    this.lastResult = ready
     return ready
   }
 }
--- a/packages/gateway/src/process/common-limits.ts
+++ b/packages/gateway/src/process/shared-limits.ts
@@ -12,7 +12,7 @@
 import { coordinatorPart, countSharingGateways, shareOfConnections } from './gateway-share.js'
 
 /** Inputs of the shares. */
-export interface CommonLimitsParts {
+export interface SharedLimitsInputs {
   /** Number of listed gateways, and the index of this one among them. */
   members: { readonly count: number, readonly place: number }
   /** Number of gateways that send heartbeats to this one. */
@@ -22,22 +22,22 @@
 }
 
 /** Computes this gateway's shares of deployment-wide limits. */
-export class CommonLimits {
-  constructor(private readonly parts: CommonLimitsParts) {}
+export class SharedLimits {
+  constructor(private readonly inputs: SharedLimitsInputs) {}
 
   /** Maximum number of connections to one backend server of a service. */
   connections(service: string): number {
-    return shareOfConnections(this.parts.findService(service)?.maxConnections ?? 0, this.parts.members.count)
+    return shareOfConnections(this.inputs.findService(service)?.maxConnections ?? 0, this.inputs.members.count)
   }
 
   /** Number of gateways that divide the retry budget. */
   sharingGateways(): number {
-    return countSharingGateways(this.parts.members.count)
+    return countSharingGateways(this.inputs.members.count)
   }
 
   /** Requests per second that this gateway as a coordinator may assign to one cold backend server of a service; undefined if unlimited. */
   coordinatedColdRate(service: string): number | undefined {
-    return this.coldRate(service, COORDINATED_SHARE * this.coordinatorPart())
+    return this.coldRate(service, COORDINATED_SHARE * this.coordinatorShare())
   }
 
   /** As `coordinatedColdRate`, for requests whose backend server this gateway selects itself. */
@@ -47,18 +47,18 @@
 
   /** Time slot and share of this gateway in the rate limit of a backend server. */
   ofLimit({ service }: Backend): LimitShare {
-    const { members, findService } = this.parts
+    const { members, findService } = this.inputs
     const isCoordinated = findService(service)?.stage !== undefined
-    const part = isCoordinated ? this.coordinatorPart() : 1 / this.sharingGateways()
+    const part = isCoordinated ? this.coordinatorShare() : 1 / this.sharingGateways()
     return { place: members.place / this.sharingGateways(), part }
   }
 
-  private coordinatorPart(): number {
-    return coordinatorPart(this.parts.heardGateways(), this.parts.members.count)
+  private coordinatorShare(): number {
+    return coordinatorPart(this.inputs.heardGateways(), this.inputs.members.count)
   }
 
-  private coldRate(service: string, part: number): number | undefined {
-    const withstands = this.parts.findService(service)?.coldPerSecond
-    return withstands === undefined ? undefined : coldAllowancePerSecond(withstands, this.parts.coldAllowance) * part
+  private coldRate(service: string, share: number): number | undefined {
+    const ratePerSecond = this.inputs.findService(service)?.coldPerSecond
+    return ratePerSecond === undefined ? undefined : coldAllowancePerSecond(ratePerSecond, this.inputs.coldAllowance) * share
   }
 }
--- a/packages/gateway/src/process/suspension.ts
+++ b/packages/gateway/src/process/suspension.ts
@@ -4,7 +4,7 @@
  *
  * Inputs: readings of the monotonic and the wall clock at two polls (ms).
  * Rule: the process may have been suspended if the wall clock advanced at least
- * MIN_AWAY_MS more than the monotonic clock.
+ * MIN_SUSPENSION_MS more than the monotonic clock.
  * Why: timers and ages use the monotonic clock, which is not affected by steps of
  * the wall clock but does not count a suspension either. Afterwards connections
  * may be dead, another gateway may be the coordinator, and the store may have
@@ -18,50 +18,50 @@
  */
 
 /** Half costs CPU time; twice detects a suspension later. */
-const LOOK_INTERVAL_MS = 100
+const POLL_INTERVAL_MS = 100
 /** Half is close to the difference between readings of both clocks on a busy machine; twice is longer than it takes to declare a peer failed. */
-const MIN_AWAY_MS = 500
+const MIN_SUSPENSION_MS = 500
 
 /** Simultaneous readings of both clocks, in milliseconds. */
 export interface ClockReadings {
-  steady: number
-  timeOfDay: number
+  monotonicMs: number
+  wallClockMs: number
 }
 
 /** Milliseconds for which this process may have been suspended between two readings; 0 if it was not. */
-export function awayBetween(before: ClockReadings, after: ClockReadings): number {
-  const awayMs = (after.timeOfDay - before.timeOfDay) - (after.steady - before.steady)
-  return awayMs >= MIN_AWAY_MS ? awayMs : 0
+export function suspendedMsBetween(before: ClockReadings, after: ClockReadings): number {
+  const suspendedMs = (after.wallClockMs - before.wallClockMs) - (after.monotonicMs - before.monotonicMs)
+  return suspendedMs >= MIN_SUSPENSION_MS ? suspendedMs : 0
 }
 
 /** Polls the clocks to detect suspensions of the process. */
-export class SuspensionWatch {
+export class SuspensionDetector {
   private timer: NodeJS.Timeout | undefined
   private last: ClockReadings
 
   /** `onWake` is called with the length of each suspension in milliseconds. */
-  constructor(private readonly onWake: (awayMs: number) => void, private readonly read: () => ClockReadings = readClocks) {
+  constructor(private readonly onResume: (suspendedMs: number) => void, private readonly read: () => ClockReadings = readClocks) {
     this.last = read()
   }
 
   start(): void {
     this.last = this.read()
-    this.timer = setInterval(() => this.look(), LOOK_INTERVAL_MS).unref()
+    this.timer = setInterval(() => this.poll(), POLL_INTERVAL_MS).unref()
   }
 
   stop(): void {
     clearInterval(this.timer)
   }
 
-  private look(): void {
+  private poll(): void {
     const readings = this.read()
-    const awayMs = awayBetween(this.last, readings)
+    const suspendedMs = suspendedMsBetween(this.last, readings)
     this.last = readings
-    if (awayMs > 0)
-      this.onWake(awayMs)
+    if (suspendedMs > 0)
+      this.onResume(suspendedMs)
   }
 }
 
 function readClocks(): ClockReadings {
-  return { steady: performance.now(), timeOfDay: Date.now() }
+  return { monotonicMs: performance.now(), wallClockMs: Date.now() }
 }
--- a/packages/gateway/src/process/topic-follower.ts
+++ b/packages/gateway/src/process/topic-follower.ts
@@ -17,7 +17,7 @@
 import type { SourceOutage } from './platform-adapter.js'
 import { formatError, wait } from '@eidermast/common'
 import { HistoryGoneError } from './keyed-topic.js'
-import { retryPauseMs } from './retry-pause.js'
+import { retryPauseMs } from './store-backoff.js'
 
 /** An outage as observed here, without the platform's bounds. */
 export type StoreOutage = Omit<SourceOutage, 'usableAfterReturnMs'>
@@ -59,7 +59,7 @@
 /** Follows one topic. */
 export class TopicFollower {
   /** Position of the next record; undefined before the latest records are read. */
-  private place: TopicPosition | undefined
+  private position: TopicPosition | undefined
   /** Era of the last response; undefined before the first one. */
   private era: number | undefined
   private failures = 0
@@ -69,9 +69,9 @@
   /** When the last failed call was sent. */
   private failedCallAt = 0
   /** Start of the outage; valid only while `failures` is not 0. */
-  private awaySince = 0
+  private outageStartedAt = 0
   /** Offsets of the latest records as read, until reading has passed them. */
-  private newestOffsets = new Map<string, number>()
+  private latestOffsets = new Map<string, number>()
 
   constructor(
     private readonly store: TopicReader,
@@ -85,59 +85,59 @@
     while (!signal.aborted) {
       try {
         await this.readNext(signal)
-        this.noteSuccess()
+        this.handleSuccess()
       }
       catch (error) {
         if (signal.aborted)
           return
-        this.noteError(error)
+        this.handleError(error)
         await wait(retryPauseMs(this.failures))
       }
     }
   }
 
   private async readNext(signal: AbortSignal): Promise<void> {
-    const { place } = this
-    if (place === undefined)
-      return this.readNewest()
-    this.skipKnown(place)
+    const { position } = this
+    if (position === undefined)
+      return this.readLatest()
+    this.skipKnownRecords(position)
     this.calledAt = performance.now()
-    const { records, era } = await this.store.read(this.topic, place.offset, signal, this.failures > 0 ? NO_WAIT_MS : this.sink.waitMs)
-    if (era !== place.era)
-      throw new HistoryGoneError(`store era changed from ${place.era} to ${era}`)
-    this.reportAnswer(era)
+    const { records, era } = await this.store.read(this.topic, position.offset, signal, this.failures > 0 ? NO_WAIT_MS : this.sink.waitMs)
+    if (era !== position.era)
+      throw new HistoryGoneError(`store era changed from ${position.era} to ${era}`)
+    this.reportResponse(era)
     for (const record of records)
-      this.take({ ...record, era, offset: place.offset++ })
+      this.deliver({ ...record, era, offset: position.offset++ })
     if (records.length > 0 && this.sink.restMs)
       await wait(this.sink.restMs, signal)
   }
 
   /** Skips records that the sink already has, if its position is in the same era. */
-  private skipKnown(place: TopicPosition): void {
+  private skipKnownRecords(position: TopicPosition): void {
     const known = this.sink.known?.()
-    if (known?.era === place.era)
-      place.offset = Math.max(place.offset, known.offset)
+    if (known?.era === position.era)
+      position.offset = Math.max(position.offset, known.offset)
   }
 
-  private async readNewest(): Promise<void> {
+  private async readLatest(): Promise<void> {
     this.calledAt = performance.now()
     const { records, end } = await this.store.newest(this.topic)
-    this.reportAnswer(end.era)
+    this.reportResponse(end.era)
     this.sink.snapshot(records, end)
-    this.newestOffsets = new Map(records.filter(record => record.offset >= end.offset).map(record => [record.key, record.offset]))
-    this.place = { ...end }
+    this.latestOffsets = new Map(records.filter(record => record.offset >= end.offset).map(record => [record.key, record.offset]))
+    this.position = { ...end }
   }
 
   /** Delivers a record unless a newer one with its key was delivered before. */
-  private take(record: PlacedRecord): void {
-    const newest = this.newestOffsets.get(record.key)
-    if (newest !== undefined && record.offset >= newest)
-      this.newestOffsets.delete(record.key)
-    if (newest === undefined || record.offset > newest)
+  private deliver(record: PlacedRecord): void {
+    const latest = this.latestOffsets.get(record.key)
+    if (latest !== undefined && record.offset >= latest)
+      this.latestOffsets.delete(record.key)
+    if (latest === undefined || record.offset > latest)
       this.sink.record(record)
   }
 
-  private reportAnswer(era: number): void {
+  private reportResponse(era: number): void {
     this.sink.answered?.()
     const lostWrites = this.era !== undefined && era !== this.era
     this.era = era
@@ -145,25 +145,25 @@
       this.sink.recovered?.(this.describeOutage(lostWrites))
   }
 
-  private noteSuccess(): void {
+  private handleSuccess(): void {
     if (this.failures > 0)
-      this.log.storeRecovered(this.topic, this.failures, performance.now() - this.awaySince)
+      this.log.storeRecovered(this.topic, this.failures, performance.now() - this.outageStartedAt)
     this.failures = 0
   }
 
-  private noteError(error: unknown): void {
+  private handleError(error: unknown): void {
     if (!(error instanceof HistoryGoneError))
-      return this.noteFailure(error)
+      return this.handleFailure(error)
     this.log.storeHistoryGone(this.topic, error.message)
-    this.place = undefined
+    this.position = undefined
   }
 
-  private noteFailure(error: unknown): void {
+  private handleFailure(error: unknown): void {
     if (this.failures === 0) {
       this.log.storeFailed(this.topic, error)
       this.sink.failed?.()
       // The connection of a call that failed at once was alive until now; a call that timed out may have been lost since it was sent.
-      this.awaySince = error instanceof Error && error.name === TIMEOUT_ERROR ? this.calledAt : performance.now()
+      this.outageStartedAt = error instanceof Error && error.name === TIMEOUT_ERROR ? this.calledAt : performance.now()
     }
     this.failures++
     this.lastError = error
@@ -174,6 +174,6 @@
     const now = performance.now()
     if (this.failures === 0)
       return { lastedMs: 0, mayHaveReturnedMs: now - this.calledAt, error: 'the store was restored from an older snapshot', lostWrites }
-    return { lastedMs: now - this.awaySince, mayHaveReturnedMs: now - this.failedCallAt, error: formatError(this.lastError), lostWrites }
+    return { lastedMs: now - this.outageStartedAt, mayHaveReturnedMs: now - this.failedCallAt, error: formatError(this.lastError), lostWrites }
   }
 }
--- a/test/gateway/limit-turns.test.ts
+++ b/test/gateway/limit-turns.test.ts
@@ -1,4 +1,4 @@
-import { CommonLimits, LimitTurns } from '@eidermast/gateway'
+import { LimitTurns, SharedLimits } from '@eidermast/gateway'
 import { describe, expect, test } from 'vitest'
 import { createBackend } from './support/fakes.js'
 import { createRandom } from './support/random.js'
@@ -33,7 +33,7 @@
     const skewMs = random() * SKEW_MS
     const backend = createBackend({ id: 'engine-a' })
     backend.intake.limitPerSecond = limit
-    const limits = new CommonLimits({ members: { count: gateways, place }, heardGateways: () => 0, findService: () => undefined, coldAllowance: { overshoot: 1, slack: 0 } })
+    const limits = new SharedLimits({ members: { count: gateways, place }, heardGateways: () => 0, findService: () => undefined, coldAllowance: { overshoot: 1, slack: 0 } })
     return { turns: new LimitTurns(known => limits.ofLimit(known), () => clock.now, () => clock.now + skewMs), backend }
   })
 }
