--- a/packages/gateway/src/process/backend-list.ts
+++ b/packages/gateway/src/process/backend-list.ts
@@ -1,178 +1,178 @@
 /**
- * The platform's list of backend servers as this process knows it, from its
- * own reads and from peers: whichever is newer, so that it never goes back. A
- * lost read keeps a process from the changes for seconds without a sign; its
- * peers know them meanwhile.
+ * This gateway's replica of the platform's backend server list, merged from its
+ * own reads and from updates of peers. The higher revision wins, so the replica
+ * never moves backwards. Peer updates cover the seconds during which a read of
+ * the store may hang on a dead connection without an error.
  *
- * It owns the newest entry of each backend server with its revision, in memory;
- * a process that starts has none and takes the whole list from the first source
- * that brings it. The registry holds the backend servers themselves.
+ * Holds the latest entry of each backend server and its revision in memory. A
+ * new process starts empty and loads the whole list from the first source that
+ * delivers it. The `Backend` objects belong to the registry.
  */
 import type { EventLog } from '@eidermast/common'
 import type { BackendChange, LapsingBackend, ListedBackend, ListedBackends } from '../connection/backends/backend.js'
 import type { Member } from '../connection/peers/member.js'
 import type { BackendRegistry } from './backend-registry.js'
-import type { KnownList } from './older-copy.js'
 import type { BackendSink, SourceOutage } from './platform-adapter.js'
+import type { PreviousList } from './stale-entry-filter.js'
 import { lifeOf } from '../connection/backends/backend.js'
 import { GatewayLog } from './gateway-log.js'
 import { decidePeerLapseGrace } from './lapse-grace.js'
-import { OlderCopy } from './older-copy.js'
+import { StaleEntryFilter } from './stale-entry-filter.js'
 
 /**
- * Changes that are kept for peers. A site of 236 backend servers has some a
- * second, and a peer that is further behind fetches the whole list.
+ * Number of recent changes kept for peers. A site of 236 backend servers has
+ * several changes per second; a peer that is further behind fetches the whole list.
  */
 const MAX_CHANGES = 200
 
-/** Keeps the newest list; each change goes on to the registry once. */
+/** Maintains the latest list and applies each change to the registry exactly once. */
 export class BackendList implements BackendSink {
   private readonly entries = new Map<string, ListedBackend>()
   private currentRevision = 0
-  /** The newest changes in their order, for peers. */
+  /** Most recent changes for peers, oldest first. */
   private readonly changes: BackendChange[] = []
-  /** Revision after which `changes` holds every one. */
-  private changesFrom = 0
-  private sourceAway = false
-  /** Holds to what is known where the source comes back from an older copy. */
-  private readonly olderCopy = new OlderCopy(entry => this.list(entry))
+  /** `changes` is complete for all revisions above this one. */
+  private changesCompleteAfter = 0
+  private sourceUnavailable = false
+  /** Overrides stale entries after the store was restored from an older snapshot. */
+  private readonly staleEntryFilter = new StaleEntryFilter(entry => this.setEntry(entry))
   private readonly log: GatewayLog
 
   constructor(private readonly registry: BackendRegistry, log: EventLog) {
     this.log = new GatewayLog(log)
   }
 
-  /** Up to which change the list is known; 0 before any source brought it. */
+  /** Revision of the list; 0 before it was first loaded. */
   get revision(): number {
     return this.currentRevision
   }
 
-  /** Whether the source does not answer. */
-  get isSourceAway(): boolean {
-    return this.sourceAway
+  /** Whether the list's source does not respond. */
+  get isSourceUnavailable(): boolean {
+    return this.sourceUnavailable
   }
 
-  /** The list as it is passed on to peers. */
+  /** The list as sent to peers. */
   get current(): ListedBackends {
     return { revision: this.currentRevision, entries: [...this.entries.values()], lapsing: this.registry.lapsing }
   }
 
   noteSourceAnswered(): void {
-    this.registry.noteListRead()
+    this.registry.recordListRead()
   }
 
   noteSourceFailed(): void {
-    this.sourceAway = true
+    this.sourceUnavailable = true
   }
 
   noteSourceReturned(outage: SourceOutage): void {
-    this.sourceAway = false
+    this.sourceUnavailable = false
     this.registry.noteSourceReturned(outage)
   }
 
-  /** Takes the source's whole list, unless it is older than what peers have told. */
+  /** Applies a whole list from the source; ignored if peers have already sent a newer one. */
   replaceAll({ revision, entries }: ListedBackends): void {
     if (revision < this.currentRevision)
       return
-    const believed = this.olderCopy.correct({ revision, entries }, this.known)
-    this.forgetChanges(revision)
+    const trusted = this.staleEntryFilter.filter({ revision, entries }, this.previousList)
+    this.resetChanges(revision)
     this.currentRevision = revision
-    this.olderCopy.noteGone(this.missingIn(believed))
+    this.staleEntryFilter.recordRemoved(this.entriesMissingFrom(trusted))
     this.entries.clear()
-    for (const entry of believed)
+    for (const entry of trusted)
       this.entries.set(entry.record.id, entry)
-    this.registry.replaceAll(believed.map(entry => entry.record))
-    this.registry.noteWholeList()
+    this.registry.replaceAll(trusted.map(entry => entry.record))
+    this.registry.markWholeListLoaded()
   }
 
   upsert({ record, revision }: ListedBackend): void {
-    this.take({ id: record.id, record, revision })
+    this.applyChange({ id: record.id, record, revision })
   }
 
   unlist(id: string, revision: number): void {
-    if (this.take({ id, revision }))
+    if (this.applyChange({ id, revision }))
       this.registry.unlist(id)
   }
 
-  /** The changes after a revision, for a peer that has the list up to there; undefined where some are forgotten here. */
+  /** Changes after `revision`, for a peer that is up to date to that point; undefined if some of them are no longer kept. */
   changesSince(revision: number): BackendChange[] | undefined {
     if (revision >= this.currentRevision)
       return []
-    if (revision < this.changesFrom)
+    if (revision < this.changesCompleteAfter)
       return undefined
     const usedForMs = usedForMsById(this.registry.lapsing)
     return this.changes.filter(change => change.revision > revision)
       .map(change => ({ ...change, usedForMs: change.record ? undefined : usedForMs.get(change.id) }))
   }
 
-  /** Takes changes that a peer told, up to its revision. */
+  /** Applies changes received from a peer and advances to the peer's revision. */
   adoptChanges(changes: readonly BackendChange[], revision: number, peer: Member): void {
     if (revision <= this.currentRevision)
       return
-    this.noteAdoption(revision, peer)
+    this.recordPeerRead(revision, peer)
     for (const change of changes) {
-      if (this.take(change) && !change.record)
-        this.useOnAsPeerDoes(change.id, change.usedForMs)
+      if (this.applyChange(change) && !change.record)
+        this.unlistWithPeerGrace(change.id, change.usedForMs)
     }
     this.currentRevision = revision
   }
 
-  /** Takes a peer's whole list where it is newer than this one. */
+  /** Applies a peer's whole list if it is newer than this one. */
   adopt(list: ListedBackends, peer: Member): void {
     if (list.revision <= this.currentRevision)
       return
-    this.noteAdoption(list.revision, peer)
-    this.forgetChanges(list.revision)
-    const entries = this.olderCopy.correct(list, this.known)
+    this.recordPeerRead(list.revision, peer)
+    this.resetChanges(list.revision)
+    const entries = this.staleEntryFilter.filter(list, this.previousList)
     const listed = new Set(entries.map(entry => entry.record.id))
     const usedForMs = usedForMsById(list.lapsing ?? [])
-    this.olderCopy.noteGone(this.missingIn(entries))
+    this.staleEntryFilter.recordRemoved(this.entriesMissingFrom(entries))
     for (const [id, known] of this.entries) {
       if (listed.has(id) || known.revision > list.revision)
         continue
       this.entries.delete(id)
-      this.useOnAsPeerDoes(id, usedForMs.get(id))
+      this.unlistWithPeerGrace(id, usedForMs.get(id))
     }
     for (const entry of entries) {
       if (entry.revision > this.revisionOf(entry.record.id))
-        this.list(entry)
+        this.setEntry(entry)
     }
     this.currentRevision = list.revision
-    this.registry.noteWholeList()
+    this.registry.markWholeListLoaded()
   }
 
-  /** Takes one change where it is news; what has gone is left to the caller. Returns whether it was. */
-  private take(change: BackendChange): boolean {
+  /** Applies one change if it is newer than the known entry; the caller unlists removed backend servers. Returns whether it was applied. */
+  private applyChange(change: BackendChange): boolean {
     const { id, revision, record } = change
     if (revision <= this.currentRevision)
       return false
     this.currentRevision = revision
-    this.olderCopy.noteChange(id, record)
-    this.remember(change)
-    // A whole list may hold newer entries than its revision says.
+    this.staleEntryFilter.recordChange(id, record)
+    this.appendChange(change)
+    // A whole list may contain entries that are newer than its own revision.
     if (revision <= this.revisionOf(id))
       return false
     if (record) {
-      this.list({ record, revision })
+      this.setEntry({ record, revision })
       return true
     }
-    this.olderCopy.noteGone([this.entries.get(id) ?? []].flat())
+    this.staleEntryFilter.recordRemoved([this.entries.get(id) ?? []].flat())
     this.entries.delete(id)
     return true
   }
 
-  /** What is listed up to now. */
-  private get known(): KnownList {
+  /** The list as known before the next whole list is applied. */
+  private get previousList(): PreviousList {
     return { revision: this.currentRevision, find: id => this.entries.get(id)?.record }
   }
 
-  /** Entries that are listed now and are missing in a whole list. */
-  private missingIn(entries: readonly ListedBackend[]): ListedBackend[] {
+  /** Current entries that a whole list no longer contains. */
+  private entriesMissingFrom(entries: readonly ListedBackend[]): ListedBackend[] {
     const listed = new Set(entries.map(({ record }) => lifeOf(record)))
     return [...this.entries.values()].filter(({ record }) => !listed.has(lifeOf(record)))
   }
 
-  private list(entry: ListedBackend): void {
+  private setEntry(entry: ListedBackend): void {
     this.entries.set(entry.record.id, entry)
     this.registry.upsert(entry.record)
   }
@@ -181,26 +181,26 @@
     return this.entries.get(id)?.revision ?? 0
   }
 
-  private useOnAsPeerDoes(id: string, usedByPeerMs: number | undefined): void {
-    this.registry.unlistAfter(id, decidePeerLapseGrace({ usedByPeerMs, isSourceAway: this.sourceAway }))
+  private unlistWithPeerGrace(id: string, peerGraceMs: number | undefined): void {
+    this.registry.unlistAfterGrace(id, decidePeerLapseGrace({ peerGraceMs, isSourceUnavailable: this.sourceUnavailable }))
   }
 
-  private noteAdoption(revision: number, peer: Member): void {
+  private recordPeerRead(revision: number, peer: Member): void {
     this.log.backendListAdopted(peer, revision, this.currentRevision, this.registry.listAgeMs)
-    this.registry.noteListRead()
+    this.registry.recordListRead()
   }
 
-  private remember(change: BackendChange): void {
+  private appendChange(change: BackendChange): void {
     this.changes.push(change)
-    const forgotten = this.changes.length > MAX_CHANGES ? this.changes.shift() : undefined
-    if (forgotten)
-      this.changesFrom = forgotten.revision
+    const dropped = this.changes.length > MAX_CHANGES ? this.changes.shift() : undefined
+    if (dropped)
+      this.changesCompleteAfter = dropped.revision
   }
 
-  /** A whole list does not say which changes led to it. */
-  private forgetChanges(revision: number): void {
+  /** A whole list does not contain the individual changes that led to it. */
+  private resetChanges(revision: number): void {
     this.changes.length = 0
-    this.changesFrom = revision
+    this.changesCompleteAfter = revision
   }
 }
 
--- a/packages/gateway/src/process/gateway.ts
+++ b/packages/gateway/src/process/gateway.ts
@@ -1,8 +1,8 @@
 /**
- * One gateway process: builds the parts, wires them, and starts and ends them.
- * It owns all state of the process, in memory only. When the process dies,
- * clients and peers see broken connections; the next process reads
- * configuration, backend servers and members from the platform again.
+ * One gateway process: creates its components, connects them, and starts and
+ * stops them. All state is in memory. When the process ends, clients and peers
+ * see broken connections; a new process loads the configuration, backend servers
+ * and members from the platform again.
  */
 import type { EventLog } from '@eidermast/common'
 import type { Backend } from '../connection/backends/backend.js'
@@ -31,9 +31,8 @@
 import { ConfigurationHolder } from '../version/configuration-holder.js'
 import { BackendList } from './backend-list.js'
 import { BackendRegistry } from './backend-registry.js'
-import { CallReports } from './call-reports.js'
-import { CommonLimits } from './common-limits.js'
-import { CoordinatorReads } from './coordinator-reads.js'
+import { CallReporter } from './call-reporter.js'
+import { CoordinatorOutageWatch } from './coordinator-outage-watch.js'
 import { CrashDetector } from './crashes/crash-detector.js'
 import { CrashTracker } from './crashes/crash-tracker.js'
 import { drainClients } from './drain/drain-clients.js'
@@ -48,12 +47,13 @@
 import { Members } from './membership/members.js'
 import { GatewayPeerService } from './peer-service.js'
 import { Readiness } from './readiness.js'
+import { SharedLimits } from './shared-limits.js'
 import { ShardsByPrompt } from './stages/shard-choice.js'
 import { SharedPreparer } from './stages/shared-preparer.js'
 import { CoordinatorRole, StageCoordinators } from './stages/stage-coordinators.js'
-import { SuspensionWatch } from './suspension.js'
+import { SuspensionDetector } from './suspension.js'
 
-/** A gateway with all its parts. */
+/** A gateway process with all its components. */
 export class Gateway {
   readonly metrics = new GatewayMetrics()
   readonly configuration: ConfigurationHolder
@@ -68,16 +68,16 @@
   private readonly peers = new PeerClients()
   private readonly peerService: GatewayPeerService
   private readonly activePeers = new ActivePeers()
-  private readonly commonLimits: CommonLimits
+  private readonly sharedLimits: SharedLimits
   private readonly connections: BackendConnections
   private readonly intakes: BackendIntakes
   private readonly stageCoordinators: StageCoordinators
   private readonly readiness: Readiness
   private readonly internalServers = new InternalServers()
-  private readonly coordinatorReads = new CoordinatorReads(() => this.platform.readAnew())
-  private readonly suspensionWatch = new SuspensionWatch(awayMs => this.takeWake(awayMs))
-  /** Ends what follows the platform. */
-  private readonly ending = new AbortController()
+  private readonly coordinatorOutages = new CoordinatorOutageWatch(() => this.platform.readAnew())
+  private readonly suspensionDetector = new SuspensionDetector(awayMs => this.handleResume(awayMs))
+  /** Aborts everything that follows the platform. */
+  private readonly shutdown = new AbortController()
   private stopping = false
 
   constructor(private readonly settings: GatewaySettings, private readonly platform: PlatformAdapter, private readonly log: EventLog) {
@@ -90,22 +90,22 @@
     this.evacuations = new EvacuationList(this.gatewayLog, evacuated => this.registry.setEvacuated(evacuated))
     this.crashTracker = this.createCrashTracker()
     this.members = this.createMembers()
-    this.commonLimits = this.createCommonLimits()
-    const limitTurns = new LimitTurns(backend => this.commonLimits.ofLimit(backend))
+    this.sharedLimits = this.createSharedLimits()
+    const limitTurns = new LimitTurns(backend => this.sharedLimits.ofLimit(backend))
     this.intakes = new BackendIntakes(this.registry, platform.backendCodec.readNotice, limitTurns, this.gatewayLog)
     this.connections = this.createConnections()
     this.stageCoordinators = this.createStageCoordinators()
     this.peerService = this.createPeerService()
     this.clients = this.createClientServer()
     this.readiness = new Readiness(this.gatewayLog)
-    this.members.onShardChange(shard => this.takeCoordinatorChange(shard))
+    this.members.onShardChange(shard => this.handleCoordinatorChange(shard))
     this.configuration.onChange(table => this.stageCoordinators.applyConfiguration(table))
-    this.registry.listen({ removed: backend => this.connections.forget(backend), stateChanged: backend => this.takeStateChange(backend) })
+    this.registry.listen({ removed: backend => this.connections.forget(backend), stateChanged: backend => this.handleBackendStateChange(backend) })
   }
 
   /**
-   * Listens, then follows the platform; ready when a configuration and backend
-   * servers are known. Rejects where an address cannot be had.
+   * Starts listening, then follows the platform. The gateway is ready once it has
+   * a configuration and backend servers. Rejects if an address cannot be bound.
    */
   async start(): Promise<void> {
     this.gatewayLog.started()
@@ -113,11 +113,11 @@
     this.metrics.addGauges(this)
     this.followPlatform()
     this.members.start()
-    this.suspensionWatch.start()
+    this.suspensionDetector.start()
     this.gatewayLog.listening()
   }
 
-  /** Serves on until the balancer sends no more and all is answered, or the grace period is over. */
+  /** Keeps serving until the load balancer sends no more requests and all are answered, or the grace period is over. */
   async drain(): Promise<void> {
     const startedAt = performance.now()
     const gracePeriodMs = this.settings.process['grace-period-ms']
@@ -126,15 +126,15 @@
     this.members.markStopping(this.self)
     void this.platform.memberDirectory.withdraw(this.self)
     await drainClients(this.clients, gracePeriodMs, () => this.members.othersServe)
-    this.ending.abort()
+    this.shutdown.abort()
     this.gatewayLog.stopped(this.clients.activeRequests, performance.now() - startedAt)
   }
 
-  /** Ends at once: closes every listener and connection. */
+  /** Stops immediately: closes every listener and connection. */
   async close(): Promise<void> {
-    this.ending.abort()
+    this.shutdown.abort()
     this.members.stop()
-    this.suspensionWatch.stop()
+    this.suspensionDetector.stop()
     this.stageCoordinators.stop()
     this.clients.close()
     this.internalServers.close()
@@ -143,21 +143,21 @@
 
   private createMembers(): Members {
     const contact = {
-      heartbeat: (member: Member) => this.peers.heartbeat(member, { ...this.self, ...this.peerService.heldFor(member) }),
+      heartbeat: (member: Member) => this.peers.heartbeat(member, { ...this.self, ...this.peerService.sharedStateFor(member) }),
     }
-    return new Members(this.self, contact, this.log, (member, reply) => this.takeReply(member, reply))
+    return new Members(this.self, contact, this.log, (member, reply) => this.handleHeartbeatReply(member, reply))
   }
 
-  private takeReply(member: Member, reply: HeartbeatReply): void {
+  private handleHeartbeatReply(member: Member, reply: HeartbeatReply): void {
     if (member.name === this.members.coordinator.name)
-      this.coordinatorReads.takeWord(member.name, reply.sourceAway ?? false)
-    this.peerService.learn(member, reply)
+      this.coordinatorOutages.handleReply(member.name, reply.sourceAway ?? false)
+    this.peerService.applyPeerState(member, reply)
   }
 
-  /** What this process tells of itself in answer to a heartbeat, beside what it holds. */
+  /** This process's own status in heartbeat replies, without the shared state. */
   private describeSelf(): SelfDescription {
     const { isSelfSlow, selfOrder } = this.members
-    return { stopping: this.stopping, slow: isSelfSlow, announcementOrder: selfOrder, sourceAway: this.backendList.isSourceAway || undefined }
+    return { stopping: this.stopping, slow: isSelfSlow, announcementOrder: selfOrder, sourceAway: this.backendList.isSourceUnavailable || undefined }
   }
 
   private createCrashTracker(): CrashTracker {
@@ -173,8 +173,8 @@
     return new CrashTracker({ name, ledger: platform.crashLedger, log, detector, restoresOthers: () => !this.members.isTold })
   }
 
-  private createCommonLimits(): CommonLimits {
-    return new CommonLimits({
+  private createSharedLimits(): SharedLimits {
+    return new SharedLimits({
       members: this.members,
       heardGateways: () => this.activePeers.count(performance.now()),
       findService: name => this.configuration.table?.findService(name),
@@ -183,26 +183,26 @@
   }
 
   private createConnections(): BackendConnections {
-    const reports = new CallReports(this.metrics, this.gatewayLog)
-    return new BackendConnections(service => this.commonLimits.connections(service), reports, this.intakes)
+    const reports = new CallReporter(this.metrics, this.gatewayLog)
+    return new BackendConnections(service => this.sharedLimits.connections(service), reports, this.intakes)
   }
 
-  /** This process may have been away: what it knows may be old, and others may have decided meanwhile. */
-  private takeWake(awayMs: number): void {
+  /** The process may have been suspended: its state may be stale, and peers may have made decisions meanwhile. */
+  private handleResume(awayMs: number): void {
     this.gatewayLog.woke(awayMs)
     this.platform.readAnew()
     this.members.restartDiscovery()
   }
 
-  private takeStateChange(backend: Backend): void {
+  private handleBackendStateChange(backend: Backend): void {
     if (!backend.takesWork)
       this.connections.turnAwayWaiting(backend)
   }
 
   private createStageCoordinators(): StageCoordinators {
     const client = this.platform.stageClient(this.connections)
-    const retryBudget = new RetryBudget({ ...this.retryAllowance(), ratio: 0 }, () => countSharingGateways(this.members.shards.length))
-    const coldPace = new ColdPace(this.self.name, service => this.commonLimits.coordinatedColdRate(service))
+    const retryBudget = new RetryBudget({ ...this.retryBudgetSettings(), ratio: 0 }, () => countSharingGateways(this.members.shards.length))
+    const coldPace = new ColdPace(this.self.name, service => this.sharedLimits.coordinatedColdRate(service))
     return new StageCoordinators({ registry: this.registry, client, retryBudget, crashes: this.crashTracker, coldPace, intake: this.intakes, log: this.log })
   }
 
@@ -215,9 +215,9 @@
       ejection,
       plainChoice: new LeastLoadChoice(ejection),
       engineChoice: new PrefixAwareChoice(ejection),
-      budget: new RetryBudget(this.retryAllowance(), () => this.commonLimits.sharingGateways()),
+      budget: new RetryBudget(this.retryBudgetSettings(), () => this.sharedLimits.sharingGateways()),
       crashes: this.crashTracker,
-      coldPace: new ColdPace(this.self.name, service => this.commonLimits.ownColdRate(service)),
+      coldPace: new ColdPace(this.self.name, service => this.sharedLimits.ownColdRate(service)),
       intake: this.intakes,
       log: this.log,
       isEngine: service => this.configuration.table?.findService(service)?.engine !== undefined,
@@ -268,7 +268,7 @@
   }
 
   private followPlatform(): void {
-    const { signal } = this.ending
+    const { signal } = this.shutdown
     const { operatorSource, backendSource, memberDirectory, crashLedger } = this.platform
     const operatorSink = { offerConfiguration: (text: string) => void this.configuration.offer(text, 'platform'), evacuations: this.evacuations }
     void operatorSource.follow(operatorSink, this.members, signal)
@@ -278,7 +278,7 @@
     void memberDirectory.announce(this.self, signal)
   }
 
-  private takeCoordinatorChange(shard: StageShard): void {
+  private handleCoordinatorChange(shard: StageShard): void {
     this.stageCoordinators.takeChange(shard, this.roleIn(shard))
   }
 
@@ -288,8 +288,8 @@
     return this.stopping ? CoordinatorRole.Leaves : CoordinatorRole.HandsOver
   }
 
-  /** The allowance of retries of all gateways together. */
-  private retryAllowance(): RetryBudgetSettings {
+  /** The retry budget of all gateways together. */
+  private retryBudgetSettings(): RetryBudgetSettings {
     const { ratio, extra, 'window-ms': windowMs } = this.settings.retry
     return { ratio, extra, windowMs }
   }
--- a/packages/gateway/src/process/peer-service.ts
+++ b/packages/gateway/src/process/peer-service.ts
@@ -1,12 +1,12 @@
 /**
- * What this gateway and its peers exchange: it answers their heartbeats, gives
- * them its configuration and its list of backend servers, exchanges crashes
- * (`crashes/crash-exchange.ts`), and does their stage
- * work while it coordinates. Each heartbeat and its answer tell the versions
- * held, the orders about failure domains, and which backend servers leave or
- * changed their limit; an answer also the changes of the list that the sender lacks. What a peer
- * holds beyond that, and the platform's store did not bring, is fetched
- * (`peer-fetch.ts`). It owns no state but that fetches are under way.
+ * Exchange of state with peers: answers their heartbeats, serves the
+ * configuration and the backend server list, exchanges crash reports
+ * (`crashes/crash-exchange.ts`), and runs their stage work while this gateway is
+ * a coordinator. Each heartbeat and its reply carry the revisions held, the
+ * evacuation orders, and which backend servers are leaving or changed their rate
+ * limit; a reply also carries the list changes that the sender lacks. State of a
+ * peer that is newer still, and that the store has not delivered, is fetched
+ * (`peer-fetch.ts`). Holds no state except for fetches in flight.
  */
 import type { Result } from 'ts-results-es'
 import type { BackendChange, ListedBackends } from '../connection/backends/backend.js'
@@ -25,15 +25,15 @@
 import type { ActivePeers } from './membership/active-peers.js'
 import { PeerFetch } from './peer-fetch.js'
 
-/** Milliseconds. A configuration is fetched at once: it changes seldom, and in seconds it must be in force everywhere. */
-const CONFIGURATION_PATIENCE_MS = 0
+/** Configurations are fetched without delay: they change rarely and must be in force everywhere within seconds. */
+const CONFIGURATION_FETCH_DELAY_MS = 0
 /**
- * Milliseconds. Half costs fetches where a process is slow; twice leaves less
- * of the two seconds in which a leaving backend server may get work.
+ * With half of it, slow processes fetch unnecessarily; with twice, less is left
+ * of the two seconds during which a leaving backend server may get work.
  */
-const BACKENDS_PATIENCE_MS = 200
+const BACKENDS_FETCH_DELAY_MS = 200
 
-/** The parts of a gateway that its peers reach, and those that reach the peers. */
+/** Components that peers access through this service, and the clients to reach the peers. */
 export interface PeerServiceParts {
   holder: ConfigurationHolder
   backendList: BackendList
@@ -44,18 +44,18 @@
   peers: Pick<PeerClients, 'configuration' | 'backends'>
   stageCoordinator: Preparer
   crashes: CrashExchange
-  /** What this process tells of itself in answer to a heartbeat, without what it holds. */
+  /** This process's own status in heartbeat replies, without the shared state. */
   describeSelf: () => SelfDescription
   log: GatewayLog
 }
 
-/** What a gateway tells of the state that it shares with its peers. */
-export type HeldState = Pick<HeartbeatReply, 'version' | 'backends' | 'backendChanges' | 'evacuations' | 'limits' | 'leaving'> & { crashes?: unknown }
+/** State shared with peers, as carried by heartbeats and their replies. */
+export type SharedState = Pick<HeartbeatReply, 'version' | 'backends' | 'backendChanges' | 'evacuations' | 'limits' | 'leaving'> & { crashes?: unknown }
 
-/** What a gateway tells of itself, beside the state that it shares. */
-export type SelfDescription = Omit<HeartbeatReply, keyof HeldState>
+/** Status of a gateway in its heartbeat replies, without the shared state. */
+export type SelfDescription = Omit<HeartbeatReply, keyof SharedState>
 
-/** Answers the procedures between gateways, and fetches what peers have and this process lacks. */
+/** Implements the procedures between gateways, and fetches newer state from peers. */
 export class GatewayPeerService implements PeerService {
   private readonly configurationFetch: PeerFetch
   private readonly backendsFetch: PeerFetch
@@ -63,21 +63,21 @@
   constructor(private readonly parts: PeerServiceParts) {
     const { holder, backendList, peers, log } = parts
     this.configurationFetch = new PeerFetch({
-      patienceMs: CONFIGURATION_PATIENCE_MS,
+      fetchDelayMs: CONFIGURATION_FETCH_DELAY_MS,
       revision: () => holder.version,
       fetch: member => this.fetchConfiguration(member),
       failed: (member, error) => log.peerConfigurationFailed(member, error),
     })
     this.backendsFetch = new PeerFetch({
-      patienceMs: BACKENDS_PATIENCE_MS,
+      fetchDelayMs: BACKENDS_FETCH_DELAY_MS,
       revision: () => backendList.revision,
       fetch: async member => backendList.adopt(await peers.backends(member), member),
       failed: (member, error) => log.peerBackendsFailed(member, error),
     })
   }
 
-  /** What this process holds, as its heartbeats tell a peer. */
-  heldFor({ address }: Member): Pick<HeartbeatReply, 'version' | 'backends' | 'crashes' | 'evacuations' | 'limits' | 'leaving'> {
+  /** The shared state that heartbeats to this peer carry. */
+  sharedStateFor({ address }: Member): Pick<HeartbeatReply, 'version' | 'backends' | 'crashes' | 'evacuations' | 'limits' | 'leaving'> {
     const { holder, backendList, crashes, limits, leaving, evacuations: { orders } } = this.parts
     return {
       version: holder.version,
@@ -91,8 +91,8 @@
 
   heartbeat(heartbeat: Heartbeat): HeartbeatReply {
     this.parts.activePeers.note(heartbeat.name, performance.now())
-    this.learn(heartbeat, heartbeat)
-    return { ...this.heldFor(heartbeat), backendChanges: this.changesFor(heartbeat), ...this.parts.describeSelf() }
+    this.applyPeerState(heartbeat, heartbeat)
+    return { ...this.sharedStateFor(heartbeat), backendChanges: this.changesFor(heartbeat), ...this.parts.describeSelf() }
   }
 
   configuration(): ConfigurationRecord | undefined {
@@ -112,22 +112,22 @@
       this.parts.stageCoordinator.release(id)
   }
 
-  /** A peer told what it holds; what is newer and was not told is fetched. */
-  learn({ name, address }: Member, { version, backends, backendChanges, crashes, evacuations, limits, leaving }: HeldState): void {
+  /** Applies the state that a peer sent, and fetches what is newer but was not included. */
+  applyPeerState({ name, address }: Member, { version, backends, backendChanges, crashes, evacuations, limits, leaving }: SharedState): void {
     const member = { name, address }
     if (crashes !== undefined)
       this.parts.crashes.receive(address, crashes)
-    // Before the configuration is fetched: a gateway that starts must know them when it serves.
+    // Before the configuration is fetched: a starting gateway must know the orders when it begins to serve.
     this.parts.evacuations.applyPeerOrders(evacuations ?? [], name)
     if (backends !== undefined && backendChanges)
       this.parts.backendList.adoptChanges(backendChanges, backends, member)
     this.parts.limits.receive(limits ?? [], name, performance.now())
     this.parts.leaving.receive(leaving ?? [], name)
-    void this.configurationFetch.learn(member, version)
-    void this.backendsFetch.learn(member, backends)
+    void this.configurationFetch.handlePeerRevision(member, version)
+    void this.backendsFetch.handlePeerRevision(member, backends)
   }
 
-  /** The changes of the list that a peer lacks; undefined where there is nothing to tell, which is most of the time. */
+  /** The list changes that a peer lacks; undefined if there are none, which is the common case. */
   private changesFor({ backends }: Heartbeat): BackendChange[] | undefined {
     const changes = backends === undefined ? undefined : this.parts.backendList.changesSince(backends)
     return changes && changes.length > 0 ? changes : undefined
--- a/packages/gateway/src/process/suspension.ts
+++ b/packages/gateway/src/process/suspension.ts
@@ -1,67 +1,67 @@
 /**
- * Decides whether this process was away without noticing it: its VM was
- * suspended, and its steady clock stood still meanwhile.
+ * Decides whether this process was suspended together with its VM, which stops
+ * the monotonic clock.
  *
- * Inputs: the steady clock and the time of day between two looks (ms).
- * Rule: it may have been away where the time of day went on by MIN_AWAY_MS more
- * than the steady clock.
- * Why: timers and ages go by the steady clock, which a step of the time of day
- * does not move; but it does not count a suspension. Connections may be gone,
- * another gateway may coordinate, and the store may have changed, while reads
- * wait on and everybody looks as they did a moment before. A step forward of the
- * time of day looks the same, and the boot clock, which would tell them apart,
- * cannot be read everywhere. So only what does no harm follows from this: reads
- * are made anew, and the others are asked before this process decides for them.
- * What must hold across a suspension, the reports of crashes, goes by the time
- * of day.
+ * Inputs: readings of the monotonic and the wall clock at two polls (ms).
+ * Rule: the process may have been suspended if the wall clock advanced at least
+ * MIN_SUSPENSION_MS more than the monotonic clock.
+ * Why: timers and ages use the monotonic clock, which is not affected by steps of
+ * the wall clock but does not count a suspension either. Afterwards connections
+ * may be dead, another gateway may be the coordinator, and the store may have
+ * changed, while reads are still pending and all peers look alive. A forward step
+ * of the wall clock looks the same, and the boot-time clock that would tell them
+ * apart is not readable on all systems. Therefore only harmless actions follow:
+ * reads are restarted, and peers are contacted before this process decides for
+ * them. State that must be valid across a suspension, the crash reports, uses the
+ * wall clock.
  * Log event: `woke`.
  */
 
-/** Milliseconds between looks. Half costs processor time, twice notices a suspension later. */
-const LOOK_INTERVAL_MS = 100
-/** Milliseconds. Half is near what two readings of busy clocks differ by, twice is longer than a heartbeat's failure. */
-const MIN_AWAY_MS = 500
+/** Half costs CPU time; twice detects a suspension later. */
+const POLL_INTERVAL_MS = 100
+/** Half is close to the difference between readings of both clocks on a busy machine; twice is longer than it takes to declare a peer failed. */
+const MIN_SUSPENSION_MS = 500
 
-/** Readings of both clocks at one moment, in milliseconds. */
+/** Simultaneous readings of both clocks, in milliseconds. */
 export interface ClockReadings {
-  steady: number
-  timeOfDay: number
+  monotonicMs: number
+  wallClockMs: number
 }
 
-/** For how many milliseconds this process may have been away between two readings; 0 for not at all. */
-export function awayBetween(before: ClockReadings, after: ClockReadings): number {
-  const awayMs = (after.timeOfDay - before.timeOfDay) - (after.steady - before.steady)
-  return awayMs >= MIN_AWAY_MS ? awayMs : 0
+/** Milliseconds for which this process may have been suspended between two readings; 0 if it was not. */
+export function suspendedMsBetween(before: ClockReadings, after: ClockReadings): number {
+  const suspendedMs = (after.wallClockMs - before.wallClockMs) - (after.monotonicMs - before.monotonicMs)
+  return suspendedMs >= MIN_SUSPENSION_MS ? suspendedMs : 0
 }
 
-/** Looks at the clocks as long as the process lives. */
-export class SuspensionWatch {
+/** Polls the clocks to detect suspensions of the process. */
+export class SuspensionDetector {
   private timer: NodeJS.Timeout | undefined
   private last: ClockReadings
 
-  /** Takes what to do after a time away, in milliseconds. */
-  constructor(private readonly onWake: (awayMs: number) => void, private readonly read: () => ClockReadings = readClocks) {
+  /** `onWake` is called with the length of each suspension in milliseconds. */
+  constructor(private readonly onResume: (suspendedMs: number) => void, private readonly read: () => ClockReadings = readClocks) {
     this.last = read()
   }
 
   start(): void {
     this.last = this.read()
-    this.timer = setInterval(() => this.look(), LOOK_INTERVAL_MS).unref()
+    this.timer = setInterval(() => this.poll(), POLL_INTERVAL_MS).unref()
   }
 
   stop(): void {
     clearInterval(this.timer)
   }
 
-  private look(): void {
+  private poll(): void {
     const readings = this.read()
-    const awayMs = awayBetween(this.last, readings)
+    const suspendedMs = suspendedMsBetween(this.last, readings)
     this.last = readings
-    if (awayMs > 0)
-      this.onWake(awayMs)
+    if (suspendedMs > 0)
+      this.onResume(suspendedMs)
   }
 }
 
 function readClocks(): ClockReadings {
-  return { steady: performance.now(), timeOfDay: Date.now() }
+  return { monotonicMs: performance.now(), wallClockMs: Date.now() }
 }
