--- a/packages/gateway/src/process/stages/backend/backend-pause.ts
+++ b/packages/gateway/src/process/stages/backend/backend-pause.ts
@@ -16,7 +16,7 @@
  * First pause after a failed call, in milliseconds. Half of it sends more calls
  * into a failure, twice as much idles a healthy server.
  */
-const FIRST_PAUSE_MS = 100
+const INITIAL_PAUSE_MS = 100
 /**
  * Longest pause after failed calls, in milliseconds. Twice as much leaves a
  * recovered backend server idle for 10 s.
@@ -26,9 +26,9 @@
 /** Pause after a backend server lacked result memory, in milliseconds: results are freed all the time. */
 export const MEMORY_PAUSE_MS = 60
 /** How long memory that a backend server turned out not to have counts as used, in milliseconds. */
-export const MEMORY_DISTRUST_MS = 400
+export const MEMORY_EXHAUSTED_MS = 400
 
 /** Pause after a failed call, in milliseconds; takes the failed calls in a row before it. */
 export function failurePauseMs(earlierFailures: number): number {
-  return Math.min(MAX_PAUSE_MS, FIRST_PAUSE_MS * 2 ** earlierFailures)
+  return Math.min(MAX_PAUSE_MS, INITIAL_PAUSE_MS * 2 ** earlierFailures)
 }
--- a/packages/gateway/src/process/stages/backend/index.ts
+++ b/packages/gateway/src/process/stages/backend/index.ts
@@ -1,4 +1,4 @@
 export * from './backend-pause.js'
-export * from './result-frees.js'
+export * from './result-deleter.js'
 export * from './result-memory.js'
 export * from './stage-backend.js'
--- a/packages/gateway/src/process/stages/backend/result-frees.ts
+++ b/packages/gateway/src/process/stages/backend/result-deleter.ts
@@ -22,7 +22,7 @@
 const LIMITED_FREE_DELAY_MS = 1500
 
 /** Deletes the results of one service. */
-export class ResultFrees {
+export class ResultDeleter {
   private readonly pending = new Map<ResultHolder, string[]>()
 
   /** The listener is called when a backend server has confirmed deletions. */
--- a/packages/gateway/src/process/stages/backend/result-memory.ts
+++ b/packages/gateway/src/process/stages/backend/result-memory.ts
@@ -9,7 +9,7 @@
 import type { Backend } from '../../../connection/backends/backend.js'
 import type { ResultHolder } from '../../../request/stages/stage-task.js'
 import type { StageLimits } from '../../../version/configuration.js'
-import { MEMORY_DISTRUST_MS } from './backend-pause.js'
+import { MEMORY_EXHAUSTED_MS } from './backend-pause.js'
 
 /**
  * Share of the result memory that is planned with, since sizes of results are
@@ -24,9 +24,9 @@
 const EXPIRY_MARGIN_MS = 100
 
 /** Entry for all results that this process did not ask for. */
-const RESULTS_OF_OTHERS = 'results of others'
+const FOREIGN_RESULTS = 'foreign results'
 /** Entry for bytes that were counted as free and turned out not to be. */
-const RESULTS_UNKNOWN = 'results unknown'
+const UNACCOUNTED_BYTES = 'unaccounted results'
 
 interface HeldResult {
   bytes: number
@@ -38,7 +38,7 @@
 /** The result memory of one backend server; times are on the process clock, in milliseconds. */
 export class ResultMemory implements ResultHolder {
   private usedBytes = 0
-  private lostCalls = 0
+  private brokenCalls = 0
   private readonly held = new Map<string, HeldResult>()
 
   constructor(readonly backend: Backend, private limits: StageLimits) {}
@@ -72,36 +72,36 @@
   }
 
   /** A call broke off: what it may have made uses its reserved bytes until it expires. */
-  holdLostCall(bytes: number, now: number): void {
-    this.hold(`lost call ${this.lostCalls++}`, bytes, now)
+  holdBrokenCall(bytes: number, now: number): void {
+    this.hold(`broken call ${this.brokenCalls++}`, bytes, now)
   }
 
   /** Counts a result of an earlier coordinator as this one's. */
   adopt(handle: string, bytes: number, remainingMs: number, now: number): void {
-    const others = this.held.get(RESULTS_OF_OTHERS)
-    const known = Math.min(bytes, others?.bytes ?? 0)
-    if (others)
-      others.bytes -= known
-    this.usedBytes += bytes - known
+    const foreign = this.held.get(FOREIGN_RESULTS)
+    const alreadyCounted = Math.min(bytes, foreign?.bytes ?? 0)
+    if (foreign)
+      foreign.bytes -= alreadyCounted
+    this.usedBytes += bytes - alreadyCounted
     this.hold(handle, bytes, now, remainingMs)
   }
 
   /** Counts what the backend server reports as used beyond this process's own, until it expires. */
   recordReportedFree(freeBytes: number, now: number): void {
-    this.drop(RESULTS_OF_OTHERS)
+    this.drop(FOREIGN_RESULTS)
     const bytes = this.limits.resultMemoryBytes - freeBytes - this.usedBytes
     if (bytes <= 0)
       return
     this.usedBytes += bytes
-    this.hold(RESULTS_OF_OTHERS, bytes, now)
+    this.hold(FOREIGN_RESULTS, bytes, now)
   }
 
   /** An item found no memory: all that was counted as free counts as used for a while. */
-  distrustFree(now: number): void {
-    this.drop(RESULTS_UNKNOWN)
+  markExhausted(now: number): void {
+    this.drop(UNACCOUNTED_BYTES)
     const bytes = Math.max(0, this.freeBytes())
     this.usedBytes += bytes
-    this.hold(RESULTS_UNKNOWN, bytes, now, MEMORY_DISTRUST_MS)
+    this.hold(UNACCOUNTED_BYTES, bytes, now, MEMORY_EXHAUSTED_MS)
   }
 
   isReadable(handle: string, now: number): boolean {
--- a/packages/gateway/src/process/stages/backend/stage-backend.ts
+++ b/packages/gateway/src/process/stages/backend/stage-backend.ts
@@ -13,11 +13,11 @@
  * Weight of the newest call in the measured speed. Half of it notices a slowed
  * backend server late, twice as much follows single calls.
  */
-const SPEED_WEIGHT = 0.4
+const SPEED_EWMA_WEIGHT = 0.4
 /** Bounds of a measured time over the configured one. They keep one odd call from deciding for long. */
-const MAX_SLOWNESS = 20
+const MAX_SLOWDOWN = 20
 /** See MAX_SLOWNESS. */
-const MIN_SLOWNESS = 0.5
+const MIN_SLOWDOWN = 0.5
 
 const MILLISECONDS_PER_SECOND = 1000
 
@@ -29,7 +29,7 @@
   private busyUntil = 0
   private pausedUntil = 0
   private failures = 0
-  private slowness = 1
+  private slowdown = 1
 
   constructor(
     readonly backend: Backend,
@@ -48,15 +48,15 @@
    * its limit of calls a second allows; infinite while it rests for longer than
    * a call.
    */
-  slownessFactor(now: number): number {
+  slowdownFactor(now: number): number {
     const { intake } = this.backend
     const { limitPerSecond } = intake
     const fullCallMs = this.limits.callMs + this.limits.itemMs * this.limits.batch
     if (intake.restMs(now) > fullCallMs)
       return Number.POSITIVE_INFINITY
     if (limitPerSecond === undefined)
-      return this.slowness
-    return Math.max(this.slowness, MILLISECONDS_PER_SECOND / limitPerSecond / fullCallMs)
+      return this.slowdown
+    return Math.max(this.slowdown, MILLISECONDS_PER_SECOND / limitPerSecond / fullCallMs)
   }
 
   setLimits(limits: StageLimits): void {
@@ -75,21 +75,21 @@
   }
 
   /** Milliseconds until it could start another call. */
-  startsIn(now: number): number {
+  msUntilNextCall(now: number): number {
     const busy = this.callsUnderWay >= this.limits.concurrency ? Math.max(1, this.busyUntil - now) : 0
     return Math.max(busy, this.pausedUntil - now, this.intake.waitMs(this.backend))
   }
 
   /** Expected time of a call, in milliseconds. */
-  callTime(items: number): number {
-    return (this.limits.callMs + this.limits.itemMs * items) * this.slowness
+  expectedCallMs(items: number): number {
+    return (this.limits.callMs + this.limits.itemMs * items) * this.slowdown
   }
 
   /** A call starts; its results may use some bytes. */
   startCall(items: number, bytes: number, now: number): void {
     this.callsUnderWay++
     this.memory.reserve(bytes)
-    this.busyUntil = now + this.callTime(items)
+    this.busyUntil = now + this.expectedCallMs(items)
   }
 
   /** A call was answered; its time counts as a measurement where every item has a result. */
@@ -99,8 +99,8 @@
     if (!hasAllResults)
       return
     const measured = tookMs / (this.limits.callMs + this.limits.itemMs * items)
-    const bounded = Math.min(MAX_SLOWNESS, Math.max(MIN_SLOWNESS, measured))
-    this.slowness += (bounded - this.slowness) * SPEED_WEIGHT
+    const bounded = Math.min(MAX_SLOWDOWN, Math.max(MIN_SLOWDOWN, measured))
+    this.slowdown += (bounded - this.slowdown) * SPEED_EWMA_WEIGHT
   }
 
   /** A call failed as a whole; returns the pause that follows, in milliseconds. */
@@ -115,6 +115,6 @@
   /** An item found no memory, against this account. */
   pauseForMemory(now: number): void {
     this.pausedUntil = now + MEMORY_PAUSE_MS
-    this.memory.distrustFree(now)
+    this.memory.markExhausted(now)
   }
 }
--- a/packages/gateway/src/process/stages/pool/call-forecasts.ts
+++ b/packages/gateway/src/process/stages/pool/call-forecasts.ts
@@ -8,9 +8,9 @@
   readonly failureDomain: string
   isUsable: (now: number) => boolean
   /** Milliseconds until it could start another call. */
-  startsIn: (now: number) => number
+  msUntilNextCall: (now: number) => number
   /** Expected time of a call, in milliseconds. */
-  callTime: (items: number) => number
+  expectedCallMs: (items: number) => number
 }
 
 /** The usable backend servers, and when each could start a call. */
@@ -20,7 +20,7 @@
   constructor(forecasts: Iterable<Forecast>, now: number) {
     for (const forecast of forecasts) {
       if (forecast.isUsable(now))
-        this.entries.push({ startsInMs: forecast.startsIn(now), forecast })
+        this.entries.push({ startsInMs: forecast.msUntilNextCall(now), forecast })
     }
   }
 
@@ -35,9 +35,9 @@
   }
 
   /** The failure domain of the first backend server that suits; undefined where none does. */
-  find(suits: (failureDomain: string, startsInMs: number, forecast: Forecast) => boolean): string | undefined {
+  find(predicate: (failureDomain: string, startsInMs: number, forecast: Forecast) => boolean): string | undefined {
     for (const { startsInMs, forecast } of this.entries) {
-      if (suits(forecast.failureDomain, startsInMs, forecast))
+      if (predicate(forecast.failureDomain, startsInMs, forecast))
         return forecast.failureDomain
     }
     return undefined
--- a/packages/gateway/src/process/stages/pool/call-size.ts
+++ b/packages/gateway/src/process/stages/pool/call-size.ts
@@ -22,10 +22,10 @@
  * second, the 90th percentile of the most urgent requests falls from 1,260 to
  * 1,046 ms.
  */
-const SOON_SHARE = 0.5
+const SOON_CALL_FRACTION = 0.5
 
 /** Items after which a call takes no further task; takes the fixed time of a call, in milliseconds. */
 export function decideCallItems(waitingItems: number, forecasts: CallForecasts, fixedCallMs: number): number {
-  const startingSoon = forecasts.countStartingWithin(fixedCallMs * SOON_SHARE)
+  const startingSoon = forecasts.countStartingWithin(fixedCallMs * SOON_CALL_FRACTION)
   return Math.ceil(waitingItems / Math.max(1, startingSoon))
 }
--- a/packages/gateway/src/process/stages/pool/crash-isolation.ts
+++ b/packages/gateway/src/process/stages/pool/crash-isolation.ts
@@ -14,17 +14,17 @@
  * Log event: `stage-call` (`requests`), `stages-ended`.
  */
 import type { StageTask } from '../../../request/stages/stage-task.js'
-import type { StageCrashWatch } from './pool-parts.js'
+import type { StageCrashWatch } from './pool-dependencies.js'
 
 /** Ends of backend servers after which items travel alone; one less than lead to a refusal. */
-const ISOLATING_CRASHES = 2
+const ISOLATION_CRASH_COUNT = 2
 
 /** Whether no other request may be in the call of a task. */
-export function travelsAlone({ fingerprint }: StageTask, crashes: StageCrashWatch): boolean {
-  return fingerprint !== undefined && crashes.crashCount(fingerprint) >= ISOLATING_CRASHES
+export function isIsolated({ fingerprint }: StageTask, crashes: StageCrashWatch): boolean {
+  return fingerprint !== undefined && crashes.crashCount(fingerprint) >= ISOLATION_CRASH_COUNT
 }
 
 /** Whether a task is not sent. */
-export function isRefused({ fingerprint }: StageTask, crashes: StageCrashWatch): boolean {
+export function isQuarantined({ fingerprint }: StageTask, crashes: StageCrashWatch): boolean {
   return fingerprint !== undefined && crashes.refusal(fingerprint) !== undefined
 }
--- a/packages/gateway/src/process/stages/pool/domain-wait.ts
+++ b/packages/gateway/src/process/stages/pool/domain-wait.ts
@@ -31,9 +31,9 @@
  * Bytes to another failure domain that weigh as much as one millisecond of
  * waiting. Half of it waits twice as long for the same bytes.
  */
-const CROSSING_BYTES_PER_MS = 4000
+const CROSS_DOMAIN_BYTES_PER_MS = 4000
 /** A cost below this is not worth a wait, in milliseconds. A timer's resolution. */
-const MIN_CROSSING_COST_MS = 1
+const MIN_CROSS_DOMAIN_COST_MS = 1
 
 /**
  * The failure domain that a task waits for, rather than run at an idle backend
@@ -41,24 +41,24 @@
  */
 export function findBetterDomain(
   task: StageTask,
-  here: BackendForecast,
+  idle: BackendForecast,
   others: CallForecasts,
   now: number,
 ): string | undefined {
-  const costMs = crossingCost(task, here.failureDomain)
-  if (costMs < MIN_CROSSING_COST_MS)
+  const costMs = crossDomainCostMs(task, idle.failureDomain)
+  if (costMs < MIN_CROSS_DOMAIN_COST_MS)
     return undefined
-  const callMs = here.callTime(task.items)
-  const spareMs = task.targetAt - now - callMs - task.remainingMs - TARGET_MARGIN_MS
-  const maxDelayMs = Math.min(MAX_DOMAIN_WAIT_MS, costMs, spareMs)
+  const callMs = idle.expectedCallMs(task.items)
+  const slackMs = task.targetAt - now - callMs - task.remainingMs - TARGET_MARGIN_MS
+  const maxDelayMs = Math.min(MAX_DOMAIN_WAIT_MS, costMs, slackMs)
   return others.find((failureDomain, startsInMs, forecast) => {
-    const delayMs = startsInMs + forecast.callTime(task.items) - callMs
-    return delayMs < maxDelayMs && crossingCost(task, failureDomain) < costMs
+    const delayMs = startsInMs + forecast.expectedCallMs(task.items) - callMs
+    return delayMs < maxDelayMs && crossDomainCostMs(task, failureDomain) < costMs
   })
 }
 
 /** Milliseconds of waiting that the bytes to other failure domains are worth, if the task's items run in this one. */
-function crossingCost(task: StageTask, failureDomain: string): number {
+function crossDomainCostMs(task: StageTask, failureDomain: string): number {
   let bytes = 0
   for (const input of task.inputs) {
     if (input.holder.failureDomain !== failureDomain)
@@ -66,5 +66,5 @@
   }
   if (task.readerDomain !== undefined && task.readerDomain !== failureDomain)
     bytes += task.resultBytes
-  return task.items * bytes / CROSSING_BYTES_PER_MS
+  return task.items * bytes / CROSS_DOMAIN_BYTES_PER_MS
 }
--- a/packages/gateway/src/process/stages/pool/early-free.ts
+++ b/packages/gateway/src/process/stages/pool/early-free.ts
@@ -17,12 +17,12 @@
  * Milliseconds after a change of coordinator in which calls of the one before
  * may run first. While it lasts, results use memory for longer.
  */
-export const OTHER_COORDINATOR_MS = 1500
+export const COORDINATOR_OVERLAP_MS = 1500
 /**
  * Time of a fetch over the plain transfer time, for both links and a busy
  * backend server. Half of it risks lost inputs, twice as much holds memory.
  */
-const FETCH_FACTOR = 3
+const FETCH_TIME_FACTOR = 3
 /** Milliseconds. Connection and queueing of a fetch, with the same costs as FETCH_FACTOR. */
 const FETCH_MARGIN_MS = 80
 /** Bits in a byte, for a speed in megabits. */
@@ -36,13 +36,13 @@
   /** 0 or less where it is unknown. */
   bandwidthMbps: number
   /** Another coordinator may be at work at the same backend servers. */
-  mayWaitForOther: boolean
+  mayQueueBehindOther: boolean
 }
 
 /** Milliseconds after the start of a call at which its inputs count as fetched; undefined for its end. */
-export function inputsFetchedAfter({ inputBytes, bandwidthMbps, mayWaitForOther }: FetchInput): number | undefined {
+export function inputsFetchedAfterMs({ inputBytes, bandwidthMbps, mayQueueBehindOther: mayWaitForOther }: FetchInput): number | undefined {
   if (mayWaitForOther || inputBytes === 0 || bandwidthMbps <= 0)
     return undefined
   const transferMs = inputBytes * BITS_PER_BYTE / (bandwidthMbps * BITS_PER_MS_AT_ONE_MBPS)
-  return transferMs * FETCH_FACTOR + FETCH_MARGIN_MS
+  return transferMs * FETCH_TIME_FACTOR + FETCH_MARGIN_MS
 }
--- a/packages/gateway/src/process/stages/pool/item-retry.ts
+++ b/packages/gateway/src/process/stages/pool/item-retry.ts
@@ -25,7 +25,7 @@
 /** Whether an item waits for another call, or why its task fails. */
 export type ItemRetryDecision = { isRetried: true } | { isRetried: false, failure: ItemFailure }
 
-const RETRIED: ItemRetryDecision = { isRetried: true }
+const RETRY: ItemRetryDecision = { isRetried: true }
 
 /** Whether a failure counts against the item: it does unless the call reached nobody. */
 export function countsAsFailure(cause: ItemFailureCause): boolean {
@@ -33,11 +33,11 @@
 }
 
 /** Decides on an item; asks the budget, and so uses it, only where it decides. */
-export function decideItemRetry(cause: ItemFailureCause, failures: number, takeBudget: () => boolean): ItemRetryDecision {
+export function decideItemRetry(cause: ItemFailureCause, failures: number, consumeBudget: () => boolean): ItemRetryDecision {
   if (cause === ItemFailure.Late || cause === ItemFailure.InputGone)
     return { isRetried: false, failure: cause }
   if (!countsAsFailure(cause))
-    return RETRIED
-  const isAllowed = failures < MAX_ITEM_FAILURES && takeBudget()
-  return isAllowed ? RETRIED : { isRetried: false, failure: ItemFailure.Error }
+    return RETRY
+  const isAllowed = failures < MAX_ITEM_FAILURES && consumeBudget()
+  return isAllowed ? RETRY : { isRetried: false, failure: ItemFailure.Error }
 }
--- a/packages/gateway/src/process/stages/pool/pool-parts.ts
+++ b/packages/gateway/src/process/stages/pool/pool-dependencies.ts
@@ -11,7 +11,7 @@
 export type StageCrashWatch = Pick<CrashWatch, 'noteBroken' | 'crashCount' | 'refusal'>
 
 /** What a pool works with. */
-export interface StagePoolParts {
+export interface StagePoolDependencies {
   client: StageClient
   retryBudget: Pick<RetryBudget, 'takeRetry'>
   crashes: StageCrashWatch
--- a/packages/gateway/src/process/stages/pool/stage-batch.ts
+++ b/packages/gateway/src/process/stages/pool/stage-batch.ts
@@ -26,7 +26,7 @@
 }
 
 /** The first waiting items of a task, chosen for a call. */
-export interface BatchPart {
+export interface BatchEntry {
   task: PoolTask
   items: number
   reason: BatchReason
@@ -37,11 +37,11 @@
   /** In the order in which they should run. */
   tasks: readonly PoolTask[]
   /** Whether no other task may be in the call of this one (`crash-isolation.ts`). */
-  travelsAlone: (task: StageTask) => boolean
+  isIsolated: (task: StageTask) => boolean
   /** Places of one call. */
   maxItems: number
   /** Items after which no further task is added (`call-size.ts`). */
-  enoughItems: number
+  targetItems: number
   /** Result memory that may be reserved, in bytes. */
   freeBytes: number
   /** The failure domain that a task should wait for; undefined where it should run here now. */
@@ -53,65 +53,65 @@
 /** What calls can take. */
 export interface CallCapacity {
   /** Items. */
-  places: number
+  slots: number
   /** Result memory, in bytes. */
   freeBytes: number
 }
 
 /** Chooses the items of the next call; empty where none should run here now. */
-export function chooseBatch(input: BatchInput): BatchPart[] {
-  const parts: BatchPart[] = []
-  const { suiting, overflow } = sortByDomain(input)
-  fill(parts, suiting, input, BatchReason.SuitsDomain)
-  fill(parts, overflow, input, BatchReason.FillsCall)
-  return parts
+export function chooseBatch(input: BatchInput): BatchEntry[] {
+  const entries: BatchEntry[] = []
+  const { local: suiting, overflow } = partitionByDomain(input)
+  addTasks(entries, suiting, input, BatchReason.SuitsDomain)
+  addTasks(entries, overflow, input, BatchReason.FillsCall)
+  return entries
 }
 
 /** The tasks that should run here, and those that wait for calls elsewhere that cannot take them. */
-function sortByDomain({ tasks, betterDomain, nextCalls }: BatchInput): { suiting: PoolTask[], overflow: PoolTask[] } {
-  const suiting: PoolTask[] = []
+function partitionByDomain({ tasks, betterDomain, nextCalls }: BatchInput): { local: PoolTask[], overflow: PoolTask[] } {
+  const local: PoolTask[] = []
   const overflow: PoolTask[] = []
   const capacities = new Map<string, CallCapacity>()
   for (const task of tasks) {
     const domain = betterDomain(task.stageTask)
     if (domain === undefined) {
-      suiting.push(task)
+      local.push(task)
       continue
     }
     const capacity = capacities.get(domain) ?? nextCalls(domain)
     capacities.set(domain, capacity)
-    capacity.places -= task.waiting.length
+    capacity.slots -= task.waiting.length
     capacity.freeBytes -= task.waiting.length * task.stageTask.resultBytes
-    if (capacity.places < 0 || capacity.freeBytes < 0)
+    if (capacity.slots < 0 || capacity.freeBytes < 0)
       overflow.push(task)
   }
-  return { suiting, overflow }
+  return { local, overflow }
 }
 
-function fill(parts: BatchPart[], tasks: readonly PoolTask[], input: BatchInput, reason: BatchReason): void {
-  const { maxItems, enoughItems, freeBytes, travelsAlone } = input
+function addTasks(entries: BatchEntry[], tasks: readonly PoolTask[], input: BatchInput, reason: BatchReason): void {
+  const { maxItems, targetItems: enoughItems, freeBytes, isIsolated: travelsAlone } = input
   for (const task of tasks) {
-    const [first] = parts
+    const [first] = entries
     if (first && (travelsAlone(first.task.stageTask) || travelsAlone(task.stageTask)))
       continue
-    const taken = countItems(parts)
-    const places = maxItems - taken
-    if (places <= 0 || taken >= enoughItems)
+    const taken = countItems(entries)
+    const slots = maxItems - taken
+    if (slots <= 0 || taken >= enoughItems)
       return
     const waiting = task.waiting.length
-    const withinMemory = Math.floor((freeBytes - reservedBytes(parts)) / task.stageTask.resultBytes)
-    const items = Math.min(places, withinMemory, waiting)
-    const maySplit = parts.length === 0
+    const withinMemory = Math.floor((freeBytes - reservedBytes(entries)) / task.stageTask.resultBytes)
+    const items = Math.min(slots, withinMemory, waiting)
+    const maySplit = entries.length === 0
     if (items > 0 && (items === waiting || maySplit))
-      parts.push({ task, items, reason })
+      entries.push({ task, items, reason })
   }
 }
 
-function countItems(parts: readonly BatchPart[]): number {
-  return parts.reduce((sum, part) => sum + part.items, 0)
+function countItems(entries: readonly BatchEntry[]): number {
+  return entries.reduce((sum, part) => sum + part.items, 0)
 }
 
 /** Bytes that the results of the chosen items will use. */
-function reservedBytes(parts: readonly BatchPart[]): number {
-  return parts.reduce((sum, { task, items }) => sum + items * task.stageTask.resultBytes, 0)
+function reservedBytes(entries: readonly BatchEntry[]): number {
+  return entries.reduce((sum, { task, items }) => sum + items * task.stageTask.resultBytes, 0)
 }
--- a/packages/gateway/src/process/stages/pool/stage-calls.ts
+++ b/packages/gateway/src/process/stages/pool/stage-calls.ts
@@ -6,17 +6,17 @@
  */
 import type { ItemOutcome, StageCallResult } from '../../../connection/backends/stage-client.js'
 import type { StageLimits } from '../../../version/configuration.js'
-import type { ResultFrees } from '../backend/result-frees.js'
+import type { ResultDeleter } from '../backend/result-deleter.js'
 import type { StageBackend } from '../backend/stage-backend.js'
 import type { ItemFailureCause } from './item-retry.js'
-import type { StagePoolParts } from './pool-parts.js'
+import type { StagePoolDependencies } from './pool-dependencies.js'
 import type { PoolItem } from './pool-task.js'
 import type { TaskQueue } from './task-queue.js'
 import { createBoundedSignal, wait } from '@eidermast/common'
 import { ItemFailure, StageCallEnd } from '../../../connection/backends/stage-client.js'
 import { logBackendPaused, logStageCall } from '../stage-log.js'
 import { callTimeoutMs } from './call-timeout.js'
-import { inputsFetchedAfter, OTHER_COORDINATOR_MS } from './early-free.js'
+import { COORDINATOR_OVERLAP_MS, inputsFetchedAfterMs } from './early-free.js'
 import { countsAsFailure, decideItemRetry } from './item-retry.js'
 import { describeItem, inputBytesOf, resultBytesOf } from './pool-task.js'
 
@@ -26,7 +26,7 @@
  * them ends the next one before. The answer takes 20 ms where the VM is there.
  * Twice delays the items of a VM that is gone.
  */
-const MAX_INVESTIGATION_MS = 100
+const MAX_CRASH_CHECK_MS = 100
 
 /** Runs calls of one service. */
 export class StageCalls {
@@ -35,45 +35,45 @@
   /** Calls `dispatch` after a call or a pause has ended, to start what can be started. */
   constructor(
     private readonly service: string,
-    private readonly parts: StagePoolParts,
+    private readonly dependencies: StagePoolDependencies,
     private readonly queue: TaskQueue,
-    private readonly frees: ResultFrees,
+    private readonly resultDeleter: ResultDeleter,
     private readonly dispatch: () => void,
   ) {}
 
   /** For a while no inputs count as fetched before their call ends: calls of another coordinator may run first. */
   expectOtherCoordinator(): void {
-    this.otherCoordinatorUntil = performance.now() + OTHER_COORDINATOR_MS
+    this.otherCoordinatorUntil = performance.now() + COORDINATOR_OVERLAP_MS
   }
 
   /** Runs items at a backend server; ends when their outcomes are applied. */
   async run(backend: StageBackend, items: readonly PoolItem[], limits: StageLimits, startedAt: number): Promise<void> {
     backend.startCall(items.length, resultBytesOf(items), startedAt)
-    const timeoutMs = callTimeoutMs(backend.callTime(items.length))
+    const timeoutMs = callTimeoutMs(backend.expectedCallMs(items.length))
     const fetchTimer = this.startFetchTimer(items, limits, startedAt)
     const timeout = createBoundedSignal(timeoutMs)
-    const result = await this.parts.client.run(backend.backend, items.map(item => describeItem(item, startedAt)), timeout.signal)
+    const result = await this.dependencies.client.run(backend.backend, items.map(item => describeItem(item, startedAt)), timeout.signal)
     timeout.dispose()
     clearTimeout(fetchTimer)
     const tookMs = performance.now() - startedAt
-    logStageCall(this.parts.log, this.service, backend, items, result, tookMs)
+    logStageCall(this.dependencies.log, this.service, backend, items, result, tookMs)
     if (result.end === StageCallEnd.Done)
-      this.takeOutcomes(backend, items, result, tookMs)
+      this.applyOutcomes(backend, items, result, tookMs)
     else
-      await this.takeCallFailure(backend, items, result.end)
+      await this.handleCallFailure(backend, items, result.end)
     this.dispatch()
   }
 
   private startFetchTimer(items: readonly PoolItem[], limits: StageLimits, startedAt: number): NodeJS.Timeout | undefined {
-    const fetchedAfterMs = inputsFetchedAfter({
+    const fetchedAfterMs = inputsFetchedAfterMs({
       inputBytes: inputBytesOf(items),
       bandwidthMbps: limits.bandwidthMbps,
-      mayWaitForOther: startedAt < this.otherCoordinatorUntil,
+      mayQueueBehindOther: startedAt < this.otherCoordinatorUntil,
     })
     return fetchedAfterMs === undefined ? undefined : setTimeout(() => reportFetched(items), fetchedAfterMs)
   }
 
-  private takeOutcomes(backend: StageBackend, items: readonly PoolItem[], { outcomes }: StageCallResult, tookMs: number): void {
+  private applyOutcomes(backend: StageBackend, items: readonly PoolItem[], { outcomes }: StageCallResult, tookMs: number): void {
     const now = performance.now()
     backend.succeed(items.length, tookMs, outcomes.every(outcome => 'handle' in outcome))
     items.forEach((item, position) => {
@@ -82,32 +82,32 @@
     })
     if (outcomes.some(outcome => 'failure' in outcome && outcome.failure === ItemFailure.NoMemory))
       backend.pauseForMemory(now)
-    items.forEach((item, position) => this.takeOutcome(backend, item, outcomes[position], now))
+    items.forEach((item, position) => this.applyOutcome(backend, item, outcomes[position], now))
   }
 
-  private takeOutcome(backend: StageBackend, item: PoolItem, outcome: ItemOutcome, now: number): void {
+  private applyOutcome(backend: StageBackend, item: PoolItem, outcome: ItemOutcome, now: number): void {
     if ('failure' in outcome)
       return this.retry([item], outcome.failure)
     const { resultBytes } = item.task.stageTask
     backend.memory.hold(outcome.handle, resultBytes, now)
     const result = { handle: outcome.handle, holder: backend.memory, bytes: resultBytes }
     if (item.task.ended)
-      this.frees.free(result)
+      this.resultDeleter.free(result)
     else
       this.queue.addResult(item, result)
   }
 
-  private async takeCallFailure(backend: StageBackend, items: readonly PoolItem[], end: Exclude<StageCallEnd, StageCallEnd.Done>): Promise<void> {
+  private async handleCallFailure(backend: StageBackend, items: readonly PoolItem[], end: Exclude<StageCallEnd, StageCallEnd.Done>): Promise<void> {
     const pauseMs = backend.fail(performance.now())
     const bytes = resultBytesOf(items)
     if (end === StageCallEnd.Broken) {
-      backend.memory.holdLostCall(bytes, performance.now())
+      backend.memory.holdBrokenCall(bytes, performance.now())
       await this.noteBroken(backend, items)
     }
     else {
       backend.memory.release(bytes)
     }
-    logBackendPaused(this.parts.log, this.service, backend, end, pauseMs)
+    logBackendPaused(this.dependencies.log, this.service, backend, end, pauseMs)
     setTimeout(this.dispatch, pauseMs)
     this.retry(items, end)
   }
@@ -115,8 +115,8 @@
   /** Resolves when it is known whether the backend server ended under the items, or after MAX_INVESTIGATION_MS. */
   private async noteBroken({ backend }: StageBackend, items: readonly PoolItem[]): Promise<void> {
     const fingerprints = [...new Set(items.flatMap(item => item.task.stageTask.fingerprint ?? []))]
-    const investigated = fingerprints.map(fingerprint => this.parts.crashes.noteBroken(backend, fingerprint))
-    await Promise.race([Promise.all(investigated), wait(MAX_INVESTIGATION_MS)])
+    const crashChecks = fingerprints.map(fingerprint => this.dependencies.crashes.noteBroken(backend, fingerprint))
+    await Promise.race([Promise.all(crashChecks), wait(MAX_CRASH_CHECK_MS)])
   }
 
   /** Lets items wait for another call, or fails their tasks. */
@@ -125,11 +125,11 @@
     for (const item of live) {
       if (countsAsFailure(cause))
         item.failures++
-      const decision = decideItemRetry(cause, item.failures, () => this.parts.retryBudget.takeRetry(this.service))
+      const decision = decideItemRetry(cause, item.failures, () => this.dependencies.retryBudget.takeRetry(this.service))
       if (!decision.isRetried)
         this.queue.fail(item.task, decision.failure)
     }
-    this.queue.putBack(live)
+    this.queue.requeue(live)
   }
 }
 
--- a/packages/gateway/src/process/stages/pool/stage-pool.ts
+++ b/packages/gateway/src/process/stages/pool/stage-pool.ts
@@ -10,40 +10,40 @@
 import type { StageResult, StageTask, StageTaskQueue, SubmittedTask } from '../../../request/stages/stage-task.js'
 import type { StageLimits } from '../../../version/configuration.js'
 import type { ServicePace } from '../stage-admission.js'
-import type { StagePoolParts } from './pool-parts.js'
+import type { StagePoolDependencies } from './pool-dependencies.js'
 import type { PoolItem } from './pool-task.js'
 import type { CallCapacity } from './stage-batch.js'
 import { ItemFailure } from '../../../connection/backends/stage-client.js'
-import { ResultFrees } from '../backend/result-frees.js'
+import { ResultDeleter } from '../backend/result-deleter.js'
 import { StageBackend } from '../backend/stage-backend.js'
 import { CallForecasts } from './call-forecasts.js'
 import { decideCallItems } from './call-size.js'
-import { isRefused, travelsAlone } from './crash-isolation.js'
+import { isIsolated, isQuarantined } from './crash-isolation.js'
 import { findBetterDomain } from './domain-wait.js'
-import { estimatePace, typicalCallMs, updateTypicalBytes } from './service-pace.js'
+import { estimatePace, typicalCallMs, updateTypicalResultBytes } from './service-throughput.js'
 import { chooseBatch } from './stage-batch.js'
 import { StageCalls } from './stage-calls.js'
 import { TaskQueue } from './task-queue.js'
-import { isTooLate, lacksInput } from './waiting-end.js'
+import { cannotMeetDeadline, hasUnreadableInput } from './waiting-end.js'
 
 /** Batches and runs the items of one service. */
 export class StagePool implements StageTaskQueue {
   private readonly backends = new Map<string, StageBackend>()
   private readonly queue: TaskQueue
-  private readonly frees: ResultFrees
+  private readonly resultDeleter: ResultDeleter
   private readonly calls: StageCalls
   private typicalResultBytes = 0
 
   constructor(
     service: string,
     private limits: StageLimits,
-    private readonly parts: StagePoolParts,
+    private readonly dependencies: StagePoolDependencies,
   ) {
-    const { client } = parts
+    const { client } = dependencies
     const dispatch = (): void => this.dispatch()
-    this.frees = new ResultFrees(client, parts.intake, dispatch)
+    this.resultDeleter = new ResultDeleter(client, dependencies.intake, dispatch)
     this.queue = new TaskQueue(result => this.free(result))
-    this.calls = new StageCalls(service, parts, this.queue, this.frees, dispatch)
+    this.calls = new StageCalls(service, dependencies, this.queue, this.resultDeleter, dispatch)
   }
 
   setLimits(limits: StageLimits): void {
@@ -62,7 +62,7 @@
     for (const backend of backends) {
       if (this.backends.has(backend.id))
         continue
-      const added = new StageBackend(backend, this.limits, this.parts.intake)
+      const added = new StageBackend(backend, this.limits, this.dependencies.intake)
       this.backends.set(backend.id, added)
       this.readFreeMemoryOf(added)
     }
@@ -80,13 +80,13 @@
   /** Pace of the service with the backend servers that take work. */
   pace(): ServicePace {
     const now = performance.now()
-    const slownessFactors = [...this.backends.values()].map(backend => backend.slownessFactor(now))
-    return estimatePace(this.limits, slownessFactors, this.typicalResultBytes)
+    const slowdownFactors = [...this.backends.values()].map(backend => backend.slowdownFactor(now))
+    return estimatePace(this.limits, slowdownFactors, this.typicalResultBytes)
   }
 
   submit(task: StageTask): SubmittedTask {
     const submitted = this.queue.add(task)
-    this.typicalResultBytes = updateTypicalBytes(this.typicalResultBytes, task.resultBytes)
+    this.typicalResultBytes = updateTypicalResultBytes(this.typicalResultBytes, task.resultBytes)
     this.dispatch()
     return {
       cancel: () => this.queue.cancel(submitted),
@@ -107,7 +107,7 @@
   }
 
   free(result: StageResult): void {
-    this.frees.free(result)
+    this.resultDeleter.free(result)
   }
 
   /** Asks every backend server how much result memory is free. */
@@ -124,9 +124,9 @@
   /** Fails waiting tasks that cannot be served any more, and starts what can be started. */
   dispatch(): void {
     const now = performance.now()
-    this.failTasks(ItemFailure.Late, task => isTooLate(task, this.limits.callMs, now))
-    this.failTasks(ItemFailure.InputGone, task => lacksInput(task, now))
-    this.failTasks(ItemFailure.Quarantined, task => isRefused(task, this.parts.crashes))
+    this.failTasks(ItemFailure.Late, task => cannotMeetDeadline(task, this.limits.callMs, now))
+    this.failTasks(ItemFailure.InputGone, task => hasUnreadableInput(task, now))
+    this.failTasks(ItemFailure.Quarantined, task => isQuarantined(task, this.dependencies.crashes))
     for (const backend of this.backends.values())
       backend.memory.expire(now)
     const idle = this.hasWaitingTasks ? this.idleBackends(now) : []
@@ -143,41 +143,41 @@
   }
 
   private readFreeMemoryOf({ backend, memory }: StageBackend): void {
-    void this.parts.client.freeResultMemory(backend).then((bytes) => {
+    void this.dependencies.client.freeResultMemory(backend).then((bytes) => {
       if (bytes !== undefined)
         memory.recordReportedFree(bytes, performance.now())
     })
   }
 
-  private failTasks(failure: ItemFailure, isHopeless: (task: StageTask) => boolean): void {
-    for (const task of this.queue.tasks.filter(({ stageTask }) => isHopeless(stageTask)))
+  private failTasks(failure: ItemFailure, shouldFail: (task: StageTask) => boolean): void {
+    for (const task of this.queue.tasks.filter(({ stageTask }) => shouldFail(stageTask)))
       this.queue.fail(task, failure)
   }
 
   /** The fastest come first, of equal ones those with the most free memory. */
   private idleBackends(now: number): StageBackend[] {
     const idle = [...this.backends.values()].filter(backend => backend.isIdle(now))
-    return idle.sort((left, right) => left.callTime(1) - right.callTime(1) || right.memory.freeBytes() - left.memory.freeBytes())
+    return idle.sort((left, right) => left.expectedCallMs(1) - right.expectedCallMs(1) || right.memory.freeBytes() - left.memory.freeBytes())
   }
 
   private takeBatch(backend: StageBackend, now: number): PoolItem[] {
     const forecasts = new CallForecasts(this.backends.values(), now)
-    const parts = chooseBatch({
+    const batch = chooseBatch({
       tasks: this.queue.tasks,
-      travelsAlone: task => travelsAlone(task, this.parts.crashes),
+      isIsolated: task => isIsolated(task, this.dependencies.crashes),
       maxItems: this.limits.batch,
-      enoughItems: decideCallItems(this.queue.waitingItems, forecasts, this.limits.callMs),
+      targetItems: decideCallItems(this.queue.waitingItems, forecasts, this.limits.callMs),
       freeBytes: backend.memory.freeBytes(),
       betterDomain: task => findBetterDomain(task, backend, forecasts, now),
       nextCalls: domain => this.nextCalls(forecasts.inDomain(domain)),
     })
-    return this.queue.take(parts)
+    return this.queue.take(batch)
   }
 
   /** What the next calls of some backend servers can take. */
   private nextCalls(backends: readonly StageBackend[]): CallCapacity {
     return {
-      places: backends.length * this.limits.batch,
+      slots: backends.length * this.limits.batch,
       freeBytes: backends.reduce((sum, backend) => sum + backend.memory.freeBytes(), 0),
     }
   }
--- a/packages/gateway/src/process/stages/pool/task-queue.ts
+++ b/packages/gateway/src/process/stages/pool/task-queue.ts
@@ -7,8 +7,8 @@
 import type { ItemFailure } from '../../../connection/backends/stage-client.js'
 import type { StageResult, StageTask } from '../../../request/stages/stage-task.js'
 import type { PoolItem, PoolTask } from './pool-task.js'
-import type { BatchPart } from './stage-batch.js'
-import { placeInOrder } from '../stage-order.js'
+import type { BatchEntry } from './stage-batch.js'
+import { effectiveRank } from '../stage-order.js'
 import { createPoolTask } from './pool-task.js'
 
 /** Waiting tasks of one service. */
@@ -36,19 +36,19 @@
 
   /** Puts the tasks in their order for calls that take some milliseconds. */
   sort(callMs: number, now: number): void {
-    const placed = this.queued.map(task => ({ task, place: placeInOrder(task.stageTask, callMs, now) }))
-    this.queued = placed.sort((left, right) => left.place - right.place).map(({ task }) => task)
+    const ranked = this.queued.map(task => ({ task, effectiveRank: effectiveRank(task.stageTask, callMs, now) }))
+    this.queued = ranked.sort((left, right) => left.effectiveRank - right.effectiveRank).map(({ task }) => task)
   }
 
   /** Takes the chosen items out. */
-  take(parts: readonly BatchPart[]): PoolItem[] {
-    const items = parts.flatMap(part => part.task.waiting.splice(0, part.items))
+  take(entries: readonly BatchEntry[]): PoolItem[] {
+    const items = entries.flatMap(entry => entry.task.waiting.splice(0, entry.items))
     this.queued = this.queued.filter(task => task.waiting.length > 0)
     return items
   }
 
   /** Lets items wait again. Their task's inputs are kept until it ends, since they are fetched once more. */
-  putBack(items: readonly PoolItem[]): void {
+  requeue(items: readonly PoolItem[]): void {
     for (const item of items) {
       const { task } = item
       if (task.ended)
--- a/packages/gateway/src/process/stages/pool/waiting-end.ts
+++ b/packages/gateway/src/process/stages/pool/waiting-end.ts
@@ -13,11 +13,11 @@
 import type { StageTask } from '../../../request/stages/stage-task.js'
 
 /** Whether a call that starts now could not end before the deadline. */
-export function isTooLate(task: StageTask, callMs: number, now: number): boolean {
+export function cannotMeetDeadline(task: StageTask, callMs: number, now: number): boolean {
   return now + callMs > task.deadlineAt
 }
 
 /** Whether an input can no longer be read. */
-export function lacksInput(task: StageTask, now: number): boolean {
+export function hasUnreadableInput(task: StageTask, now: number): boolean {
   return task.inputs.some(input => !input.holder.isReadable(input.handle, now))
 }
--- a/packages/gateway/src/process/stages/stage-coordinator.ts
+++ b/packages/gateway/src/process/stages/stage-coordinator.ts
@@ -15,7 +15,7 @@
 import type { PreparationListener } from '../../request/stages/request-stages.js'
 import type { RouteTable } from '../../version/route-table.js'
 import type { ExpectedReading } from './engine-assignment.js'
-import type { StagePoolParts } from './pool/pool-parts.js'
+import type { StagePoolDependencies } from './pool/pool-dependencies.js'
 import type { CoordinatedBackends } from './shard-backends.js'
 import type { ApplyingWork } from './stage-admission.js'
 import { Err } from 'ts-results-es'
@@ -53,7 +53,7 @@
 const CANCELLED: PreparationFailure = { kind: PreparationFailureKind.Cancelled, message: 'the request was given up', retryAfterMs: 0 }
 
 /** What a coordinator works with. */
-export interface StageCoordinatorParts extends StagePoolParts {
+export interface StageCoordinatorParts extends StagePoolDependencies {
   /** How often the engines of this coordinator's requests may be cold ones. */
   coldPace: Pick<ColdPace, 'mayTake' | 'note'>
 }
--- a/packages/gateway/src/process/stages/stage-log.ts
+++ b/packages/gateway/src/process/stages/stage-log.ts
@@ -25,7 +25,7 @@
     failureDomain: backend.failureDomain,
     items: items.length,
     tookMs: Math.round(tookMs),
-    expectedMs: Math.round(backend.callTime(items.length)),
+    expectedMs: Math.round(backend.expectedCallMs(items.length)),
     end: result.end,
     failures: describeFailures(result),
     resultMemoryBytes: backend.memory.freeBytes(),
--- a/packages/gateway/src/process/stages/stage-order.ts
+++ b/packages/gateway/src/process/stages/stage-order.ts
@@ -23,7 +23,7 @@
 const PRIORITY_STEP_MS = 300
 
 /** Milliseconds by which a task that will miss its target runs later. Without a bound it would wait for its deadline. */
-const LATE_STEP_MS = 1500
+const LATE_PENALTY_MS = 1500
 
 /** Place in the order of a request that arrives now and whose answer takes some milliseconds, on the process clock; the least goes first. */
 export function rankRequest({ priority, isRetry, targetMs }: PreparationRequest, answerMs: number, now: number): number {
@@ -32,6 +32,6 @@
 }
 
 /** Place in the order of a task that waits now for a call of some milliseconds; the least goes first. */
-export function placeInOrder({ rank, targetAt, remainingMs }: StageTask, callMs: number, now: number): number {
-  return now + callMs + remainingMs > targetAt ? rank + LATE_STEP_MS : rank
+export function effectiveRank({ rank, targetAt, remainingMs }: StageTask, callMs: number, now: number): number {
+  return now + callMs + remainingMs > targetAt ? rank + LATE_PENALTY_MS : rank
 }
--- a/test/gateway/call-size.test.ts
+++ b/test/gateway/call-size.test.ts
@@ -5,7 +5,7 @@
 const FIXED_CALL_MS = 240
 
 function startsIn(milliseconds: number, isUsable = true): BackendForecast {
-  return { failureDomain: 'domain-a', isUsable: () => isUsable, startsIn: () => milliseconds, callTime: () => FIXED_CALL_MS }
+  return { failureDomain: 'domain-a', isUsable: () => isUsable, msUntilNextCall: () => milliseconds, expectedCallMs: () => FIXED_CALL_MS }
 }
 
 describe('the items of a call', () => {
--- a/test/gateway/stage-rules.test.ts
+++ b/test/gateway/stage-rules.test.ts
@@ -6,10 +6,10 @@
   createPoolTask,
   decideItemRetry,
   decideStageFailure,
+  effectiveRank,
   findBetterDomain,
-  inputsFetchedAfter,
+  inputsFetchedAfterMs,
   ItemFailure,
-  placeInOrder,
   StageCallEnd,
   StageFailureDecision,
 } from '@eidermast/gateway'
@@ -37,7 +37,7 @@
 
 describe('the choice of a batch', () => {
   function choose(tasks: PoolTask[], options: Partial<BatchInput> = {}) {
-    const parts = chooseBatch({ tasks, travelsAlone: () => false, maxItems: 4, enoughItems: 4, freeBytes: 1000, betterDomain: () => undefined, nextCalls: () => ({ places: 4, freeBytes: 1000 }), ...options })
+    const parts = chooseBatch({ tasks, isIsolated: () => false, maxItems: 4, targetItems: 4, freeBytes: 1000, betterDomain: () => undefined, nextCalls: () => ({ slots: 4, freeBytes: 1000 }), ...options })
     return parts.map(part => [tasks.indexOf(part.task), part.items, part.reason])
   }
 
@@ -48,12 +48,12 @@
 
   test('leaves tasks to the next calls once it has its part of what waits', () => {
     const tasks = [2, 1, 1].map(items => createPoolTask(createTask({ items })))
-    expect(choose(tasks, { enoughItems: 2 })).toEqual([[0, 2, BatchReason.SuitsDomain]])
-    expect(choose(tasks, { enoughItems: 3 })).toEqual([[0, 2, BatchReason.SuitsDomain], [1, 1, BatchReason.SuitsDomain]])
+    expect(choose(tasks, { targetItems: 2 })).toEqual([[0, 2, BatchReason.SuitsDomain]])
+    expect(choose(tasks, { targetItems: 3 })).toEqual([[0, 2, BatchReason.SuitsDomain], [1, 1, BatchReason.SuitsDomain]])
   })
 
   test('takes a task whole also where its part is smaller', () => {
-    expect(choose([createPoolTask(createTask({ items: 3 }))], { enoughItems: 1 })).toEqual([[0, 3, BatchReason.SuitsDomain]])
+    expect(choose([createPoolTask(createTask({ items: 3 }))], { targetItems: 1 })).toEqual([[0, 3, BatchReason.SuitsDomain]])
   })
 
   test('splits the task that opens the call where places or memory end', () => {
@@ -73,8 +73,8 @@
     })
 
     test.each([
-      ['places', { places: 2, freeBytes: 1000 }],
-      ['memory', { places: 4, freeBytes: 39 }],
+      ['places', { slots: 2, freeBytes: 1000 }],
+      ['memory', { slots: 4, freeBytes: 39 }],
     ])('fills the call with what those have no %s for', (_name, capacity) => {
       const nextCalls = () => ({ ...capacity })
       expect(choose([here(), elsewhere(2), elsewhere(2)], { betterDomain, nextCalls })).toEqual([[0, 1, BatchReason.SuitsDomain], [2, 2, BatchReason.FillsCall]])
@@ -85,7 +85,7 @@
     })
 
     test('fills the call behind what should run here, also where that comes later', () => {
-      const nextCalls = () => ({ places: 0, freeBytes: 0 })
+      const nextCalls = () => ({ slots: 0, freeBytes: 0 })
       expect(choose([elsewhere(3), here(), here()], { betterDomain, nextCalls })).toEqual([[1, 1, BatchReason.SuitsDomain], [2, 1, BatchReason.SuitsDomain]])
     })
   })
@@ -95,7 +95,7 @@
   const HERE = forecast('domain-a')
 
   function forecast(failureDomain: string, startsInMs = 0, isUsable = true): BackendForecast {
-    return { failureDomain, isUsable: () => isUsable, startsIn: () => startsInMs, callTime: () => 100 }
+    return { failureDomain, isUsable: () => isUsable, msUntilNextCall: () => startsInMs, expectedCallMs: () => 100 }
   }
 
   /** A task with one input of this size in `domain-b`. */
@@ -126,7 +126,7 @@
     ['let those go first that can meet their target', createTask({ rank: 1000, targetAt: 1000, remainingMs: 701 }), false],
     ['do not let one that is late wait for ever', createTask({ rank: -300, targetAt: 1000, remainingMs: 701 }), true],
   ])('%s', (_name, task, goesFirst) => {
-    expect(placeInOrder(task, CALL_MS, 0) < placeInOrder(inTime, CALL_MS, 0)).toBe(goesFirst)
+    expect(effectiveRank(task, CALL_MS, 0) < effectiveRank(inTime, CALL_MS, 0)).toBe(goesFirst)
   })
 })
 
@@ -164,17 +164,17 @@
 })
 
 describe('the inputs of a call', () => {
-  const INPUT = { inputBytes: 1_000_000, bandwidthMbps: 1000, mayWaitForOther: false }
+  const INPUT = { inputBytes: 1_000_000, bandwidthMbps: 1000, mayQueueBehindOther: false }
 
   test('count as fetched after three times the transfer and 80 ms', () => {
-    expect(inputsFetchedAfter(INPUT)).toBe(104)
+    expect(inputsFetchedAfterMs(INPUT)).toBe(104)
   })
 
   test.each([
-    ['another coordinator may be at work', { mayWaitForOther: true }],
+    ['another coordinator may be at work', { mayQueueBehindOther: true }],
     ['the speed of the link is unknown', { bandwidthMbps: 0 }],
     ['there are none', { inputBytes: 0 }],
   ])('count as fetched only at its end where %s', (_name, override) => {
-    expect(inputsFetchedAfter({ ...INPUT, ...override })).toBeUndefined()
+    expect(inputsFetchedAfterMs({ ...INPUT, ...override })).toBeUndefined()
   })
 })
