--- a/packages/gateway/src/process/gateway.ts
+++ b/packages/gateway/src/process/gateway.ts
@@ -48,7 +48,7 @@
 import { Members } from './membership/members.js'
 import { GatewayPeerService } from './peer-service.js'
 import { Readiness } from './readiness.js'
-import { ShardsByPrompt } from './stages/shard-choice.js'
+import { PromptShardChoice } from './stages/shard-choice.js'
 import { SharedPreparer } from './stages/shared-preparer.js'
 import { CoordinatorRole, StageCoordinators } from './stages/stage-coordinators.js'
 import { SuspensionWatch } from './suspension.js'
@@ -227,7 +227,7 @@
   private createClientServer(): ClientServer {
     const passThrough = new PassThrough({
       configuration: this.configuration,
-      preparer: new SharedPreparer(this.members, this.stageCoordinators, this.peers, this.log, new ShardsByPrompt(this.members, this.registry)),
+      preparer: new SharedPreparer(this.members, this.stageCoordinators, this.peers, this.log, new PromptShardChoice(this.members, this.registry)),
       runner: this.createBackendRunner(),
       crashes: this.crashBoard,
       metrics: this.metrics,
@@ -279,7 +279,7 @@
   }
 
   private takeCoordinatorChange(shard: StageShard): void {
-    this.stageCoordinators.takeChange(shard, this.roleIn(shard))
+    this.stageCoordinators.applyRole(shard, this.roleIn(shard))
   }
 
   private roleIn(shard: StageShard): CoordinatorRole {
--- a/packages/gateway/src/process/stages/coordinator-failure.ts
+++ b/packages/gateway/src/process/stages/coordinator-failure.ts
@@ -14,6 +14,6 @@
 import { isConnectionRefused } from '../../connection/error-codes.js'
 
 /** Whether a coordinator counts as failed after a failed call; `failedBefore`: another call of the request failed there. */
-export function countsAsFailed(error: unknown, failedBefore: boolean): boolean {
+export function isCoordinatorFailure(error: unknown, failedBefore: boolean): boolean {
   return isConnectionRefused(error) || failedBefore
 }
--- a/packages/gateway/src/process/stages/engine-assignment.ts
+++ b/packages/gateway/src/process/stages/engine-assignment.ts
@@ -21,27 +21,27 @@
  * Milliseconds for each token of a shared part that is read again: it takes the
  * engine's time from others too.
  */
-const TOKEN_COST_MS = 0.08
+const RECOMPUTE_COST_MS_PER_TOKEN = 0.08
 /**
  * Share that counts of the tokens that the home of a prompt lacks, as far as is
  * known here: it may have read them for an earlier coordinator, or longer ago.
  */
-const HOME_MISSING_SHARE = 0.5
+const HOME_UNCACHED_SHARE = 0.5
 /** Bytes from another failure domain that weigh as much as a millisecond. */
-const CROSSING_BYTES_PER_MS = 40_000
+const CROSS_DOMAIN_BYTES_PER_MS = 40_000
 /**
  * Milliseconds for which an engine counts as keeping a part that it was
  * assigned.
  */
-const PART_LIFETIME_MS = 20_000
+const PART_CACHE_LIFETIME_MS = 20_000
 /** Milliseconds that a token takes at an engine of which nothing was measured. */
-const FIRST_TOKEN_MS = 0.026
+const INITIAL_MS_PER_TOKEN = 0.026
 /** Bounds of a measured time for each token, over FIRST_TOKEN_MS. They keep one odd request from deciding for long. */
-const MAX_SLOWNESS = 20
+const MAX_SLOWDOWN = 20
 /** See MAX_SLOWNESS. */
-const MIN_SLOWNESS = 0.5
+const MIN_SLOWDOWN = 0.5
 /** Weight of the newest long request in the measured time. Half notices a slowed engine late. */
-const SPEED_WEIGHT = 0.2
+const SPEED_EWMA_WEIGHT = 0.2
 /**
  * Tokens from which on a request has its full weight: the time of a short one
  * says little of the engine's, since most of it does not depend on the prompt.
@@ -51,9 +51,9 @@
  * Milliseconds of an answer's first event that do not depend on the prompt:
  * fetch, connection, first step.
  */
-const FIXED_MS = 50
+const FIXED_OVERHEAD_MS = 50
 /** Milliseconds after which an assigned request counts as read whatever is known of it. Far above a usual first event. */
-const MAX_READING_MS = 3000
+const MAX_PREFILL_MS = 3000
 
 /** A request whose engine is to be chosen. */
 export interface EngineRequest {
@@ -76,51 +76,51 @@
 }
 
 /** The engine that a request would be assigned, and what is expected of it. */
-export interface ExpectedReading {
+export interface ExpectedPrefill {
   engine: Backend
   /** Milliseconds from the call to the first event, by estimate. */
   firstEventMs: number
 }
 
 /** What it would cost that an engine reads a request. */
-interface EngineCost extends ExpectedReading {
+interface EngineCost extends ExpectedPrefill {
   /** Tokens of shared parts that it would have to read. */
-  missingTokens: number
+  uncachedTokens: number
   /** Milliseconds, by estimate. */
   costMs: number
 }
 
 /** What is known of one engine. */
 class EngineState {
-  tokensToRead = 0
-  tokenMs = FIRST_TOKEN_MS
+  pendingTokens = 0
+  msPerToken = INITIAL_MS_PER_TOKEN
   /** When each shared part was last assigned here, on the process clock in milliseconds; the longest ago comes first. */
-  private readonly parts = new Map<string, number>()
+  private readonly cachedParts = new Map<string, number>()
 
   /** A shared part is assigned. */
-  keep(part: string, now: number): void {
-    this.parts.delete(part)
-    this.parts.set(part, now)
+  markCached(part: string, now: number): void {
+    this.cachedParts.delete(part)
+    this.cachedParts.set(part, now)
   }
 
-  keeps(part: string, now: number): boolean {
-    return now - (this.parts.get(part) ?? Number.NEGATIVE_INFINITY) <= PART_LIFETIME_MS
+  isCached(part: string, now: number): boolean {
+    return now - (this.cachedParts.get(part) ?? Number.NEGATIVE_INFINITY) <= PART_CACHE_LIFETIME_MS
   }
 
   /** Forgets parts that are no longer kept. */
   expire(now: number): void {
-    for (const part of this.parts.keys()) {
-      if (this.keeps(part, now))
+    for (const part of this.cachedParts.keys()) {
+      if (this.isCached(part, now))
         return
-      this.parts.delete(part)
+      this.cachedParts.delete(part)
     }
   }
 
   /** A request's first event came after a time in milliseconds. */
-  measure(tookMs: number, tokens: number): void {
-    const measured = Math.max(0, tookMs - FIXED_MS) / Math.max(1, tokens)
-    const bounded = Math.min(MAX_SLOWNESS * FIRST_TOKEN_MS, Math.max(MIN_SLOWNESS * FIRST_TOKEN_MS, measured))
-    this.tokenMs += (bounded - this.tokenMs) * SPEED_WEIGHT * Math.min(1, tokens / FULL_WEIGHT_TOKENS)
+  recordFirstEvent(tookMs: number, tokens: number): void {
+    const measured = Math.max(0, tookMs - FIXED_OVERHEAD_MS) / Math.max(1, tokens)
+    const bounded = Math.min(MAX_SLOWDOWN * INITIAL_MS_PER_TOKEN, Math.max(MIN_SLOWDOWN * INITIAL_MS_PER_TOKEN, measured))
+    this.msPerToken += (bounded - this.msPerToken) * SPEED_EWMA_WEIGHT * Math.min(1, tokens / FULL_WEIGHT_TOKENS)
   }
 }
 
@@ -130,7 +130,7 @@
   private readonly assignments = new Map<string, Assignment>()
 
   /** The engine that would be assigned; undefined where there is none. */
-  choose(request: EngineRequest, engines: readonly Backend[], now: number): ExpectedReading | undefined {
+  choose(request: EngineRequest, engines: readonly Backend[], now: number): ExpectedPrefill | undefined {
     return this.findCheapest(request, engines, now)
   }
 
@@ -140,34 +140,34 @@
     const cheapest = this.findCheapest(request, engines, now)
     if (!cheapest)
       return undefined
-    const { engine, missingTokens } = cheapest
+    const { engine, uncachedTokens } = cheapest
     const state = this.stateOf(engine)
-    const tokens = ownTokens(request.prompt) + missingTokens
-    this.assignments.set(request.requestId, { engine: state, tokens, tokensAhead: state.tokensToRead, assignedAt: now })
-    state.tokensToRead += tokens
+    const tokens = ownTokens(request.prompt) + uncachedTokens
+    this.assignments.set(request.requestId, { engine: state, tokens, tokensAhead: state.pendingTokens, assignedAt: now })
+    state.pendingTokens += tokens
     state.expire(now)
     for (const part of sharedParts(request.prompt))
-      state.keep(part.id, now)
+      state.markCached(part.id, now)
     return engine
   }
 
   /** Forgets an engine that was removed. */
-  forget(engineId: string): void {
+  removeEngine(engineId: string): void {
     this.engines.delete(engineId)
   }
 
   /** The engine of a request has read its results, or will not. */
   release(requestId: string, now: number): void {
-    const assignment = this.take(requestId)
+    const assignment = this.remove(requestId)
     if (assignment)
-      assignment.engine.measure(now - assignment.assignedAt, assignment.tokens + assignment.tokensAhead)
+      assignment.engine.recordFirstEvent(now - assignment.assignedAt, assignment.tokens + assignment.tokensAhead)
   }
 
-  private take(requestId: string): Assignment | undefined {
+  private remove(requestId: string): Assignment | undefined {
     const assignment = this.assignments.get(requestId)
     this.assignments.delete(requestId)
     if (assignment)
-      assignment.engine.tokensToRead -= assignment.tokens
+      assignment.engine.pendingTokens -= assignment.tokens
     return assignment
   }
 
@@ -183,20 +183,20 @@
   }
 
   private cost({ prompt, failureDomain, bytes }: EngineRequest, engine: Backend, isHome: boolean, now: number): EngineCost {
-    const { tokensToRead, tokenMs } = this.stateOf(engine)
-    const missingTokens = this.missingTokens(prompt, engine, isHome, now)
-    const readMs = (tokensToRead + ownTokens(prompt) + missingTokens) * tokenMs
-    const crossingMs = engine.failureDomain === failureDomain ? 0 : bytes / CROSSING_BYTES_PER_MS
-    return { engine, missingTokens, firstEventMs: FIXED_MS + readMs, costMs: readMs + missingTokens * TOKEN_COST_MS + crossingMs }
+    const { pendingTokens: tokensToRead, msPerToken: tokenMs } = this.stateOf(engine)
+    const uncachedTokens = this.uncachedTokens(prompt, engine, isHome, now)
+    const prefillMs = (tokensToRead + ownTokens(prompt) + uncachedTokens) * tokenMs
+    const transferMs = engine.failureDomain === failureDomain ? 0 : bytes / CROSS_DOMAIN_BYTES_PER_MS
+    return { engine, uncachedTokens, firstEventMs: FIXED_OVERHEAD_MS + prefillMs, costMs: prefillMs + uncachedTokens * RECOMPUTE_COST_MS_PER_TOKEN + transferMs }
   }
 
   /** Tokens of shared parts that an engine has to read, by what it was assigned; a part is of use only behind all before it. */
-  private missingTokens(prompt: readonly PromptPart[], engine: Backend, isHome: boolean, now: number): number {
+  private uncachedTokens(prompt: readonly PromptPart[], engine: Backend, isHome: boolean, now: number): number {
     const state = this.stateOf(engine)
     const shared = sharedParts(prompt)
-    const firstMissing = shared.findIndex(part => !state.keeps(part.id, now))
-    const tokens = firstMissing === -1 ? 0 : countTokens(shared.slice(firstMissing))
-    return isHome ? tokens * HOME_MISSING_SHARE : tokens
+    const firstUncached = shared.findIndex(part => !state.isCached(part.id, now))
+    const tokens = firstUncached === -1 ? 0 : countTokens(shared.slice(firstUncached))
+    return isHome ? tokens * HOME_UNCACHED_SHARE : tokens
   }
 
   private stateOf(engine: Backend): EngineState {
@@ -207,9 +207,9 @@
 
   private expire(now: number): void {
     for (const [requestId, { assignedAt }] of this.assignments) {
-      if (now - assignedAt < MAX_READING_MS)
+      if (now - assignedAt < MAX_PREFILL_MS)
         return
-      this.take(requestId)
+      this.remove(requestId)
     }
   }
 }
--- a/packages/gateway/src/process/stages/pool/service-throughput.ts
+++ b/packages/gateway/src/process/stages/pool/service-throughput.ts
@@ -4,7 +4,7 @@
  * stage-admission.
  */
 import type { StageLimits } from '../../../version/configuration.js'
-import type { ServicePace } from '../stage-admission.js'
+import type { ServiceThroughput } from '../stage-admission.js'
 
 /**
  * Share of a full batch in a usual call. Half of it hides some itemMs from the
@@ -32,7 +32,7 @@
  * Pace of a service; takes how much slower than configured each backend server
  * is, and the size of a usual result.
  */
-export function estimatePace(limits: StageLimits, slowdownFactors: readonly number[], typicalBytes: number): ServicePace {
+export function estimateThroughput(limits: StageLimits, slowdownFactors: readonly number[], typicalBytes: number): ServiceThroughput {
   const itemMs = (limits.callMs / sustainedBatch(limits, typicalBytes) + limits.itemMs) / BATCH_EFFICIENCY
   const backends = slowdownFactors.reduce((sum, slowdown) => sum + 1 / slowdown, 0)
   return { backends, itemMs, callMs: typicalCallMs(limits) }
--- a/packages/gateway/src/process/stages/pool/stage-pool.ts
+++ b/packages/gateway/src/process/stages/pool/stage-pool.ts
@@ -9,7 +9,7 @@
 import type { StageProgress } from '../../../connection/peers/preparation.js'
 import type { StageResult, StageTask, StageTaskQueue, SubmittedTask } from '../../../request/stages/stage-task.js'
 import type { StageLimits } from '../../../version/configuration.js'
-import type { ServicePace } from '../stage-admission.js'
+import type { ServiceThroughput } from '../stage-admission.js'
 import type { StagePoolDependencies } from './pool-dependencies.js'
 import type { PoolItem } from './pool-task.js'
 import type { CallCapacity } from './stage-batch.js'
@@ -20,7 +20,7 @@
 import { decideCallItems } from './call-size.js'
 import { isIsolated, isQuarantined } from './crash-isolation.js'
 import { findBetterDomain } from './domain-wait.js'
-import { estimatePace, typicalCallMs, updateTypicalResultBytes } from './service-throughput.js'
+import { estimateThroughput, typicalCallMs, updateTypicalResultBytes } from './service-throughput.js'
 import { chooseBatch } from './stage-batch.js'
 import { StageCalls } from './stage-calls.js'
 import { TaskQueue } from './task-queue.js'
@@ -78,10 +78,10 @@
   }
 
   /** Pace of the service with the backend servers that take work. */
-  pace(): ServicePace {
+  throughput(): ServiceThroughput {
     const now = performance.now()
     const slowdownFactors = [...this.backends.values()].map(backend => backend.slowdownFactor(now))
-    return estimatePace(this.limits, slowdownFactors, this.typicalResultBytes)
+    return estimateThroughput(this.limits, slowdownFactors, this.typicalResultBytes)
   }
 
   submit(task: StageTask): SubmittedTask {
--- a/packages/gateway/src/process/stages/shard-backends.ts
+++ b/packages/gateway/src/process/stages/shard-backends.ts
@@ -8,26 +8,26 @@
 import { isInShard } from '../../connection/peers/stage-shard.js'
 
 /** What a stage coordinator follows; the registry, or a part of it. */
-export type CoordinatedBackends = Pick<BackendRegistry, 'available' | 'listen'>
+export type BackendView = Pick<BackendRegistry, 'available' | 'listen'>
 
 /** The part of the registry that belongs to a shard. */
-export class ShardBackends implements CoordinatedBackends {
-  constructor(private readonly registry: CoordinatedBackends, private readonly shard: StageShard) {}
+export class ShardBackends implements BackendView {
+  constructor(private readonly registry: BackendView, private readonly shard: StageShard) {}
 
   /** Backend servers of a service that take new work. */
   available(service: string): Backend[] {
-    return this.registry.available(service).filter(backend => this.holds(backend))
+    return this.registry.available(service).filter(backend => this.includes(backend))
   }
 
   listen({ added, removed, stateChanged }: BackendListener): void {
-    this.registry.listen({ added: this.only(added), removed: this.only(removed), stateChanged: this.only(stateChanged) })
+    this.registry.listen({ added: this.filterListener(added), removed: this.filterListener(removed), stateChanged: this.filterListener(stateChanged) })
   }
 
-  private only(listener: ((backend: Backend) => void) | undefined): ((backend: Backend) => void) | undefined {
-    return listener && (backend => this.holds(backend) && listener(backend))
+  private filterListener(listener: ((backend: Backend) => void) | undefined): ((backend: Backend) => void) | undefined {
+    return listener && (backend => this.includes(backend) && listener(backend))
   }
 
-  private holds({ failureDomain }: Backend): boolean {
+  private includes({ failureDomain }: Backend): boolean {
     return isInShard(this.shard, failureDomain)
   }
 }
--- a/packages/gateway/src/process/stages/shard-choice.ts
+++ b/packages/gateway/src/process/stages/shard-choice.ts
@@ -26,51 +26,51 @@
 }
 
 /** All work goes to the one shard. */
-export const WHOLE_ONLY: ShardChoice = { order: () => [WHOLE_SHARD] }
+export const UNSHARDED: ShardChoice = { order: () => [WHOLE_SHARD] }
 
 /** Chooses by the prompt and by what each shard has. */
-export class ShardsByPrompt implements ShardChoice {
+export class PromptShardChoice implements ShardChoice {
   constructor(private readonly members: Pick<Members, 'shards'>, private readonly registry: Pick<BackendRegistry, 'countByDomain'>) {}
 
   order(request: PreparationRequest): readonly StageShard[] {
     const { shards } = this.members
     if (shards.length === 1)
       return shards
-    const counts = neededServices(request).map(service => this.registry.countByDomain(service))
-    const key = keyOf(request)
+    const counts = requiredServices(request).map(service => this.registry.countByDomain(service))
+    const key = affinityKey(request)
     const scored = shards
-      .map(shard => ({ shard, score: scoreOf(key, shard, leastShare(shard, counts)) }))
+      .map(shard => ({ shard, score: rendezvousScore(key, shard, minBackendShare(shard, counts)) }))
       .filter(({ score }) => score > 0)
       .sort((left, right) => right.score - left.score)
     return scored.length === 0 ? [WHOLE_SHARD] : scored.map(({ shard }) => shard)
   }
 }
 
-function neededServices({ stages, service, prompt }: PreparationRequest): string[] {
-  const needed = stages.filter(({ items }) => items > 0).map(stage => stage.service)
-  return [...new Set(prompt && service ? [...needed, service] : needed)]
+function requiredServices({ stages, service, prompt }: PreparationRequest): string[] {
+  const required = stages.filter(({ items }) => items > 0).map(stage => stage.service)
+  return [...new Set(prompt && service ? [...required, service] : required)]
 }
 
 /** The least share that a shard has of a service's backend servers, from 0 to 1. */
-function leastShare(shard: StageShard, counts: readonly ReadonlyMap<string, number>[]): number {
+function minBackendShare(shard: StageShard, counts: readonly ReadonlyMap<string, number>[]): number {
   return Math.min(1, ...counts.map((byDomain) => {
     let all = 0
-    let here = 0
+    let inShard = 0
     for (const [failureDomain, count] of byDomain) {
       all += count
-      here += isInShard(shard, failureDomain) ? count : 0
+      inShard += isInShard(shard, failureDomain) ? count : 0
     }
-    return all === 0 ? 0 : here / all
+    return all === 0 ? 0 : inShard / all
   }))
 }
 
 /** Weighted rendezvous hashing: the highest score wins, in proportion to the weights. */
-function scoreOf(key: string, { name }: StageShard, weight: number): number {
-  const draw = (hashText(`${key}\n${name}`) + 0.5) / HASH_RANGE
-  return weight / -Math.log(draw)
+function rendezvousScore(key: string, { name }: StageShard, weight: number): number {
+  const uniform = (hashText(`${key}\n${name}`) + 0.5) / HASH_RANGE
+  return weight / -Math.log(uniform)
 }
 
 /** What requests have in common that should meet the same engines. */
-function keyOf({ prompt, requestId }: PreparationRequest): string {
+function affinityKey({ prompt, requestId }: PreparationRequest): string {
   return sharedParts(prompt ?? []).at(-1)?.id ?? requestId
 }
--- a/packages/gateway/src/process/stages/shared-preparer.ts
+++ b/packages/gateway/src/process/stages/shared-preparer.ts
@@ -19,8 +19,8 @@
 import { formatError } from '@eidermast/common'
 import { Err } from 'ts-results-es'
 import { PreparationFailureKind } from '../../connection/peers/preparation.js'
-import { countsAsFailed } from './coordinator-failure.js'
-import { WHOLE_ONLY } from './shard-choice.js'
+import { isCoordinatorFailure } from './coordinator-failure.js'
+import { UNSHARDED } from './shard-choice.js'
 
 /**
  * Calls to coordinators for one request. Half of them fail requests when two
@@ -43,46 +43,46 @@
 
 /** Calls the coordinator of the stage work. */
 export class SharedPreparer implements Preparer {
-  private readonly coordinatorOf = new Map<string, Member>()
+  private readonly coordinatorByRequest = new Map<string, Member>()
   /** Ids of requests to release, by the coordinator's address. */
-  private readonly releases = new Map<string, string[]>()
+  private readonly pendingReleases = new Map<string, string[]>()
 
   constructor(
     private readonly members: Members,
     private readonly local: Preparer,
     private readonly peers: Pick<PeerClients, 'prepare' | 'release'>,
     private readonly log: EventLog,
-    private readonly shards: ShardChoice = WHOLE_ONLY,
+    private readonly shards: ShardChoice = UNSHARDED,
   ) {}
 
   async prepare(request: PreparationRequest, signal: AbortSignal): Promise<Preparation> {
     const result = await this.prepareInShards(request, signal)
     if (result.isErr())
-      this.coordinatorOf.delete(request.requestId)
+      this.coordinatorByRequest.delete(request.requestId)
     return result
   }
 
   release(requestId: string): void {
-    const coordinator = this.coordinatorOf.get(requestId)
-    this.coordinatorOf.delete(requestId)
+    const coordinator = this.coordinatorByRequest.get(requestId)
+    this.coordinatorByRequest.delete(requestId)
     if (!coordinator)
       return
     if (coordinator.name === this.members.self.name)
       this.local.release(requestId)
     else
-      this.releaseSoon(coordinator, requestId)
+      this.scheduleRelease(coordinator, requestId)
   }
 
-  private releaseSoon(coordinator: Member, requestId: string): void {
-    const ids = this.releases.get(coordinator.address)
+  private scheduleRelease(coordinator: Member, requestId: string): void {
+    const ids = this.pendingReleases.get(coordinator.address)
     if (ids) {
       ids.push(requestId)
       return
     }
     const batch = [requestId]
-    this.releases.set(coordinator.address, batch)
+    this.pendingReleases.set(coordinator.address, batch)
     setTimeout(() => {
-      this.releases.delete(coordinator.address)
+      this.pendingReleases.delete(coordinator.address)
       // Harmless: results that are not released expire at their backend servers.
       void this.peers.release(coordinator, batch).catch(() => {})
     }, RELEASE_DELAY_MS)
@@ -96,24 +96,24 @@
     const startedAt = performance.now()
     await this.members.whenAcquainted()
     const [preferred, other] = this.shards.order(request)
-    const result = await this.prepareAtCoordinators(withTimeLeft(request, performance.now() - startedAt), preferred, signal)
+    const result = await this.prepareInShard(subtractElapsed(request, performance.now() - startedAt), preferred, signal)
     if (!other || result.isOk() || result.error.kind !== PreparationFailureKind.Overloaded)
       return result
-    const second = await this.prepareAtCoordinators(withTimeLeft(request, performance.now() - startedAt), other, signal)
+    const second = await this.prepareInShard(subtractElapsed(request, performance.now() - startedAt), other, signal)
     return second.isErr() && second.error.kind === PreparationFailureKind.Overloaded ? result : second
   }
 
   /** Asks one coordinator of a shard after the other, with the time left and the results handed over. */
-  private async prepareAtCoordinators(request: PreparationRequest, shard: StageShard, signal: AbortSignal): Promise<Preparation> {
+  private async prepareInShard(request: PreparationRequest, shard: StageShard, signal: AbortSignal): Promise<Preparation> {
     const startedAt = performance.now()
     let { progress } = request
-    const failedAt = new Set<string>()
+    const failedCoordinators = new Set<string>()
     for (let calls = 0; calls < MAX_COORDINATOR_CALLS && !signal.aborted; calls++) {
-      const rest = { ...withTimeLeft(request, performance.now() - startedAt), shard: shard.name, progress }
-      if (rest.deadlineMs <= 0)
+      const remaining = { ...subtractElapsed(request, performance.now() - startedAt), shard: shard.name, progress }
+      if (remaining.deadlineMs <= 0)
         break
       const coordinator = this.members.coordinatorOf(shard)
-      const result = await this.prepareAt(coordinator, rest, signal, failedAt)
+      const result = await this.prepareAt(coordinator, remaining, signal, failedCoordinators)
       const failure = result?.isErr() ? result.error : undefined
       if (result && failure?.kind !== PreparationFailureKind.HandedOver)
         return result
@@ -131,9 +131,9 @@
     coordinator: Member,
     request: PreparationRequest,
     signal: AbortSignal,
-    failedAt: Set<string>,
+    failedCoordinators: Set<string>,
   ): Promise<Preparation | undefined> {
-    this.coordinatorOf.set(request.requestId, coordinator)
+    this.coordinatorByRequest.set(request.requestId, coordinator)
     if (coordinator.name === this.members.self.name)
       return this.local.prepare(request, signal)
     const failure = this.members.watchFailure(coordinator)
@@ -143,7 +143,7 @@
     catch (error) {
       // A call that was cancelled with its request says nothing of the coordinator.
       if (!signal.aborted)
-        this.takeFailure(coordinator, request.requestId, error, failedAt)
+        this.handleCallFailure(coordinator, request.requestId, error, failedCoordinators)
       return undefined
     }
     finally {
@@ -151,18 +151,18 @@
     }
   }
 
-  private takeFailure(coordinator: Member, requestId: string, error: unknown, failedAt: Set<string>): void {
+  private handleCallFailure(coordinator: Member, requestId: string, error: unknown, failedCoordinators: Set<string>): void {
     const { name } = coordinator
-    const hasFailed = countsAsFailed(error, failedAt.has(name))
-    failedAt.add(name)
-    const event = hasFailed ? 'stage-coordinator-failed' : 'stage-coordinator-call-failed'
+    const isFailed = isCoordinatorFailure(error, failedCoordinators.has(name))
+    failedCoordinators.add(name)
+    const event = isFailed ? 'stage-coordinator-failed' : 'stage-coordinator-call-failed'
     this.log.write(event, { request: requestId, coordinator: name, error: formatError(error) })
-    if (hasFailed)
+    if (isFailed)
       this.members.suspect(coordinator)
   }
 }
 
 /** A request after some milliseconds. */
-function withTimeLeft(request: PreparationRequest, elapsedMs: number): PreparationRequest {
+function subtractElapsed(request: PreparationRequest, elapsedMs: number): PreparationRequest {
   return { ...request, targetMs: request.targetMs - elapsedMs, deadlineMs: request.deadlineMs - elapsedMs }
 }
--- a/packages/gateway/src/process/stages/stage-admission.ts
+++ b/packages/gateway/src/process/stages/stage-admission.ts
@@ -46,7 +46,7 @@
 const RETRY_TARGET_SHARE = 0.8
 
 /** Speed of one service now. */
-export interface ServicePace {
+export interface ServiceThroughput {
   /** Backend servers that take work, each counted by its measured speed; 1 is the configured speed. */
   backends: number
   /** Time of one item in a full batch at one backend server, in milliseconds. */
@@ -56,22 +56,22 @@
 }
 
 /** The pace of a service; undefined where the configuration has no such stage service. */
-export type PaceOfService = (service: string) => ServicePace | undefined
+export type ThroughputOfService = (service: string) => ServiceThroughput | undefined
 
 /** The paces of the services that a request needs, by name. */
-type Paces = ReadonlyMap<string, ServicePace | undefined>
+type Throughputs = ReadonlyMap<string, ServiceThroughput | undefined>
 
 /** Admitted work of one request. */
-export interface CommittedWork {
+export interface AdmittedWork {
   rank: number
   /** Items of a service without a result. */
   remainingItems: (service: string) => number
 }
 
 /** Work that asks to be admitted. */
-export interface ApplyingWork extends StageWork {
+export interface AdmissionCandidate extends StageWork {
   /** Real over expected time of like work. */
-  accuracyFactor: number
+  correctionFactor: number
 }
 
 /** A decision and what it was made from. */
@@ -88,53 +88,53 @@
 
 /** Decides on a request by the work that goes before it. */
 export function decideAdmission(
-  { request, rank, answerMs, accuracyFactor }: ApplyingWork,
-  committed: Iterable<CommittedWork>,
-  paceOf: PaceOfService,
+  { request, rank, answerMs, correctionFactor }: AdmissionCandidate,
+  admitted: Iterable<AdmittedWork>,
+  throughputOf: ThroughputOfService,
 ): AdmissionDecision {
-  const ahead = [...committed].filter(work => work.rank <= rank)
-  const paces: Paces = new Map(request.stages.map(({ service }) => [service, paceOf(service)]))
-  const aloneMs = estimateStages(request, [], paces)
-  const stagesMs = estimateStages(request, ahead, paces)
-  const finishMs = correctWait(stagesMs, aloneMs, accuracyFactor) + answerMs
-  const allowedMs = Math.max(request.targetMs, aloneMs + answerMs + ALWAYS_ALLOWED_WAIT_MS)
+  const ahead = [...admitted].filter(work => work.rank <= rank)
+  const throughputs: Throughputs = new Map(request.stages.map(({ service }) => [service, throughputOf(service)]))
+  const unqueuedMs = estimateStages(request, [], throughputs)
+  const stagesMs = estimateStages(request, ahead, throughputs)
+  const finishMs = correctWait(stagesMs, unqueuedMs, correctionFactor) + answerMs
+  const allowedMs = Math.max(request.targetMs, unqueuedMs + answerMs + ALWAYS_ALLOWED_WAIT_MS)
   return {
     isAdmitted: finishMs <= Math.min(allowedMs, request.deadlineMs),
     finishMs,
     stagesMs,
-    retryAfterMs: retryAfter(finishMs, request.targetMs),
+    retryAfterMs: retryAfterDelay(finishMs, request.targetMs),
   }
 }
 
 /** Time of the stages with its wait corrected, in milliseconds; infinite where a service has no backend server. */
-function correctWait(stagesMs: number, aloneMs: number, accuracyFactor: number): number {
-  return Number.isFinite(stagesMs) ? aloneMs + (stagesMs - aloneMs) * accuracyFactor : stagesMs
+function correctWait(stagesMs: number, unqueuedMs: number, correctionFactor: number): number {
+  return Number.isFinite(stagesMs) ? unqueuedMs + (stagesMs - unqueuedMs) * correctionFactor : stagesMs
 }
 
-function retryAfter(finishMs: number, targetMs: number): number {
+function retryAfterDelay(finishMs: number, targetMs: number): number {
   if (!Number.isFinite(finishMs))
     return NO_BACKEND_RETRY_MS
   return Math.max(MIN_RETRY_MS, finishMs - targetMs * RETRY_TARGET_SHARE)
 }
 
 /** Expected time until all stages are done behind other work, in milliseconds; infinite where a service has no backend server. */
-function estimateStages({ stages }: PreparationRequest, ahead: readonly CommittedWork[], paces: Paces): number {
+function estimateStages({ stages }: PreparationRequest, ahead: readonly AdmittedWork[], throughputs: Throughputs): number {
   const ends: number[] = []
   for (const { service, dependsOn, items } of stages) {
     const readyMs = Math.max(0, ...dependsOn.map(dependency => ends[dependency] ?? 0))
-    ends.push(items === 0 ? readyMs : endOfCall(readyMs, items, paces.get(service), itemsAhead(service, ahead)))
+    ends.push(items === 0 ? readyMs : estimateCallEnd(readyMs, items, throughputs.get(service), itemsAhead(service, ahead)))
   }
   return Math.max(0, ...ends)
 }
 
 /** When the call of some items ends that may start from a time on, in milliseconds, behind other items of its service. */
-function endOfCall(readyMs: number, items: number, pace: ServicePace | undefined, ahead: number): number {
-  if (!pace || pace.backends === 0)
+function estimateCallEnd(readyMs: number, items: number, throughput: ServiceThroughput | undefined, ahead: number): number {
+  if (!throughput || throughput.backends === 0)
     return Number.POSITIVE_INFINITY
-  const waitMs = (items + ahead) * pace.itemMs / pace.backends - pace.callMs
-  return Math.max(readyMs, waitMs) + pace.callMs
+  const waitMs = (items + ahead) * throughput.itemMs / throughput.backends - throughput.callMs
+  return Math.max(readyMs, waitMs) + throughput.callMs
 }
 
-function itemsAhead(service: string, ahead: readonly CommittedWork[]): number {
+function itemsAhead(service: string, ahead: readonly AdmittedWork[]): number {
   return ahead.reduce((sum, work) => sum + work.remainingItems(service), 0)
 }
--- a/packages/gateway/src/process/stages/stage-coordinator.ts
+++ b/packages/gateway/src/process/stages/stage-coordinator.ts
@@ -14,10 +14,10 @@
 import type { ColdPace } from '../../request/attempts/cold-pace.js'
 import type { PreparationListener } from '../../request/stages/request-stages.js'
 import type { RouteTable } from '../../version/route-table.js'
-import type { ExpectedReading } from './engine-assignment.js'
+import type { ExpectedPrefill } from './engine-assignment.js'
 import type { StagePoolDependencies } from './pool/pool-dependencies.js'
-import type { CoordinatedBackends } from './shard-backends.js'
-import type { ApplyingWork } from './stage-admission.js'
+import type { BackendView } from './shard-backends.js'
+import type { AdmissionCandidate } from './stage-admission.js'
 import { Err } from 'ts-results-es'
 import { PreparationFailureKind } from '../../connection/peers/preparation.js'
 import { RequestStages } from '../../request/stages/request-stages.js'
@@ -40,7 +40,7 @@
  * results of requests with long deadlines, twice as much keeps state of lost
  * requests.
  */
-const MAX_HOLD_MS = 20_000
+const MAX_RESULT_HOLD_MS = 20_000
 /**
  * Milliseconds of an answer beside the engine's: the way from the coordinator
  * over the gateway to the engine, and back. Half admits some that are late,
@@ -48,12 +48,12 @@
  */
 const ANSWER_OVERHEAD_MS = 70
 /** Milliseconds from the last stage to the answer where no engine reads the results. */
-const PLAIN_ANSWER_MS = 250
+const ANSWER_WITHOUT_ENGINE_MS = 250
 /** The client left, or the request's time passed. */
 const CANCELLED: PreparationFailure = { kind: PreparationFailureKind.Cancelled, message: 'the request was given up', retryAfterMs: 0 }
 
 /** What a coordinator works with. */
-export interface StageCoordinatorParts extends StagePoolDependencies {
+export interface StageCoordinatorDependencies extends StagePoolDependencies {
   /** How often the engines of this coordinator's requests may be cold ones. */
   coldPace: Pick<ColdPace, 'mayTake' | 'note'>
 }
@@ -65,15 +65,15 @@
   private readonly engines = new EngineAssignments()
   private readonly accuracy = new AdmissionAccuracy()
   private readonly timer: NodeJS.Timeout
-  private handingOver = false
+  private isStopping = false
 
   constructor(
-    private readonly backends: CoordinatedBackends,
-    private readonly parts: StageCoordinatorParts,
+    private readonly backends: BackendView,
+    private readonly dependencies: StageCoordinatorDependencies,
   ) {
-    const refresh = (backend: Backend): void => this.refresh(backend.service)
+    const refresh = (backend: Backend): void => this.refreshPool(backend.service)
     backends.listen({ added: refresh, removed: refresh, stateChanged: refresh })
-    backends.listen({ removed: backend => this.engines.forget(backend.id) })
+    backends.listen({ removed: backend => this.engines.removeEngine(backend.id) })
     this.timer = setInterval(() => this.dispatchWaiting(), DISPATCH_INTERVAL_MS)
     this.timer.unref()
   }
@@ -88,8 +88,8 @@
         pool.setLimits(stage)
         continue
       }
-      this.pools.set(name, new StagePool(name, stage, this.parts))
-      this.refresh(name)
+      this.pools.set(name, new StagePool(name, stage, this.dependencies))
+      this.refreshPool(name)
     }
   }
 
@@ -102,8 +102,8 @@
         const now = performance.now()
         const tookMs = now - startedAt
         const isMeasured = result.isOk() || result.error.kind === PreparationFailureKind.TooLate
-        const expectedMs = this.accuracy.ended(request, isMeasured ? tookMs : undefined, now)
-        logStagesEnded(this.parts.log, request, result, { tookMs, expectedMs })
+        const expectedMs = this.accuracy.recordEnd(request, isMeasured ? tookMs : undefined, now)
+        logStagesEnded(this.dependencies.log, request, result, { tookMs, expectedMs })
         resolve(result.map(inputs => this.assignEngine(request, inputs, now)))
       }
       const cancel = (): void => {
@@ -128,7 +128,7 @@
    * use result memory, so the backend servers are asked for what is free.
    */
   takeOver(): void {
-    this.handingOver = false
+    this.isStopping = false
     for (const pool of this.pools.values())
       pool.readFreeMemory()
   }
@@ -146,7 +146,7 @@
    * slow gateway to the next and back.
    */
   handOver(isStopping: boolean): void {
-    this.handingOver ||= isStopping
+    this.isStopping ||= isStopping
     for (const run of [...this.runs.values()])
       run.handOver()
   }
@@ -156,69 +156,69 @@
   }
 
   private admit(request: PreparationRequest, now: number, end: PreparationListener): void {
-    if (this.handingOver) {
+    if (this.isStopping) {
       end(Err({ kind: PreparationFailureKind.HandedOver, message: 'the coordinator is stopping', retryAfterMs: 0 }))
       return
     }
-    const reading = this.expectReading(request, now)
-    const work = this.describeWork(request, reading, now)
+    const prefill = this.estimatePrefill(request, now)
+    const candidate = this.createCandidate(request, prefill, now)
     if (request.progress !== undefined)
-      return this.start(work, end)
-    const decision = decideAdmission(work, this.runs.values(), service => this.pools.get(service)?.pace())
-    logAdmission(this.parts.log, work, decision, this.runs.size)
+      return this.start(candidate, end)
+    const decision = decideAdmission(candidate, this.runs.values(), service => this.pools.get(service)?.throughput())
+    logAdmission(this.dependencies.log, candidate, decision, this.runs.size)
     if (decision.isAdmitted) {
-      this.accuracy.admitted(request, decision.stagesMs)
-      return this.start(work, end)
+      this.accuracy.recordAdmission(request, decision.stagesMs)
+      return this.start(candidate, end)
     }
     const message = `the stages would take ${Math.round(decision.finishMs)} ms`
     end(Err({ kind: PreparationFailureKind.Overloaded, message, retryAfterMs: decision.retryAfterMs }))
   }
 
-  private start(work: ApplyingWork, end: PreparationListener): void {
-    const { requestId } = work.request
+  private start(candidate: AdmissionCandidate, end: PreparationListener): void {
+    const { requestId } = candidate.request
     this.release(requestId)
-    const run = new RequestStages(work, service => this.pools.get(service), end)
+    const run = new RequestStages(candidate, service => this.pools.get(service), end)
     this.runs.set(requestId, run)
-    setTimeout(() => this.runs.get(requestId) === run && this.release(requestId), MAX_HOLD_MS).unref()
+    setTimeout(() => this.runs.get(requestId) === run && this.release(requestId), MAX_RESULT_HOLD_MS).unref()
     run.start()
   }
 
   /** A request as admission and the stages see it: read in the failure domain of the engine that would read it now. */
-  private describeWork(request: PreparationRequest, reading: ExpectedReading | undefined, now: number): ApplyingWork {
-    const answerMs = reading ? reading.firstEventMs + ANSWER_OVERHEAD_MS : PLAIN_ANSWER_MS
+  private createCandidate(request: PreparationRequest, prefill: ExpectedPrefill | undefined, now: number): AdmissionCandidate {
+    const answerMs = prefill ? prefill.firstEventMs + ANSWER_OVERHEAD_MS : ANSWER_WITHOUT_ENGINE_MS
     return {
-      request: { ...request, failureDomain: reading?.engine.failureDomain ?? request.failureDomain },
+      request: { ...request, failureDomain: prefill?.engine.failureDomain ?? request.failureDomain },
       rank: rankRequest(request, answerMs, now),
       answerMs,
-      accuracyFactor: this.accuracy.factorFor(request, now),
+      correctionFactor: this.accuracy.factorFor(request, now),
     }
   }
 
   /** The engine that would read the results of a request now. */
-  private expectReading(request: PreparationRequest, now: number): ExpectedReading | undefined {
+  private estimatePrefill(request: PreparationRequest, now: number): ExpectedPrefill | undefined {
     const { requestId, prompt = [], failureDomain } = request
-    return this.engines.choose({ requestId, prompt, failureDomain, bytes: 0 }, this.enginesFor(request, now), now)
+    return this.engines.choose({ requestId, prompt, failureDomain, bytes: 0 }, this.eligibleEngines(request, now), now)
   }
 
   private assignEngine(request: PreparationRequest, inputs: PreparedInputs, now: number): PreparedInputs {
     const { requestId, prompt = [] } = request
-    const engine = this.engines.assign({ requestId, prompt, ...inputs }, this.enginesFor(request, now), now)
+    const engine = this.engines.assign({ requestId, prompt, ...inputs }, this.eligibleEngines(request, now), now)
     if (!engine)
       return inputs
-    this.parts.coldPace.note(engine, now)
+    this.dependencies.coldPace.note(engine, now)
     return { ...inputs, engine: engine.id }
   }
 
   /** The engines that may answer a request now; one that names a limit only where all do, since each gateway waits for its turns there. */
-  private enginesFor({ prompt, service }: PreparationRequest, now: number): Backend[] {
+  private eligibleEngines({ prompt, service }: PreparationRequest, now: number): Backend[] {
     const engines = prompt && service ? this.backends.available(service) : []
-    const open = engines.filter(engine => this.parts.coldPace.mayTake(engine, now))
+    const open = engines.filter(engine => this.dependencies.coldPace.mayTake(engine, now))
     const unlimited = open.filter(({ intake }) => intake.limitPerSecond === undefined)
     return unlimited.length > 0 ? unlimited : open
   }
 
   /** Gives a service's pool the backend servers that take work. */
-  private refresh(service: string): void {
+  private refreshPool(service: string): void {
     this.pools.get(service)?.setBackends(this.backends.available(service))
   }
 
--- a/packages/gateway/src/process/stages/stage-coordinators.ts
+++ b/packages/gateway/src/process/stages/stage-coordinators.ts
@@ -9,13 +9,13 @@
 import type { StageShard } from '../../connection/peers/stage-shard.js'
 import type { RouteTable } from '../../version/route-table.js'
 import type { BackendRegistry } from '../backend-registry.js'
-import type { StageCoordinatorParts } from './stage-coordinator.js'
+import type { StageCoordinatorDependencies } from './stage-coordinator.js'
 import { decodeShard, WHOLE_SHARD } from '../../connection/peers/stage-shard.js'
 import { ShardBackends } from './shard-backends.js'
 import { StageCoordinator } from './stage-coordinator.js'
 
 /** What the coordinators work with. */
-export interface StageCoordinatorsParts extends StageCoordinatorParts {
+export interface StageCoordinatorsDependencies extends StageCoordinatorDependencies {
   registry: BackendRegistry
 }
 
@@ -38,10 +38,10 @@
   private table: RouteTable | undefined
   private leaving = false
 
-  constructor(private readonly parts: StageCoordinatorsParts) {}
+  constructor(private readonly dependencies: StageCoordinatorsDependencies) {}
 
   prepare(request: PreparationRequest, signal: AbortSignal): Promise<Result<PreparedInputs, PreparationFailure>> {
-    return this.of(request.shard ?? WHOLE_SHARD.name).prepare(request, signal)
+    return this.coordinatorFor(request.shard ?? WHOLE_SHARD.name).prepare(request, signal)
   }
 
   release(requestId: string): void {
@@ -57,7 +57,7 @@
   }
 
   /** A shard has another coordinator. */
-  takeChange(shard: StageShard, role: CoordinatorRole): void {
+  applyRole(shard: StageShard, role: CoordinatorRole): void {
     if (role === CoordinatorRole.Leaves)
       this.leaving = true
     // A leaving gateway is chosen only where no other is left: then it takes what comes.
@@ -76,11 +76,11 @@
       coordinator.stop()
   }
 
-  private of(shardName: string): StageCoordinator {
+  private coordinatorFor(shardName: string): StageCoordinator {
     const existing = this.byShard.get(shardName)
     if (existing)
       return existing
-    const created = new StageCoordinator(new ShardBackends(this.parts.registry, decodeShard(shardName)), this.parts)
+    const created = new StageCoordinator(new ShardBackends(this.dependencies.registry, decodeShard(shardName)), this.dependencies)
     this.byShard.set(shardName, created)
     if (this.table)
       created.applyConfiguration(this.table)
--- a/packages/gateway/src/process/stages/stage-log.ts
+++ b/packages/gateway/src/process/stages/stage-log.ts
@@ -8,7 +8,7 @@
 import type { PreparationFailure, PreparationRequest, PreparedInputs } from '../../connection/peers/preparation.js'
 import type { StageBackend } from './backend/stage-backend.js'
 import type { PoolItem } from './pool/pool-task.js'
-import type { AdmissionDecision, ApplyingWork } from './stage-admission.js'
+import type { AdmissionCandidate, AdmissionDecision } from './stage-admission.js'
 
 /** A call of a backend server ended. */
 export function logStageCall(
@@ -39,7 +39,7 @@
 }
 
 /** A request was admitted or refused. */
-export function logAdmission(log: EventLog, { request, answerMs }: ApplyingWork, decision: AdmissionDecision, requestsUnderWay: number): void {
+export function logAdmission(log: EventLog, { request, answerMs }: AdmissionCandidate, decision: AdmissionDecision, requestsUnderWay: number): void {
   log.write('stages-admission', {
     request: request.requestId,
     decision: decision.isAdmitted ? 'in-time' : 'refused',
--- a/test/gateway/admission-accuracy.test.ts
+++ b/test/gateway/admission-accuracy.test.ts
@@ -16,8 +16,8 @@
 function createLearned(tookMs: number | undefined, requests = 50): AdmissionAccuracy {
   const accuracy = new AdmissionAccuracy()
   for (let count = 0; count < requests; count++) {
-    accuracy.admitted(createRequest(), EXPECTED_MS)
-    accuracy.ended(createRequest(), tookMs, 0)
+    accuracy.recordAdmission(createRequest(), EXPECTED_MS)
+    accuracy.recordEnd(createRequest(), tookMs, 0)
   }
   return accuracy
 }
@@ -46,27 +46,27 @@
   test('learns nothing of work that was abandoned, or that was not admitted here', () => {
     expect(createLearned(undefined).factorFor(createRequest(), 0)).toBe(1)
     const accuracy = new AdmissionAccuracy()
-    expect(accuracy.ended(createRequest(), 900, 0)).toBeUndefined()
+    expect(accuracy.recordEnd(createRequest(), 900, 0)).toBeUndefined()
     expect(accuracy.factorFor(createRequest(), 0)).toBe(1)
   })
 
   test('tells what was expected', () => {
     const accuracy = new AdmissionAccuracy()
-    accuracy.admitted(createRequest(), EXPECTED_MS)
-    expect(accuracy.ended(createRequest(), 500, 0)).toBe(400)
+    accuracy.recordAdmission(createRequest(), EXPECTED_MS)
+    expect(accuracy.recordEnd(createRequest(), 500, 0)).toBe(400)
   })
 
   test('refuses work that would be in time by the plain estimate alone', () => {
     const pace = { backends: 1, itemMs: 100, callMs: 300 }
     const ahead = [{ rank: 0, remainingItems: () => 6 }]
-    const decide = (accuracyFactor: number) => decideAdmission({ request: createRequest(), rank: 1, answerMs: ANSWER_MS, accuracyFactor }, ahead, () => pace)
+    const decide = (accuracyFactor: number) => decideAdmission({ request: createRequest(), rank: 1, answerMs: ANSWER_MS, correctionFactor: accuracyFactor }, ahead, () => pace)
     expect(decide(1)).toMatchObject({ isAdmitted: true, finishMs: 950, stagesMs: 700 })
     expect(decide(1.5)).toMatchObject({ isAdmitted: false, finishMs: 1150, stagesMs: 700 })
   })
 
   test('corrects the wait alone, so that nothing is refused where nothing goes before', () => {
     const pace = { backends: 1, itemMs: 100, callMs: 300 }
-    const decision = decideAdmission({ request: createRequest(), rank: 1, answerMs: ANSWER_MS, accuracyFactor: 2.5 }, [], () => pace)
+    const decision = decideAdmission({ request: createRequest(), rank: 1, answerMs: ANSWER_MS, correctionFactor: 2.5 }, [], () => pace)
     expect(decision).toMatchObject({ isAdmitted: true, finishMs: 550, stagesMs: 300 })
   })
 })
--- a/test/gateway/engine-assignment.test.ts
+++ b/test/gateway/engine-assignment.test.ts
@@ -80,7 +80,7 @@
     const assignments = new EngineAssignments()
     const long = createRequest({ prompt: [{ id: 'long', tokens: 40_000 }] })
     const busy = assignments.assign(long, ENGINES, 0)!
-    assignments.forget(busy.id)
+    assignments.removeEngine(busy.id)
     assignments.release(long.requestId, 100)
     expect(assignments.assign(createRequest({ failureDomain: busy.failureDomain, bytes: 8_000_000 }), ENGINES, 100)).toBe(busy)
   })
--- a/test/gateway/restarted-backends.test.ts
+++ b/test/gateway/restarted-backends.test.ts
@@ -63,7 +63,7 @@
 
   test('is not taken for one that has read what its earlier process read', () => {
     const engines = new EngineAssignments()
-    registry.listen({ removed: backend => engines.forget(backend.id) })
+    registry.listen({ removed: backend => engines.removeEngine(backend.id) })
     const request = { requestId: 'id-1', prompt: [{ id: 'shared', tokens: 5000 }, { id: 'own', tokens: 10 }], failureDomain: 'zone-a', bytes: 0 }
     engines.assign(request, registry.available('plain'), 0)
     const readAgain = engines.choose({ ...request, requestId: 'id-2' }, registry.available('plain'), 10)!.firstEventMs
--- a/test/gateway/shard-choice.test.ts
+++ b/test/gateway/shard-choice.test.ts
@@ -1,5 +1,5 @@
 import type { PreparationRequest } from '@eidermast/gateway'
-import { BackendRegistry, createShard, ShardsByPrompt, WHOLE_SHARD } from '@eidermast/gateway'
+import { BackendRegistry, createShard, PromptShardChoice, WHOLE_SHARD } from '@eidermast/gateway'
 import { describe, expect, test } from 'vitest'
 import { createLog, createRecord } from './support/fakes.js'
 
@@ -16,10 +16,10 @@
   const services = { encode, rerank }
   for (const [service, domains] of Object.entries(services))
     [...domains].forEach((failureDomain, number) => registry.upsert(createRecord({ id: `${service}-${number}`, service, failureDomain })))
-  return new ShardsByPrompt({ shards: SHARDS }, registry)
+  return new PromptShardChoice({ shards: SHARDS }, registry)
 }
 
-function preferredShards(choice: ShardsByPrompt, count = 3000): string[] {
+function preferredShards(choice: PromptShardChoice, count = 3000): string[] {
   return Array.from({ length: count }, (_, number) => choice.order(createRequest(number))[0].name)
 }
 
--- a/test/gateway/stage-admission.test.ts
+++ b/test/gateway/stage-admission.test.ts
@@ -1,8 +1,8 @@
-import type { CommittedWork, PreparationRequest, PreparationStage, ServicePace } from '@eidermast/gateway'
+import type { AdmittedWork, PreparationRequest, PreparationStage, ServiceThroughput } from '@eidermast/gateway'
 import { decideAdmission, rankRequest } from '@eidermast/gateway'
 import { describe, expect, test } from 'vitest'
 
-const PACE: ServicePace = { backends: 1, itemMs: 100, callMs: 300 }
+const PACE: ServiceThroughput = { backends: 1, itemMs: 100, callMs: 300 }
 const CHAIN: PreparationStage[] = [
   { service: 'encode', dependsOn: [], resultBytes: 10, items: 1 },
   { service: 'rerank', dependsOn: [0], resultBytes: 10, items: 1 },
@@ -12,12 +12,12 @@
   return { requestId: 'request-1', stages: CHAIN, key: '', priority: 0, targetMs: 1000, deadlineMs: 4000, isRetry: false, failureDomain: 'domain-a', ...overrides }
 }
 
-function decide(request: PreparationRequest, ahead: CommittedWork[], answerMs = 100) {
-  return decideAdmission({ request, rank: 1, answerMs, accuracyFactor: 1 }, ahead, () => PACE)
+function decide(request: PreparationRequest, ahead: AdmittedWork[], answerMs = 100) {
+  return decideAdmission({ request, rank: 1, answerMs, correctionFactor: 1 }, ahead, () => PACE)
 }
 
 /** Admitted work with items of one service left. */
-function work(service: string, items: number, rank = 0): CommittedWork {
+function work(service: string, items: number, rank = 0): AdmittedWork {
   return { rank, remainingItems: other => other === service ? items : 0 }
 }
 
@@ -44,7 +44,7 @@
   })
 
   test('refuses at once what has no backend server', () => {
-    const decision = decideAdmission({ request: createRequest(), rank: 1, answerMs: 100, accuracyFactor: 1 }, [], () => ({ ...PACE, backends: 0 }))
+    const decision = decideAdmission({ request: createRequest(), rank: 1, answerMs: 100, correctionFactor: 1 }, [], () => ({ ...PACE, backends: 0 }))
     expect(decision).toMatchObject({ isAdmitted: false, finishMs: Number.POSITIVE_INFINITY })
   })
 })
--- a/test/gateway/stage-coordinators.test.ts
+++ b/test/gateway/stage-coordinators.test.ts
@@ -66,7 +66,7 @@
     const request = (requestId: string, shard: string) => coordinators.prepare(createStageRequest({ requestId, shard, targetMs: 9000, deadlineMs: 9000 }), NEVER)
     const inA = ['a-1', 'a-2', 'a-3', 'a-4'].map(id => request(id, 'a'))
     const inB = request('b-1', 'b')
-    coordinators.takeChange(createShard(['a']), CoordinatorRole.HandsOver)
+    coordinators.applyRole(createShard(['a']), CoordinatorRole.HandsOver)
     await vi.advanceTimersByTimeAsync(2000)
     const ended = await Promise.all(inA)
     expect(ended.some(result => result.isErr() && result.error.kind === PreparationFailureKind.HandedOver)).toBe(true)
@@ -76,7 +76,7 @@
 
   test('take no work of any shard while this gateway is leaving', async () => {
     const { coordinators } = createCoordinators()
-    coordinators.takeChange(createShard(['a']), CoordinatorRole.Leaves)
+    coordinators.applyRole(createShard(['a']), CoordinatorRole.Leaves)
     const result = await coordinators.prepare(createStageRequest({ shard: 'b' }), NEVER)
     expect(result.isErr() && result.error.kind).toBe(PreparationFailureKind.HandedOver)
     coordinators.stop()
@@ -87,8 +87,8 @@
   // shard that it did not coordinate before. Cause: what it remembered of its stop was undone for known shards only.
   test('take work of any shard again when a leaving gateway is the one that is left', async () => {
     const { coordinators } = createCoordinators()
-    coordinators.takeChange(createShard(['a']), CoordinatorRole.Leaves)
-    coordinators.takeChange(createShard(['b']), CoordinatorRole.Coordinates)
+    coordinators.applyRole(createShard(['a']), CoordinatorRole.Leaves)
+    coordinators.applyRole(createShard(['b']), CoordinatorRole.Coordinates)
     const prepared = coordinators.prepare(createStageRequest({ shard: 'b' }), NEVER)
     await vi.advanceTimersByTimeAsync(1000)
     expect((await prepared).isOk()).toBe(true)
