--- a/packages/gateway/src/process/stages/backend/result-deleter.ts
+++ b/packages/gateway/src/process/stages/backend/result-deleter.ts
@@ -1,23 +1,21 @@
 /**
- * Deletes results at their backend servers, a few at a time in one call. Owns
- * the handles that wait for their call (some milliseconds). A deletion that
- * fails, or is lost with the process, costs memory only until the result
- * expires.
+ * Deletes results at their backend servers in batches. Owns the handles that
+ * wait for their batch, for a few milliseconds. A deletion that fails, or is
+ * lost with the process, only keeps the memory in use until the result expires.
  */
 import type { IntakeGate } from '../../../connection/backends/intake-gate.js'
 import type { StageClient } from '../../../connection/backends/stage-client.js'
 import type { ResultHolder, StageResult } from '../../../request/stages/stage-task.js'
 
 /**
- * Milliseconds that a deletion waits for others to share its call. Commit
- * 5dc1342 went from 15 to 5, with other changes. Twice as much keeps memory
- * used longer, half sends more calls.
+ * Milliseconds that a deletion waits to share a call with others. A longer
+ * delay keeps memory in use; a shorter one sends more calls.
  */
 const FREE_DELAY_MS = 5
 /**
- * The same at a backend server that names a limit, where each deletion takes the
- * place of a call. Far enough below the lifetime of results, after which they
- * end by themselves.
+ * The same delay at a backend server with a rate limit, where each deletion
+ * takes the place of a stage call. Well below the lifetime of results, which
+ * expire by themselves after it.
  */
 const LIMITED_FREE_DELAY_MS = 1500
 
@@ -25,14 +23,14 @@
 export class ResultDeleter {
   private readonly pending = new Map<ResultHolder, string[]>()
 
-  /** The listener is called when a backend server has confirmed deletions. */
+  /** `onFreed` is called when a backend server has confirmed deletions. */
   constructor(
     private readonly client: StageClient,
     private readonly intake: Pick<IntakeGate, 'waitMs'>,
     private readonly onFreed: () => void,
   ) {}
 
-  /** Deletes a result soon; one whose deletion is under way is left alone. */
+  /** Schedules the deletion of a result; does nothing if it is already being deleted. */
   free({ handle, holder }: StageResult): void {
     if (!holder.markFreeing(handle))
       return
@@ -47,7 +45,7 @@
     setTimeout(() => this.flush(holder, batch), isLimited ? LIMITED_FREE_DELAY_MS : FREE_DELAY_MS)
   }
 
-  /** Deletions wait where the backend server takes no call now; more may join them meanwhile. */
+  /** Sends a batch; postponed while the backend server accepts no calls, and more deletions may join it meanwhile. */
   private flush(holder: ResultHolder, handles: readonly string[]): void {
     const waitMs = this.intake.waitMs(holder.backend)
     if (waitMs > 0) {
--- a/packages/gateway/src/process/stages/backend/result-memory.ts
+++ b/packages/gateway/src/process/stages/backend/result-memory.ts
@@ -1,10 +1,10 @@
 /**
  * Accounts for the result memory of one backend server: bytes reserved for
  * items in calls, and results until they are deleted or expire. Owns these
- * records while the backend server takes work or a result of it is referenced.
- * Relies on the configured memory and lifetime, and on the deletion calls'
- * answers. Nothing is kept when the process dies: the next coordinator starts
- * from what the backend servers report as free.
+ * records while the backend server accepts work or one of its results is
+ * referenced. Relies on the configured memory size and result lifetime, and on
+ * the responses to deletion calls. Nothing is persisted: the next coordinator
+ * starts from the free memory that the backend servers report.
  */
 import type { Backend } from '../../../connection/backends/backend.js'
 import type { ResultHolder } from '../../../request/stages/stage-task.js'
@@ -12,30 +12,30 @@
 import { MEMORY_EXHAUSTED_MS } from './backend-pause.js'
 
 /**
- * Share of the result memory that is planned with, since sizes of results are
- * estimates. Commit 1e05cb6: at 0.93, calls of one service held 8 of 12 items.
+ * Share of the result memory that may be reserved; result sizes are estimates.
+ * At 0.93, calls of one service had memory for only 8 of 12 items.
  */
 const USABLE_MEMORY_SHARE = 0.97
 /**
- * Results this near to their expiry are not sent to a reader, in milliseconds.
- * Half of it risks calls whose inputs expire on the way, twice
- * as much runs items again that could still be read.
+ * Results that expire within this time are not passed to a reader. A shorter
+ * margin risks calls whose inputs expire in transit; a longer one runs items
+ * again whose results could still be read.
  */
 const EXPIRY_MARGIN_MS = 100
 
-/** Entry for all results that this process did not ask for. */
+/** Key of the entry for all results that this process did not request. */
 const FOREIGN_RESULTS = 'foreign results'
-/** Entry for bytes that were counted as free and turned out not to be. */
+/** Key of the entry for bytes that were counted as free but were not available. */
 const UNACCOUNTED_BYTES = 'unaccounted results'
 
 interface HeldResult {
   bytes: number
   expiresAt: number
-  /** Its deletion is under way; its bytes are free when the backend server has confirmed it. */
+  /** A deletion call is in progress; the bytes stay counted until the backend server confirms it. */
   freeing: boolean
 }
 
-/** The result memory of one backend server; times are on the process clock, in milliseconds. */
+/** Result memory of one backend server; times are in milliseconds on the process clock. */
 export class ResultMemory implements ResultHolder {
   private usedBytes = 0
   private brokenCalls = 0
@@ -51,7 +51,7 @@
     this.limits = limits
   }
 
-  /** Bytes that may be reserved; negative where others use more than is planned with. */
+  /** Bytes that may be reserved; negative if other coordinators use more than the usable share leaves. */
   freeBytes(): number {
     return this.limits.resultMemoryBytes * USABLE_MEMORY_SHARE - this.usedBytes
   }
@@ -61,22 +61,22 @@
     this.usedBytes += bytes
   }
 
-  /** Returns reserved memory that no result uses. */
+  /** Returns reserved memory for which no result was produced. */
   release(bytes: number): void {
     this.usedBytes = Math.max(0, this.usedBytes - bytes)
   }
 
-  /** A result uses its reserved bytes until it is deleted or expires. */
+  /** Records a result; its reserved bytes stay in use until it is deleted or expires. */
   hold(handle: string, bytes: number, now: number, lifetimeMs = this.limits.resultLifetimeMs): void {
     this.held.set(handle, { bytes, expiresAt: now + lifetimeMs, freeing: false })
   }
 
-  /** A call broke off: what it may have made uses its reserved bytes until it expires. */
+  /** Keeps the reserved bytes of a broken call until its results, if there are any, have expired. */
   holdBrokenCall(bytes: number, now: number): void {
     this.hold(`broken call ${this.brokenCalls++}`, bytes, now)
   }
 
-  /** Counts a result of an earlier coordinator as this one's. */
+  /** Takes over a result of an earlier coordinator, which may already be counted in FOREIGN_RESULTS. */
   adopt(handle: string, bytes: number, remainingMs: number, now: number): void {
     const foreign = this.held.get(FOREIGN_RESULTS)
     const alreadyCounted = Math.min(bytes, foreign?.bytes ?? 0)
@@ -86,7 +86,7 @@
     this.hold(handle, bytes, now, remainingMs)
   }
 
-  /** Counts what the backend server reports as used beyond this process's own, until it expires. */
+  /** Counts bytes that the backend server reports as used and that this process does not account for, until they expire. */
   recordReportedFree(freeBytes: number, now: number): void {
     this.drop(FOREIGN_RESULTS)
     const bytes = this.limits.resultMemoryBytes - freeBytes - this.usedBytes
@@ -96,7 +96,7 @@
     this.hold(FOREIGN_RESULTS, bytes, now)
   }
 
-  /** An item found no memory: all that was counted as free counts as used for a while. */
+  /** An item found no memory: counts all free memory as used for MEMORY_EXHAUSTED_MS. */
   markExhausted(now: number): void {
     this.drop(UNACCOUNTED_BYTES)
     const bytes = Math.max(0, this.freeBytes())
@@ -129,7 +129,7 @@
     this.release(result.bytes)
   }
 
-  /** Forgets expired results. */
+  /** Removes expired results. */
   expire(now: number): void {
     for (const [handle, result] of this.held) {
       if (result.expiresAt <= now)
--- a/packages/gateway/src/process/stages/backend/stage-backend.ts
+++ b/packages/gateway/src/process/stages/backend/stage-backend.ts
@@ -1,7 +1,7 @@
 /**
- * One backend server of a stage service as its pool accounts for it: calls
- * under way, pauses, measured speed and result memory. Owns this state while
- * the backend server takes work; nothing is kept when the process dies.
+ * State of one stage backend server in its pool: calls in progress, pauses,
+ * measured speed and result memory. Owns this state while the backend server
+ * accepts work; nothing is persisted.
  */
 import type { Backend } from '../../../connection/backends/backend.js'
 import type { IntakeGate } from '../../../connection/backends/intake-gate.js'
@@ -10,22 +10,23 @@
 import { ResultMemory } from './result-memory.js'
 
 /**
- * Weight of the newest call in the measured speed. Half of it notices a slowed
- * backend server late, twice as much follows single calls.
+ * Weight of the newest call in the moving average of the measured speed. A
+ * lower one detects a slowed backend server late; a higher one follows single
+ * calls.
  */
 const SPEED_EWMA_WEIGHT = 0.4
-/** Bounds of a measured time over the configured one. They keep one odd call from deciding for long. */
+/** Bounds of measured over configured time, so that one outlier does not dominate the average. */
 const MAX_SLOWDOWN = 20
 /** See MAX_SLOWNESS. */
 const MIN_SLOWDOWN = 0.5
 
 const MILLISECONDS_PER_SECOND = 1000
 
-/** Accounts for one backend server; times are on the process clock, in milliseconds. */
+/** State of one backend server; times are in milliseconds on the process clock. */
 export class StageBackend {
   readonly memory: ResultMemory
   private callsUnderWay = 0
-  /** When the call under way should end. */
+  /** Expected end of the call in progress. */
   private busyUntil = 0
   private pausedUntil = 0
   private failures = 0
@@ -44,9 +45,9 @@
   }
 
   /**
-   * Time between full calls over the configured time of one: as measured, or as
-   * its limit of calls a second allows; infinite while it rests for longer than
-   * a call.
+   * Time between full calls over the configured time of one, as measured or as
+   * imposed by the rate limit of the backend server; infinite while it asks for
+   * no calls for longer than a full call takes.
    */
   slowdownFactor(now: number): number {
     const { intake } = this.backend
@@ -69,30 +70,30 @@
     return this.callsUnderWay < this.limits.concurrency && now >= this.pausedUntil && this.intake.waitMs(this.backend) === 0
   }
 
-  /** Whether it gets work at all now, or after the call under way. */
+  /** Whether it gets calls now, or as soon as the call in progress ends. */
   isUsable(now: number): boolean {
     return now >= this.pausedUntil
   }
 
-  /** Milliseconds until it could start another call. */
+  /** Milliseconds until another call can start. */
   msUntilNextCall(now: number): number {
     const busy = this.callsUnderWay >= this.limits.concurrency ? Math.max(1, this.busyUntil - now) : 0
     return Math.max(busy, this.pausedUntil - now, this.intake.waitMs(this.backend))
   }
 
-  /** Expected time of a call, in milliseconds. */
+  /** Expected duration of a call with some items, in milliseconds. */
   expectedCallMs(items: number): number {
     return (this.limits.callMs + this.limits.itemMs * items) * this.slowdown
   }
 
-  /** A call starts; its results may use some bytes. */
+  /** Records the start of a call and reserves memory for its results. */
   startCall(items: number, bytes: number, now: number): void {
     this.callsUnderWay++
     this.memory.reserve(bytes)
     this.busyUntil = now + this.expectedCallMs(items)
   }
 
-  /** A call was answered; its time counts as a measurement where every item has a result. */
+  /** Records an answered call. Its duration is a valid sample only if every item has a result. */
   succeed(items: number, tookMs: number, hasAllResults: boolean): void {
     this.callsUnderWay--
     this.failures = 0
@@ -103,7 +104,7 @@
     this.slowdown += (bounded - this.slowdown) * SPEED_EWMA_WEIGHT
   }
 
-  /** A call failed as a whole; returns the pause that follows, in milliseconds. */
+  /** Records a failed call and returns the pause that follows, in milliseconds. */
   fail(now: number): number {
     this.callsUnderWay--
     const pauseMs = failurePauseMs(this.failures)
@@ -112,7 +113,7 @@
     return pauseMs
   }
 
-  /** An item found no memory, against this account. */
+  /** An item found no memory although this account had reserved it. */
   pauseForMemory(now: number): void {
     this.pausedUntil = now + MEMORY_PAUSE_MS
     this.memory.markExhausted(now)
--- a/packages/gateway/src/process/stages/engine-assignment.ts
+++ b/packages/gateway/src/process/stages/engine-assignment.ts
@@ -183,9 +183,9 @@
   }
 
   private cost({ prompt, failureDomain, bytes }: EngineRequest, engine: Backend, isHome: boolean, now: number): EngineCost {
-    const { pendingTokens: tokensToRead, msPerToken: tokenMs } = this.stateOf(engine)
+    const { pendingTokens, msPerToken } = this.stateOf(engine)
     const uncachedTokens = this.uncachedTokens(prompt, engine, isHome, now)
-    const prefillMs = (tokensToRead + ownTokens(prompt) + uncachedTokens) * tokenMs
+    const prefillMs = (pendingTokens + ownTokens(prompt) + uncachedTokens) * msPerToken
     const transferMs = engine.failureDomain === failureDomain ? 0 : bytes / CROSS_DOMAIN_BYTES_PER_MS
     return { engine, uncachedTokens, firstEventMs: FIXED_OVERHEAD_MS + prefillMs, costMs: prefillMs + uncachedTokens * RECOMPUTE_COST_MS_PER_TOKEN + transferMs }
   }
--- a/packages/gateway/src/process/stages/pool/call-forecasts.ts
+++ b/packages/gateway/src/process/stages/pool/call-forecasts.ts
@@ -1,19 +1,19 @@
 /**
- * What is expected of the usable backend servers of a pool at one moment, for
- * everything that is weighed then.
+ * When each usable backend server of a pool can start its next call, evaluated
+ * once for all decisions of a dispatch.
  */
 
-/** What is expected of a backend server; times are on the process clock, in milliseconds. */
+/** Expected availability of a backend server; `now` is in milliseconds on the process clock. */
 export interface BackendForecast {
   readonly failureDomain: string
   isUsable: (now: number) => boolean
-  /** Milliseconds until it could start another call. */
+  /** Milliseconds until another call can start. */
   msUntilNextCall: (now: number) => number
-  /** Expected time of a call, in milliseconds. */
+  /** Expected duration of a call with some items, in milliseconds. */
   expectedCallMs: (items: number) => number
 }
 
-/** The usable backend servers, and when each could start a call. */
+/** The usable backend servers, and when each can start a call. */
 export class CallForecasts<Forecast extends BackendForecast = BackendForecast> {
   private readonly entries: { startsInMs: number, forecast: Forecast }[] = []
 
@@ -24,17 +24,17 @@
     }
   }
 
-  /** Those of a failure domain. */
+  /** The usable backend servers of a failure domain. */
   inDomain(failureDomain: string): Forecast[] {
     return this.entries.flatMap(({ forecast }) => forecast.failureDomain === failureDomain ? [forecast] : [])
   }
 
-  /** How many could start a call within some milliseconds. */
+  /** Number of backend servers that can start a call within some milliseconds. */
   countStartingWithin(milliseconds: number): number {
     return this.entries.filter(({ startsInMs }) => startsInMs <= milliseconds).length
   }
 
-  /** The failure domain of the first backend server that suits; undefined where none does. */
+  /** The failure domain of the first backend server that satisfies the predicate. */
   find(predicate: (failureDomain: string, startsInMs: number, forecast: Forecast) => boolean): string | undefined {
     for (const { startsInMs, forecast } of this.entries) {
       if (predicate(forecast.failureDomain, startsInMs, forecast))
--- a/packages/gateway/src/process/stages/pool/call-timeout.ts
+++ b/packages/gateway/src/process/stages/pool/call-timeout.ts
@@ -1,21 +1,22 @@
 /**
- * Decides after what time a stage call without an answer is aborted.
+ * Decides after what time a stage call without a response is aborted.
  *
- * Inputs: expected time of the call (ms, from the configured times and the
+ * Inputs: expected duration of the call (ms, from the configured times and the
  * measured speed of the backend server).
- * Rule: TIMEOUT_FACTOR times the expected time, and TIMEOUT_MARGIN_MS.
- * Why: the slot of a backend server is serial, so that a second coordinator's
- * call may run before this one; a timeout near the expected time would abort
- * calls whose results are made all the same and use memory until they expire.
+ * Rule: TIMEOUT_FACTOR times the expected duration, plus TIMEOUT_MARGIN_MS.
+ * Why: backend servers run calls one at a time, so the call of a second
+ * coordinator may run before this one. A timeout near the expected duration
+ * would abort calls whose results are produced anyway and use memory until they
+ * expire.
  * Log event: `stage-call` (tookMs, expectedMs, end `broken`).
  */
 
 /**
- * At half of it a call behind another coordinator's is aborted, at twice as
- * much a silent backend server holds its items for seconds.
+ * A lower factor aborts calls queued behind those of another coordinator; a
+ * higher one lets an unresponsive backend server hold its items for seconds.
  */
 const TIMEOUT_FACTOR = 2.5
-/** Milliseconds. Covers connecting and a slow answer where calls are short. */
+/** Covers connection set-up and slow responses where calls are short. */
 const TIMEOUT_MARGIN_MS = 400
 
 /** Time after which a call is aborted, in milliseconds. */
--- a/packages/gateway/src/process/stages/pool/domain-wait.ts
+++ b/packages/gateway/src/process/stages/pool/domain-wait.ts
@@ -1,43 +1,42 @@
 /**
- * Decides whether a task runs at an idle backend server now or waits for one in
- * a failure domain that fewer of its bytes have to cross.
+ * Decides whether a task runs on an idle backend server now or waits for one
+ * in a failure domain with less cross-domain traffic for this task.
  *
  * Inputs: bytes of the task's inputs and results by failure domain; expected
- * start and call time of every backend server of the pool (ms, from the calls
- * under way and the measured speed, at most one call old); time left to the
- * target (ms).
- * Rule: wait where another usable backend server would cost fewer crossing
- * bytes and its end would be later by less than the bytes saved are worth,
- * never longer than MAX_DOMAIN_WAIT_MS and never into TARGET_MARGIN_MS before
+ * start and duration of a call on every backend server of the pool (ms, from the
+ * calls in progress and the measured speed, at most one call old); time left to
+ * the target (ms).
+ * Rule: wait if another usable backend server would need fewer cross-domain
+ * bytes and the later end costs less than the bytes saved are worth, but never
+ * longer than MAX_DOMAIN_WAIT_MS and never into the last TARGET_MARGIN_MS before
  * the target.
- * Why: crossing bytes are paid by everybody, a delay by one request. A least
- * cost of waiting and bytes and a shorter wait of 120 ms gained nothing.
+ * Why: cross-domain traffic is a cost to all requests, a delay to one only.
+ * Minimising the sum of waiting time and bytes, and a wait of at most 120 ms,
+ * gained nothing.
  * Log event: `stage-call` (failureDomain of the backend server that ran it).
  */
 import type { StageTask } from '../../../request/stages/stage-task.js'
 import type { BackendForecast, CallForecasts } from './call-forecasts.js'
 
-/**
- * Longest wait for a better failure domain, in milliseconds. 200 ms and 120 ms
- * were taken back in cb069cb: within the spread.
- */
+/** Longest wait for a better failure domain. Limits of 200 ms and 120 ms made no significant difference. */
 const MAX_DOMAIN_WAIT_MS = 400
 /**
- * Time kept before the target, in milliseconds. Half of it risks targets to
- * save bytes, twice as much crosses domains more often.
+ * Time kept free before the target. A smaller margin risks the target to save
+ * bytes; a larger one causes more cross-domain traffic.
  */
 const TARGET_MARGIN_MS = 150
 /**
- * Bytes to another failure domain that weigh as much as one millisecond of
- * waiting. Half of it waits twice as long for the same bytes.
+ * Cross-domain bytes that cost as much as one millisecond of waiting. Half of it
+ * waits twice as long for the same bytes.
  */
 const CROSS_DOMAIN_BYTES_PER_MS = 4000
-/** A cost below this is not worth a wait, in milliseconds. A timer's resolution. */
+/** Lower costs are not worth a wait; this is the resolution of timers. */
 const MIN_CROSS_DOMAIN_COST_MS = 1
 
 /**
- * The failure domain that a task waits for, rather than run at an idle backend
- * server; undefined where it runs there. `others` may include that one.
+ * The failure domain that a task should wait for instead of running on an idle
+ * backend server; undefined if it should run there. `others` may include the
+ * idle one.
  */
 export function findBetterDomain(
   task: StageTask,
@@ -57,7 +56,7 @@
   })
 }
 
-/** Milliseconds of waiting that the bytes to other failure domains are worth, if the task's items run in this one. */
+/** Cost of the cross-domain bytes, in milliseconds of waiting, if the items of a task run in a failure domain. */
 function crossDomainCostMs(task: StageTask, failureDomain: string): number {
   let bytes = 0
   for (const input of task.inputs) {
--- a/packages/gateway/src/process/stages/pool/early-free.ts
+++ b/packages/gateway/src/process/stages/pool/early-free.ts
@@ -2,44 +2,44 @@
  * Decides when the inputs of a call count as fetched, so that they may be freed
  * before the call ends.
  *
- * Inputs: bytes of the inputs; configured speed of the link (Mbit/s); whether
+ * Inputs: bytes of the inputs; configured bandwidth of the link (Mbit/s); whether
  * another coordinator's call may run first at the backend server.
- * Rule: after FETCH_FACTOR times the plain transfer time and FETCH_MARGIN_MS.
- * Inputs count as fetched only at the call's end where another coordinator may
- * be at work, where the speed is unknown, or where there are no bytes.
+ * Rule: after FETCH_TIME_FACTOR times the nominal transfer time plus
+ * FETCH_MARGIN_MS. Only at the end of the call if another coordinator may be
+ * active, if the bandwidth is unknown, or if there are no bytes.
  * Why: backend servers fetch all inputs before they compute, and result memory
- * is the scarce resource. A call that waits behind another coordinator's
- * fetches late, and finds them gone.
+ * is the scarce resource. A call that queues behind another coordinator's
+ * fetches late and would no longer find its inputs.
  * Log event: `stage-call` (failures `input-gone` where it was too early).
  */
 
 /**
- * Milliseconds after a change of coordinator in which calls of the one before
- * may run first. While it lasts, results use memory for longer.
+ * Time after a change of coordinator during which calls of the previous one may
+ * run first. Results stay in memory longer during it.
  */
 export const COORDINATOR_OVERLAP_MS = 1500
 /**
- * Time of a fetch over the plain transfer time, for both links and a busy
- * backend server. Half of it risks lost inputs, twice as much holds memory.
+ * Expected fetch time over the nominal transfer time; allows for both links and
+ * a busy backend server. A lower factor risks lost inputs; a higher one keeps
+ * memory in use.
  */
 const FETCH_TIME_FACTOR = 3
-/** Milliseconds. Connection and queueing of a fetch, with the same costs as FETCH_FACTOR. */
+/** Connection set-up and queueing of a fetch; the same trade-off as FETCH_TIME_FACTOR. */
 const FETCH_MARGIN_MS = 80
-/** Bits in a byte, for a speed in megabits. */
 const BITS_PER_BYTE = 8
-/** Bits in a millisecond at one megabit a second. */
+/** Bits transferred in a millisecond at 1 Mbit/s. */
 const BITS_PER_MS_AT_ONE_MBPS = 1000
 
-/** What the inputs of a call need to be fetched. */
+/** Inputs of a call and the conditions under which they are fetched. */
 export interface FetchInput {
   inputBytes: number
-  /** 0 or less where it is unknown. */
+  /** 0 or less if unknown. */
   bandwidthMbps: number
-  /** Another coordinator may be at work at the same backend servers. */
+  /** Another coordinator may be using the same backend servers. */
   mayQueueBehindOther: boolean
 }
 
-/** Milliseconds after the start of a call at which its inputs count as fetched; undefined for its end. */
+/** Milliseconds after the start of a call at which its inputs count as fetched; undefined for the end of the call. */
 export function inputsFetchedAfterMs({ inputBytes, bandwidthMbps, mayQueueBehindOther: mayWaitForOther }: FetchInput): number | undefined {
   if (mayWaitForOther || inputBytes === 0 || bandwidthMbps <= 0)
     return undefined
--- a/packages/gateway/src/process/stages/pool/pool-dependencies.ts
+++ b/packages/gateway/src/process/stages/pool/pool-dependencies.ts
@@ -1,5 +1,5 @@
 /**
- * What the pools of stage services work with. They live as long as the process.
+ * Dependencies of the stage pools. They live as long as the process.
  */
 import type { EventLog } from '@eidermast/common'
 import type { IntakeGate } from '../../../connection/backends/intake-gate.js'
@@ -7,15 +7,15 @@
 import type { RetryBudget } from '../../../request/attempts/retry-budget.js'
 import type { CrashWatch } from '../../../request/crash-watch.js'
 
-/** What stage work tells and asks of requests under which backend servers end. */
+/** Reports broken calls and tells which requests have crashed backend servers. */
 export type StageCrashWatch = Pick<CrashWatch, 'noteBroken' | 'crashCount' | 'refusal'>
 
-/** What a pool works with. */
+/** Dependencies of one pool. */
 export interface StagePoolDependencies {
   client: StageClient
   retryBudget: Pick<RetryBudget, 'takeRetry'>
   crashes: StageCrashWatch
-  /** When a call may go to a backend server that says what it takes. */
+  /** When a call may be sent to a backend server that limits its calls. */
   intake: Pick<IntakeGate, 'waitMs'>
   log: EventLog
 }
--- a/packages/gateway/src/process/stages/pool/pool-task.ts
+++ b/packages/gateway/src/process/stages/pool/pool-task.ts
@@ -1,7 +1,7 @@
 /**
- * A stage task as its pool works on it: which items wait, which have results.
- * Plain records of the pool; gone with the process, since the requesting
- * gateway asks the next coordinator.
+ * A stage task as processed by its pool: which items are queued and which have
+ * results. Plain records that are lost with the process; the requesting gateway
+ * then asks the next coordinator.
  */
 import type { StageItem } from '../../../connection/backends/stage-client.js'
 import type { StageResult, StageTask } from '../../../request/stages/stage-task.js'
@@ -9,9 +9,9 @@
 /** One item of a task. */
 export interface PoolItem {
   task: PoolTask
-  /** Number of the item within its stage. */
+  /** Index of the item within its stage. */
   index: number
-  /** Calls in which it failed or that failed as a whole. */
+  /** Calls that failed, or in which this item failed. */
   failures: number
 }
 
@@ -20,31 +20,31 @@
   stageTask: StageTask
   /** Items that are in no call and have no result. */
   waiting: PoolItem[]
-  /** By the number of the item. */
+  /** Indexed like the items. */
   results: (StageResult | undefined)[]
-  /** Items whose inputs count as fetched; minus infinity once an item was sent back to wait. */
+  /** Items whose inputs count as fetched; negative infinity once an item was queued again. */
   fetched: number
   ended: boolean
 }
 
-/** Creates a task all of whose items wait. */
+/** Creates a task with all items queued. */
 export function createPoolTask(task: StageTask): PoolTask {
   const created: PoolTask = { stageTask: task, waiting: [], results: Array.from({ length: task.items }), fetched: 0, ended: false }
   created.waiting = created.results.map((_, index) => ({ task: created, index, failures: 0 }))
   return created
 }
 
-/** Bytes that the results of items will use. */
+/** Expected total size of the results of items, in bytes. */
 export function resultBytesOf(items: readonly PoolItem[]): number {
   return items.reduce((sum, item) => sum + item.task.stageTask.resultBytes, 0)
 }
 
-/** Bytes that a backend server fetches for items. */
+/** Total size of the inputs that a backend server fetches for items, in bytes. */
 export function inputBytesOf(items: readonly PoolItem[]): number {
   return items.reduce((sum, item) => sum + item.task.stageTask.inputs.reduce((total, input) => total + input.bytes, 0), 0)
 }
 
-/** Describes an item for its backend server. */
+/** Converts an item to the form sent to its backend server. */
 export function describeItem(item: PoolItem, now: number): StageItem {
   const { stageTask: task } = item.task
   return {
--- a/packages/gateway/src/process/stages/pool/stage-batch.ts
+++ b/packages/gateway/src/process/stages/pool/stage-batch.ts
@@ -1,17 +1,17 @@
 /**
- * Decides which items make the next call of an idle backend server.
+ * Decides which items form the next call of an idle backend server.
  *
- * Inputs: waiting tasks in their order, places of a call (items), free result
- * memory (bytes, as accounted for now), for each task the failure domain that
- * it should rather wait for, and the capacity of that domain's next calls.
- * Rule: tasks that suit are added whole while places and memory last; a task
- * is split only where it opens the call. The remaining places are filled with
- * those tasks that wait for another failure domain and that its next calls have
- * no places or no memory for.
- * Why: a call has a large fixed cost (200 to 240 ms on the users' sites), so a
- * full call is worth more than the bytes that cross failure domains; but what
- * the next call at home takes anyway would cross for nothing. A split task
- * waits for two calls. A task that travels alone is the only one of its call.
+ * Inputs: waiting tasks in scheduling order, slots of a call (items), free result
+ * memory (bytes, as accounted for now), the better failure domain of each task,
+ * if there is one, and the capacity of the next calls there.
+ * Rule: tasks without a better failure domain are added whole while slots and
+ * memory last; a task is split only if it is the first of the call. The remaining
+ * slots are filled with tasks whose better failure domain has no slots or no
+ * memory for them in its next calls.
+ * Why: a call has a large fixed cost (200 to 240 ms in production), so a full
+ * call is worth more than the cross-domain bytes it saves; but items that the
+ * next call in their own domain takes anyway would cross domains for nothing. A
+ * split task waits for two calls. An isolated task is the only one of its call.
  * Log event: `stage-call` (items, requests, resultMemoryBytes).
  */
 import type { StageTask } from '../../../request/stages/stage-task.js'
@@ -19,55 +19,55 @@
 
 /** Why items are in a call. */
 export enum BatchReason {
-  /** Their task should run at this backend server. */
+  /** No other failure domain is better for their task. */
   SuitsDomain = 'suits-domain',
-  /** The next calls of the failure domain that it waits for are full, and this one had places left. */
+  /** The next calls in the better failure domain of their task are full, and this call had slots left. */
   FillsCall = 'fills-call',
 }
 
-/** The first waiting items of a task, chosen for a call. */
+/** The first waiting items of a task, selected for a call. */
 export interface BatchEntry {
   task: PoolTask
   items: number
   reason: BatchReason
 }
 
-/** What the items of a call are chosen from. */
+/** Inputs of the selection. */
 export interface BatchInput {
-  /** In the order in which they should run. */
+  /** In scheduling order. */
   tasks: readonly PoolTask[]
-  /** Whether no other task may be in the call of this one (`crash-isolation.ts`). */
+  /** Whether a task must not share a call (`crash-isolation.ts`). */
   isIsolated: (task: StageTask) => boolean
-  /** Places of one call. */
+  /** Slots of one call. */
   maxItems: number
-  /** Items after which no further task is added (`call-size.ts`). */
+  /** Number of items after which no further task is added (`call-size.ts`). */
   targetItems: number
   /** Result memory that may be reserved, in bytes. */
   freeBytes: number
-  /** The failure domain that a task should wait for; undefined where it should run here now. */
+  /** The failure domain that a task should wait for; undefined if it should run here now. */
   betterDomain: (task: StageTask) => string | undefined
-  /** What the next calls in a failure domain can take. */
+  /** Capacity of the next calls in a failure domain. */
   nextCalls: (failureDomain: string) => CallCapacity
 }
 
-/** What calls can take. */
+/** Capacity of calls. */
 export interface CallCapacity {
-  /** Items. */
+  /** Number of items. */
   slots: number
   /** Result memory, in bytes. */
   freeBytes: number
 }
 
-/** Chooses the items of the next call; empty where none should run here now. */
+/** Selects the items of the next call; empty if none should run here now. */
 export function chooseBatch(input: BatchInput): BatchEntry[] {
   const entries: BatchEntry[] = []
-  const { local: suiting, overflow } = partitionByDomain(input)
-  addTasks(entries, suiting, input, BatchReason.SuitsDomain)
+  const { local, overflow } = partitionByDomain(input)
+  addTasks(entries, local, input, BatchReason.SuitsDomain)
   addTasks(entries, overflow, input, BatchReason.FillsCall)
   return entries
 }
 
-/** The tasks that should run here, and those that wait for calls elsewhere that cannot take them. */
+/** Tasks that should run here, and tasks that exceed the capacity of the next calls in their better failure domain. */
 function partitionByDomain({ tasks, betterDomain, nextCalls }: BatchInput): { local: PoolTask[], overflow: PoolTask[] } {
   const local: PoolTask[] = []
   const overflow: PoolTask[] = []
@@ -89,14 +89,14 @@
 }
 
 function addTasks(entries: BatchEntry[], tasks: readonly PoolTask[], input: BatchInput, reason: BatchReason): void {
-  const { maxItems, targetItems: enoughItems, freeBytes, isIsolated: travelsAlone } = input
+  const { maxItems, targetItems, freeBytes, isIsolated } = input
   for (const task of tasks) {
     const [first] = entries
-    if (first && (travelsAlone(first.task.stageTask) || travelsAlone(task.stageTask)))
+    if (first && (isIsolated(first.task.stageTask) || isIsolated(task.stageTask)))
       continue
     const taken = countItems(entries)
     const slots = maxItems - taken
-    if (slots <= 0 || taken >= enoughItems)
+    if (slots <= 0 || taken >= targetItems)
       return
     const waiting = task.waiting.length
     const withinMemory = Math.floor((freeBytes - reservedBytes(entries)) / task.stageTask.resultBytes)
@@ -108,10 +108,10 @@
 }
 
 function countItems(entries: readonly BatchEntry[]): number {
-  return entries.reduce((sum, part) => sum + part.items, 0)
+  return entries.reduce((sum, entry) => sum + entry.items, 0)
 }
 
-/** Bytes that the results of the chosen items will use. */
+/** Expected total size of the results of the selected items, in bytes. */
 function reservedBytes(entries: readonly BatchEntry[]): number {
   return entries.reduce((sum, { task, items }) => sum + items * task.stageTask.resultBytes, 0)
 }
--- a/packages/gateway/src/process/stages/pool/stage-calls.ts
+++ b/packages/gateway/src/process/stages/pool/stage-calls.ts
@@ -1,7 +1,7 @@
 /**
- * Runs the calls of one stage service and applies their outcomes: results to
+ * Runs the calls of one stage service and applies their outcomes: results go to
  * their tasks, failed items back to the queue or to the failure of their task.
- * Owns the calls under way; relies on the client to answer or abort each. When
+ * Owns the calls in progress; relies on the client to answer or abort each. When
  * the process dies, results of its calls expire at their backend servers.
  */
 import type { ItemOutcome, StageCallResult } from '../../../connection/backends/stage-client.js'
@@ -21,10 +21,10 @@
 import { describeItem, inputBytesOf, resultBytesOf } from './pool-task.js'
 
 /**
- * Milliseconds for which the items of a broken call wait until it is known
- * whether their backend server ended: sent again at once, an item that ends
- * them ends the next one before. The answer takes 20 ms where the VM is there.
- * Twice delays the items of a VM that is gone.
+ * Longest time that the items of a broken call wait for the check whether their
+ * backend server crashed. Sent again without it, an item that crashes backend
+ * servers reaches the next one first. The check takes 20 ms if the VM is
+ * reachable; a longer limit delays the items of a VM that is gone.
  */
 const MAX_CRASH_CHECK_MS = 100
 
@@ -32,7 +32,7 @@
 export class StageCalls {
   private otherCoordinatorUntil = 0
 
-  /** Calls `dispatch` after a call or a pause has ended, to start what can be started. */
+  /** `dispatch` is called after a call or a pause has ended, to start waiting work. */
   constructor(
     private readonly service: string,
     private readonly dependencies: StagePoolDependencies,
@@ -41,12 +41,12 @@
     private readonly dispatch: () => void,
   ) {}
 
-  /** For a while no inputs count as fetched before their call ends: calls of another coordinator may run first. */
+  /** Until COORDINATOR_OVERLAP_MS from now, inputs count as fetched only when their call ends: another coordinator may be active. */
   expectOtherCoordinator(): void {
     this.otherCoordinatorUntil = performance.now() + COORDINATOR_OVERLAP_MS
   }
 
-  /** Runs items at a backend server; ends when their outcomes are applied. */
+  /** Runs items on a backend server; resolves when their outcomes are applied. */
   async run(backend: StageBackend, items: readonly PoolItem[], limits: StageLimits, startedAt: number): Promise<void> {
     backend.startCall(items.length, resultBytesOf(items), startedAt)
     const timeoutMs = callTimeoutMs(backend.expectedCallMs(items.length))
@@ -112,14 +112,14 @@
     this.retry(items, end)
   }
 
-  /** Resolves when it is known whether the backend server ended under the items, or after MAX_INVESTIGATION_MS. */
+  /** Resolves when it is known whether the backend server crashed, or after MAX_CRASH_CHECK_MS. */
   private async noteBroken({ backend }: StageBackend, items: readonly PoolItem[]): Promise<void> {
     const fingerprints = [...new Set(items.flatMap(item => item.task.stageTask.fingerprint ?? []))]
     const crashChecks = fingerprints.map(fingerprint => this.dependencies.crashes.noteBroken(backend, fingerprint))
     await Promise.race([Promise.all(crashChecks), wait(MAX_CRASH_CHECK_MS)])
   }
 
-  /** Lets items wait for another call, or fails their tasks. */
+  /** Queues items for another call, or fails their tasks. */
   private retry(items: readonly PoolItem[], cause: ItemFailureCause): void {
     const live = items.filter(item => !item.task.ended)
     for (const item of live) {
@@ -133,7 +133,7 @@
   }
 }
 
-/** Reports tasks whose inputs are all fetched. */
+/** Notifies the tasks whose inputs are all fetched. */
 function reportFetched(items: readonly PoolItem[]): void {
   for (const { task } of items) {
     task.fetched++
--- a/packages/gateway/src/process/stages/pool/stage-pool.ts
+++ b/packages/gateway/src/process/stages/pool/stage-pool.ts
@@ -1,9 +1,9 @@
 /**
  * The backend servers of one stage service and the tasks that wait for them.
  * Whenever a task arrives or a call ends, each idle backend server gets a batch
- * of items of all requests. Owns both while the process lives; relies on the
- * registry for the backend servers. Nothing is kept when the process dies: the
- * requesting gateways ask the next coordinator.
+ * of items, which may belong to several requests. Owns both for the life of the
+ * process; relies on the registry for the backend servers. Nothing is persisted:
+ * if the process dies, the requesting gateways ask the next coordinator.
  */
 import type { Backend } from '../../../connection/backends/backend.js'
 import type { StageProgress } from '../../../connection/peers/preparation.js'
@@ -52,7 +52,7 @@
       backend.setLimits(limits)
   }
 
-  /** Holds exactly the backend servers that take new work; results of others stay readable. */
+  /** Replaces the backend servers that take new work; results of removed ones stay readable. */
   setBackends(backends: readonly Backend[]): void {
     const listed = new Set(backends.map(backend => backend.id))
     for (const id of [...this.backends.keys()]) {
@@ -77,7 +77,7 @@
     return typicalCallMs(this.limits)
   }
 
-  /** Pace of the service with the backend servers that take work. */
+  /** Throughput of the service with its current backend servers. */
   throughput(): ServiceThroughput {
     const now = performance.now()
     const slowdownFactors = [...this.backends.values()].map(backend => backend.slowdownFactor(now))
@@ -110,18 +110,18 @@
     this.resultDeleter.free(result)
   }
 
-  /** Asks every backend server how much result memory is free. */
+  /** Queries the free result memory of every backend server. */
   readFreeMemory(): void {
     for (const backend of this.backends.values())
       this.readFreeMemoryOf(backend)
   }
 
-  /** Another coordinator may be at work at the same backend servers for a while. */
+  /** Another coordinator may use the same backend servers for a while. */
   expectOtherCoordinator(): void {
     this.calls.expectOtherCoordinator()
   }
 
-  /** Fails waiting tasks that cannot be served any more, and starts what can be started. */
+  /** Fails waiting tasks that can no longer succeed, and starts calls on idle backend servers. */
   dispatch(): void {
     const now = performance.now()
     this.failTasks(ItemFailure.Late, task => cannotMeetDeadline(task, this.limits.callMs, now))
@@ -154,7 +154,7 @@
       this.queue.fail(task, failure)
   }
 
-  /** The fastest come first, of equal ones those with the most free memory. */
+  /** Idle backend servers, the fastest first; among equally fast ones, those with the most free memory. */
   private idleBackends(now: number): StageBackend[] {
     const idle = [...this.backends.values()].filter(backend => backend.isIdle(now))
     return idle.sort((left, right) => left.expectedCallMs(1) - right.expectedCallMs(1) || right.memory.freeBytes() - left.memory.freeBytes())
@@ -174,7 +174,7 @@
     return this.queue.take(batch)
   }
 
-  /** What the next calls of some backend servers can take. */
+  /** Capacity of the next calls of some backend servers. */
   private nextCalls(backends: readonly StageBackend[]): CallCapacity {
     return {
       slots: backends.length * this.limits.batch,
--- a/packages/gateway/src/process/stages/pool/task-queue.ts
+++ b/packages/gateway/src/process/stages/pool/task-queue.ts
@@ -1,8 +1,8 @@
 /**
- * The tasks of one stage service that have items waiting, in the order of
- * `stage-order.ts`, and the one place where a task ends. Owns them until they end;
- * tasks whose items are all in calls are held by those calls. Gone with the
- * process.
+ * The tasks of one stage service that have waiting items, in the order of
+ * `stage-order.ts`, and the only place where a task ends. Owns them until they
+ * end; tasks whose items are all in calls are referenced by those calls only.
+ * Lost with the process.
  */
 import type { ItemFailure } from '../../../connection/backends/stage-client.js'
 import type { StageResult, StageTask } from '../../../request/stages/stage-task.js'
@@ -15,15 +15,15 @@
 export class TaskQueue {
   private queued: PoolTask[] = []
 
-  /** Results of tasks that end without success are passed to `free`. */
+  /** `free` receives the results of tasks that end without success. */
   constructor(private readonly free: (result: StageResult) => void) {}
 
-  /** Each has an item waiting. */
+  /** Tasks with at least one waiting item. */
   get tasks(): readonly PoolTask[] {
     return this.queued
   }
 
-  /** Items that are in no call and have no result. */
+  /** Number of items that are in no call and have no result. */
   get waitingItems(): number {
     return this.queued.reduce((sum, task) => sum + task.waiting.length, 0)
   }
@@ -34,20 +34,20 @@
     return added
   }
 
-  /** Puts the tasks in their order for calls that take some milliseconds. */
+  /** Sorts the tasks by effective rank, given the expected duration of a call. */
   sort(callMs: number, now: number): void {
     const ranked = this.queued.map(task => ({ task, effectiveRank: effectiveRank(task.stageTask, callMs, now) }))
     this.queued = ranked.sort((left, right) => left.effectiveRank - right.effectiveRank).map(({ task }) => task)
   }
 
-  /** Takes the chosen items out. */
+  /** Removes the selected items from the queue and returns them. */
   take(entries: readonly BatchEntry[]): PoolItem[] {
     const items = entries.flatMap(entry => entry.task.waiting.splice(0, entry.items))
     this.queued = this.queued.filter(task => task.waiting.length > 0)
     return items
   }
 
-  /** Lets items wait again. Their task's inputs are kept until it ends, since they are fetched once more. */
+  /** Queues items again. Their task's inputs are kept until it ends, since they are fetched once more. */
   requeue(items: readonly PoolItem[]): void {
     for (const item of items) {
       const { task } = item
@@ -60,7 +60,7 @@
     }
   }
 
-  /** Records the result of an item, and completes the task with its last one. */
+  /** Records the result of an item, and completes its task with the last one. */
   addResult(item: PoolItem, result: StageResult): void {
     const { task } = item
     task.results[item.index] = result
@@ -70,7 +70,7 @@
     task.stageTask.listener.completed(task.results as StageResult[])
   }
 
-  /** Fails a task; one that has ended reported its end already, for another of its items. */
+  /** Fails a task; does nothing if it has already ended because of another item. */
   fail(task: PoolTask, failure: ItemFailure): void {
     if (task.ended)
       return
@@ -78,7 +78,7 @@
     task.stageTask.listener.failed(failure)
   }
 
-  /** Ends a task without a report. */
+  /** Ends a task without notifying its listener. */
   cancel(task: PoolTask): void {
     if (!task.ended)
       this.end(task)
--- a/packages/gateway/src/process/stages/pool/waiting-end.ts
+++ b/packages/gateway/src/process/stages/pool/waiting-end.ts
@@ -1,12 +1,12 @@
 /**
  * Decides which waiting tasks fail before any of their waiting items is sent.
  *
- * Inputs: the task's deadline and inputs; fixed time of a call (ms, configured);
- * which results can be read (this process's own accounting, current).
- * Rule: a task fails as late where a call could not end before its deadline,
- * and as without inputs where one of them can no longer be read.
- * Why: such a call takes its whole fixed time and brings nothing; 804 items
- * were sent without inputs in one run.
+ * Inputs: deadline and inputs of the task; fixed time of a call (ms, configured);
+ * which results can be read (accounted for in this process, current).
+ * Rule: a task fails as late if a call could not end before its deadline, and as
+ * without inputs if one of them can no longer be read.
+ * Why: such a call takes its whole fixed time and produces nothing; without the
+ * check, 804 items were sent without inputs in one run.
  * Log event: `stages-ended` (outcome `too-late`); a lost input shows as
  * further `stage-call` lines of the request.
  */
--- a/packages/gateway/src/process/stages/stage-log.ts
+++ b/packages/gateway/src/process/stages/stage-log.ts
@@ -1,6 +1,6 @@
 /**
- * Log events of the coordinator's stage work, one function an event. Fields are
- * listed in docs/OPERATIONS.md; `eidermast explain` reads them.
+ * Log events of the coordinator's stage work, one function per event. The fields
+ * are listed in docs/OPERATIONS.md; `eidermast explain` reads them.
  */
 import type { EventLog } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
@@ -10,7 +10,7 @@
 import type { PoolItem } from './pool/pool-task.js'
 import type { AdmissionCandidate, AdmissionDecision } from './stage-admission.js'
 
-/** A call of a backend server ended. */
+/** A call to a backend server ended. */
 export function logStageCall(
   log: EventLog,
   service: string,
@@ -33,7 +33,7 @@
   })
 }
 
-/** A backend server gets no calls for a while after a failed one. */
+/** A backend server is paused after a failed call. */
 export function logBackendPaused(log: EventLog, service: string, backend: StageBackend, reason: string, milliseconds: number): void {
   log.write('stage-backend-paused', { service, backend: backend.backend.id, reason, milliseconds })
 }
@@ -70,7 +70,7 @@
   })
 }
 
-/** Failures of a call's items by kind, such as `no-memory:2`; undefined where there were none. */
+/** Number of failed items of a call by kind, such as `no-memory:2`; undefined if there are none. */
 function describeFailures(result: StageCallResult): string | undefined {
   const counts = new Map<ItemFailure, number>()
   for (const outcome of result.outcomes) {
