--- a/packages/gateway/src/process/stages/backend/result-memory.ts
+++ b/packages/gateway/src/process/stages/backend/result-memory.ts
@@ -1,44 +1,44 @@
 /**
  * Accounts for the result memory of one backend server: bytes reserved for
  * items in calls, and results until they are deleted or expire. Owns these
- * records while the backend server takes work or a result of it is referenced.
- * Relies on the configured memory and lifetime, and on the deletion calls'
- * answers. Nothing is kept when the process dies: the next coordinator starts
- * from what the backend servers report as free.
+ * records while the backend server accepts work or one of its results is
+ * referenced. Relies on the configured memory size and result lifetime, and on
+ * the responses to deletion calls. Nothing is persisted: the next coordinator
+ * starts from the free memory that the backend servers report.
  */
 import type { Backend } from '../../../connection/backends/backend.js'
 import type { ResultHolder } from '../../../request/stages/stage-task.js'
 import type { StageLimits } from '../../../version/configuration.js'
-import { MEMORY_DISTRUST_MS } from './backend-pause.js'
+import { MEMORY_EXHAUSTED_MS } from './backend-pause.js'
 
 /**
- * Share of the result memory that is planned with, since sizes of results are
- * estimates. Commit 1e05cb6: at 0.93, calls of one service held 8 of 12 items.
+ * Share of the result memory that may be reserved; result sizes are estimates.
+ * At 0.93, calls of one service had memory for only 8 of 12 items.
  */
 const USABLE_MEMORY_SHARE = 0.97
 /**
- * Results this near to their expiry are not sent to a reader, in milliseconds.
- * Half of it risks calls whose inputs expire on the way, twice
- * as much runs items again that could still be read.
+ * Results that expire within this time are not passed to a reader. A shorter
+ * margin risks calls whose inputs expire in transit; a longer one runs items
+ * again whose results could still be read.
  */
 const EXPIRY_MARGIN_MS = 100
 
-/** Entry for all results that this process did not ask for. */
-const RESULTS_OF_OTHERS = 'results of others'
-/** Entry for bytes that were counted as free and turned out not to be. */
-const RESULTS_UNKNOWN = 'results unknown'
+/** Key of the entry for all results that this process did not request. */
+const FOREIGN_RESULTS = 'foreign results'
+/** Key of the entry for bytes that were counted as free but were not available. */
+const UNACCOUNTED_BYTES = 'unaccounted results'
 
 interface HeldResult {
   bytes: number
   expiresAt: number
-  /** Its deletion is under way; its bytes are free when the backend server has confirmed it. */
+  /** A deletion call is in progress; the bytes stay counted until the backend server confirms it. */
   freeing: boolean
 }
 
-/** The result memory of one backend server; times are on the process clock, in milliseconds. */
+/** Result memory of one backend server; times are in milliseconds on the process clock. */
 export class ResultMemory implements ResultHolder {
   private usedBytes = 0
-  private lostCalls = 0
+  private brokenCalls = 0
   private readonly held = new Map<string, HeldResult>()
 
   constructor(readonly backend: Backend, private limits: StageLimits) {}
@@ -51,7 +51,7 @@
     this.limits = limits
   }
 
-  /** Bytes that may be reserved; negative where others use more than is planned with. */
+  /** Bytes that may be reserved; negative if other coordinators use more than the usable share leaves. */
   freeBytes(): number {
     return this.limits.resultMemoryBytes * USABLE_MEMORY_SHARE - this.usedBytes
   }
@@ -61,47 +61,47 @@
     this.usedBytes += bytes
   }
 
-  /** Returns reserved memory that no result uses. */
+  /** Returns reserved memory for which no result was produced. */
   release(bytes: number): void {
     this.usedBytes = Math.max(0, this.usedBytes - bytes)
   }
 
-  /** A result uses its reserved bytes until it is deleted or expires. */
+  /** Records a result; its reserved bytes stay in use until it is deleted or expires. */
   hold(handle: string, bytes: number, now: number, lifetimeMs = this.limits.resultLifetimeMs): void {
     this.held.set(handle, { bytes, expiresAt: now + lifetimeMs, freeing: false })
   }
 
-  /** A call broke off: what it may have made uses its reserved bytes until it expires. */
-  holdLostCall(bytes: number, now: number): void {
-    this.hold(`lost call ${this.lostCalls++}`, bytes, now)
+  /** Keeps the reserved bytes of a broken call until its results, if there are any, have expired. */
+  holdBrokenCall(bytes: number, now: number): void {
+    this.hold(`broken call ${this.brokenCalls++}`, bytes, now)
   }
 
-  /** Counts a result of an earlier coordinator as this one's. */
+  /** Takes over a result of an earlier coordinator, which may already be counted in FOREIGN_RESULTS. */
   adopt(handle: string, bytes: number, remainingMs: number, now: number): void {
-    const others = this.held.get(RESULTS_OF_OTHERS)
-    const known = Math.min(bytes, others?.bytes ?? 0)
-    if (others)
-      others.bytes -= known
-    this.usedBytes += bytes - known
+    const foreign = this.held.get(FOREIGN_RESULTS)
+    const alreadyCounted = Math.min(bytes, foreign?.bytes ?? 0)
+    if (foreign)
+      foreign.bytes -= alreadyCounted
+    this.usedBytes += bytes - alreadyCounted
     this.hold(handle, bytes, now, remainingMs)
   }
 
-  /** Counts what the backend server reports as used beyond this process's own, until it expires. */
+  /** Counts bytes that the backend server reports as used and that this process does not account for, until they expire. */
   recordReportedFree(freeBytes: number, now: number): void {
-    this.drop(RESULTS_OF_OTHERS)
+    this.drop(FOREIGN_RESULTS)
     const bytes = this.limits.resultMemoryBytes - freeBytes - this.usedBytes
     if (bytes <= 0)
       return
     this.usedBytes += bytes
-    this.hold(RESULTS_OF_OTHERS, bytes, now)
+    this.hold(FOREIGN_RESULTS, bytes, now)
   }
 
-  /** An item found no memory: all that was counted as free counts as used for a while. */
-  distrustFree(now: number): void {
-    this.drop(RESULTS_UNKNOWN)
+  /** An item found no memory: counts all free memory as used for MEMORY_EXHAUSTED_MS. */
+  markExhausted(now: number): void {
+    this.drop(UNACCOUNTED_BYTES)
     const bytes = Math.max(0, this.freeBytes())
     this.usedBytes += bytes
-    this.hold(RESULTS_UNKNOWN, bytes, now, MEMORY_DISTRUST_MS)
+    this.hold(UNACCOUNTED_BYTES, bytes, now, MEMORY_EXHAUSTED_MS)
   }
 
   isReadable(handle: string, now: number): boolean {
@@ -129,7 +129,7 @@
     this.release(result.bytes)
   }
 
-  /** Forgets expired results. */
+  /** Removes expired results. */
   expire(now: number): void {
     for (const [handle, result] of this.held) {
       if (result.expiresAt <= now)
--- a/packages/gateway/src/process/stages/stage-log.ts
+++ b/packages/gateway/src/process/stages/stage-log.ts
@@ -1,6 +1,6 @@
 /**
- * Log events of the coordinator's stage work, one function an event. Fields are
- * listed in docs/OPERATIONS.md; `eidermast explain` reads them.
+ * Log events of the coordinator's stage work, one function per event. The fields
+ * are listed in docs/OPERATIONS.md; `eidermast explain` reads them.
  */
 import type { EventLog } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
@@ -8,9 +8,9 @@
 import type { PreparationFailure, PreparationRequest, PreparedInputs } from '../../connection/peers/preparation.js'
 import type { StageBackend } from './backend/stage-backend.js'
 import type { PoolItem } from './pool/pool-task.js'
-import type { AdmissionDecision, ApplyingWork } from './stage-admission.js'
+import type { AdmissionCandidate, AdmissionDecision } from './stage-admission.js'
 
-/** A call of a backend server ended. */
+/** A call to a backend server ended. */
 export function logStageCall(
   log: EventLog,
   service: string,
@@ -25,7 +25,7 @@
     failureDomain: backend.failureDomain,
     items: items.length,
     tookMs: Math.round(tookMs),
-    expectedMs: Math.round(backend.callTime(items.length)),
+    expectedMs: Math.round(backend.expectedCallMs(items.length)),
     end: result.end,
     failures: describeFailures(result),
     resultMemoryBytes: backend.memory.freeBytes(),
@@ -33,13 +33,13 @@
   })
 }
 
-/** A backend server gets no calls for a while after a failed one. */
+/** A backend server is paused after a failed call. */
 export function logBackendPaused(log: EventLog, service: string, backend: StageBackend, reason: string, milliseconds: number): void {
   log.write('stage-backend-paused', { service, backend: backend.backend.id, reason, milliseconds })
 }
 
 /** A request was admitted or refused. */
-export function logAdmission(log: EventLog, { request, answerMs }: ApplyingWork, decision: AdmissionDecision, requestsUnderWay: number): void {
+export function logAdmission(log: EventLog, { request, answerMs }: AdmissionCandidate, decision: AdmissionDecision, requestsUnderWay: number): void {
   log.write('stages-admission', {
     request: request.requestId,
     decision: decision.isAdmitted ? 'in-time' : 'refused',
@@ -70,7 +70,7 @@
   })
 }
 
-/** Failures of a call's items by kind, such as `no-memory:2`; undefined where there were none. */
+/** Number of failed items of a call by kind, such as `no-memory:2`; undefined if there are none. */
 function describeFailures(result: StageCallResult): string | undefined {
   const counts = new Map<ItemFailure, number>()
   for (const outcome of result.outcomes) {
