--- a/packages/daemon/src/request/account-load.ts
+++ b/packages/daemon/src/request/account-load.ts
@@ -1,6 +1,6 @@
 /**
- * Requests in flight by client account, with the accounts' weights. One count
- * an entry and kind of work, in memory, for as long as its requests last.
+ * Number of requests in flight per client account, with the weights of the
+ * accounts. Each entry has one instance per kind of work; state is in memory only.
  */
 
 interface ActiveAccount {
@@ -8,22 +8,22 @@
   share: number
 }
 
-/** Counts requests in flight. */
+/** Counts requests in flight per client account. */
 export class AccountLoad {
   private readonly accounts = new Map<string, ActiveAccount>()
   private count = 0
 
-  /** All requests in flight. */
+  /** Number of requests in flight. */
   get total(): number {
     return this.count
   }
 
-  /** Requests in flight of one account. */
+  /** Number of requests in flight of one account. */
   of(account: string): number {
     return this.accounts.get(account)?.inFlight ?? 0
   }
 
-  /** An account's part of the weights of the accounts in flight, itself included. */
+  /** Returns the account's fraction of the total weight of active accounts, including itself. */
   shareWith(account: string, share: number): number {
     let sum = share
     for (const [name, active] of this.accounts) {
@@ -33,7 +33,7 @@
     return share / sum
   }
 
-  /** Counts a request that begins; the newest weight of its account counts. */
+  /** Adds a request and updates the weight of its account. */
   add(account: string, share: number): void {
     const active = this.accounts.get(account) ?? { inFlight: 0, share }
     active.inFlight++
@@ -42,7 +42,7 @@
     this.count++
   }
 
-  /** Counts a request that has ended. */
+  /** Removes a request that has ended. */
   remove(account: string): void {
     const active = this.accounts.get(account)
     if (!active)
--- a/packages/daemon/src/request/admission.ts
+++ b/packages/daemon/src/request/admission.ts
@@ -1,19 +1,22 @@
 /**
- * Decides which requests an entry takes in and which it sheds at once, with a
- * time after which to retry.
+ * Decides which requests an entry admits and which it sheds immediately, with a
+ * delay after which to retry.
+ *
+ * Inputs: the number of requests in flight at this entry, in total and of the
+ * account; the account's fraction of the weights of active accounts; the deadline
+ * (ms); the expected service and queueing time (ms, from the latest load reports),
+ * which is averaged over the candidates of each stage and summed over the stages.
+ * The mean is used rather than the minimum because other entries send calls to the
+ * same candidates.
+ *
+ * The `deadline` policy sheds a request if the limit on requests in flight is
+ * reached, if a stage has no backend server, or if the expected time exceeds the
+ * deadline: a request that will miss its deadline takes capacity from one that
+ * would not. If the expected queueing time exceeds CONGESTED_SHARE of the deadline,
+ * it also sheds requests of accounts that exceed their fair share, which is scaled
+ * by SHARE_SLACK and at least MIN_ACCOUNT_IN_FLIGHT. Shares are only enforced under
+ * congestion so that a single busy account can use otherwise idle capacity.
  *
- * Inputs: this entry's requests in flight, all and of the account, as of now;
- * the account's part of the weights in flight; the deadline (ms); the expected
- * time of the stages and of their waits (ms, from the newest load reports): the
- * means over a stage's candidates, summed over the stages. The mean rather than
- * the best, because other entries choose among the same candidates.
- * Rule (`deadline`): sheds over the limit in flight, without a backend server
- * for a stage, and when the expected time exceeds the deadline. When waits
- * exceed CONGESTED_SHARE of the deadline, an account that has more in flight
- * than its share, with SHARE_SLACK and at least MIN_ACCOUNT_IN_FLIGHT, is shed.
- * Why: a request that will miss its deadline takes time from one that would not.
- * Shares bind only under congestion, so that a single busy account may use what
- * nobody else asks for.
  * Log events: `admit`, `shed`.
  */
 import type { RequestError } from '@eidermast/common'
@@ -22,25 +25,25 @@
 import { createError, ErrorKind } from '@eidermast/common'
 import { predictWaitMs } from './stages/choice.js'
 
-/** What admission looks at. */
+/** Inputs of an admission decision. */
 export interface AdmissionView {
-  /** Requests in flight at this entry, of this kind of work. */
+  /** Requests in flight at this entry for this kind of work. */
   inFlight: number
-  /** Requests that may be in flight. */
+  /** Maximum number of requests in flight. */
   inFlightLimit: number
   /** Requests in flight of the same client account. */
   accountInFlight: number
-  /** The account's part of the weights of accounts that have requests in flight, itself included. */
+  /** The account's fraction of the total weight of active accounts, including itself. */
   accountShare: number
   /** Milliseconds from arrival. */
   deadlineMs: number
-  /** Expected milliseconds of all stages, waits included; undefined where a stage has no backend server. */
+  /** Expected duration of all stages including queueing; undefined if a stage has no backend server. */
   expectedMs: number | undefined
-  /** Expected milliseconds of waits in queues. */
+  /** Expected queueing time of all stages. */
   expectedWaitMs: number
 }
 
-/** Estimates a plan with the load reports of now; the wait counts up to the first stage without a backend server. */
+/** Estimates the duration of a plan from the latest load reports. The queueing time covers the stages before the first one without a backend server. */
 export function estimatePlan(plan: RequestPlan, backends: LinkedBackends): Pick<AdmissionView, 'expectedMs' | 'expectedWaitMs'> {
   let serviceMs = 0
   let waitMs = 0
@@ -58,48 +61,51 @@
   return values.reduce((sum, value) => sum + value, 0) / values.length
 }
 
-/** A way to admit requests. */
+/** Admission policy. */
 export interface AdmissionPolicy {
-  /** Returns why a request is shed, or undefined where it is taken in. */
+  /** Returns the error with which a request is shed, or undefined if it is admitted. */
   decide: (view: AdmissionView) => RequestError | undefined
 }
 
 function refuseOverLimit(view: AdmissionView): RequestError | undefined {
   if (view.inFlight < view.inFlightLimit)
     return undefined
-  const message = 'This entry has no room for another request; come back after the given time.'
+  const message = 'This entry has reached its limit of requests in flight; retry after the indicated delay.'
   return createError(ErrorKind.Overloaded, message, { retryAfterMs: view.expectedWaitMs })
 }
 
-/** The baseline, for the setting `admission = all`: whatever fits into memory. */
+/** Admits everything up to the limit of requests in flight (setting `admission = all`), a baseline for comparison. */
 export class AdmitAll implements AdmissionPolicy {
   decide(view: AdmissionView): RequestError | undefined {
     return refuseOverLimit(view)
   }
 }
 
-/** Share of the deadline that waits may take. Half binds shares before anybody is late, twice only after many are. */
+/**
+ * Fraction of the deadline spent queueing above which shares are enforced. Half of it would enforce
+ * them before any request is late, twice only after many are.
+ */
 const CONGESTED_SHARE = 0.3
-/** Times its share that an account may have. Half sheds accounts within their share, twice lets one take all. */
+/** Tolerance factor for shares. Half of it would shed accounts within their share; twice would let one account take everything. */
 const SHARE_SLACK = 1.25
-/** Requests. Half sheds small accounts for two requests at once, twice favours many small accounts. */
+/** Half of it would shed small accounts for two concurrent requests; twice would favour many small accounts. */
 const MIN_ACCOUNT_IN_FLIGHT = 4
 
-/** Sheds what cannot meet its deadline and, when waits grow, what exceeds an account's share. */
+/** Sheds requests that cannot meet their deadline and, under congestion, requests of accounts that exceed their share. */
 export class DeadlineAdmission implements AdmissionPolicy {
   decide(view: AdmissionView): RequestError | undefined {
     const overLimit = refuseOverLimit(view)
     if (overLimit)
       return overLimit
     if (view.expectedMs === undefined)
-      return createError(ErrorKind.NoBackend, 'No backend server takes work for one of the stages; come back after the given time.')
+      return createError(ErrorKind.NoBackend, 'No backend server is available for one of the stages; retry after the indicated delay.')
     if (view.expectedMs > view.deadlineMs) {
-      const message = 'The deadline cannot be met with the work at hand; come back after the given time or set a longer deadline.'
+      const message = 'The deadline cannot be met at the current load; retry after the indicated delay or set a longer deadline.'
       return createError(ErrorKind.DeadlineUnreachable, message, { retryAfterMs: Math.max(view.expectedMs - view.deadlineMs, 1) })
     }
     if (!exceedsShare(view))
       return undefined
-    const message = 'The client account has more requests in flight than its share; come back after the given time.'
+    const message = 'The client account has more requests in flight than its share; retry after the indicated delay.'
     return createError(ErrorKind.AccountOverShare, message, { retryAfterMs: view.expectedWaitMs })
   }
 }
--- a/packages/daemon/src/request/authority/claim-appender.ts
+++ b/packages/daemon/src/request/authority/claim-appender.ts
@@ -1,13 +1,14 @@
 /**
- * Appends records to the claim stream, those of a short time in one append, and
- * reports what became of each append.
+ * Appends records to the claim stream in batches and reports the result of each
+ * append.
+ *
+ * Decides how often an append that the log rejected because of its rate limit is
+ * retried: up to MAX_RATE_RETRIES times, with a delay that grows by RATE_RETRY_MS
+ * each time. Any other failure is final.
  *
- * Decides how often an append that the log refused for its rate is made again:
- * MAX_RATE_RETRIES times, each wait RATE_RETRY_MS longer than the one before;
- * any other failure is final. Constants: see below; neither was measured apart.
  * Log events: `append-refused`, `append-in-doubt` (namespace `eidermast:claim`).
  *
- * State: records that wait for the next append; lost with the process, like the
+ * State: the records of the next batch. They are lost with the process, like the
  * requests that wait for them.
  */
 import type { LogClient } from '../../version/log.js'
@@ -18,29 +19,29 @@
 
 const log = createLogger('claim')
 
-/** Called once for each append with its records and how it failed, if it did. */
+/** Called once per append with its records and the failure, if any. */
 export type AppendListener = (records: readonly ClaimRecord[], failure: CallFailure | undefined) => void
 
-/** Milliseconds. Half meets the log's rate limit again, twice adds up to 150 ms to a claim under it. */
+/** Half of it would hit the rate limit of the log again; twice adds up to 150 ms to a rate-limited claim. */
 const RATE_RETRY_MS = 15
-/** Appends after the first. Half refuses claims in a short burst, twice holds callers for up to 0.5 s. */
+/** Half as many would reject claims in a short burst; twice as many would delay callers by up to 0.5 s. */
 const MAX_RATE_RETRIES = 4
-/** HTTP status with which the log refuses for its rate. */
+/** HTTP status with which the log rejects an append because of its rate limit. */
 const TOO_MANY_REQUESTS = 429
 
-/** Appends claims, one append under way at a time. */
+/** Appends claim records, with at most one append in flight. */
 export class ClaimAppender {
   private batch: ClaimRecord[] = []
   private flushing = false
 
   /**
    * @param client The platform's log.
-   * @param batchMs Milliseconds for which claims gather into one append.
-   * @param onAppended Receives the end of each append.
+   * @param batchMs Milliseconds for which records are collected into one append.
+   * @param onAppended Receives the result of each append.
    */
   constructor(private readonly client: LogClient, private readonly batchMs: number, private readonly onAppended: AppendListener) {}
 
-  /** Puts a record into the next append. */
+  /** Adds a record to the next append. */
   add(record: ClaimRecord): void {
     this.batch.push(record)
     void this.flush()
--- a/packages/daemon/src/request/authority/claim-records.ts
+++ b/packages/daemon/src/request/authority/claim-records.ts
@@ -1,13 +1,13 @@
 /**
- * Records of the claim stream on the platform's log, and what they mean. Their
- * form is stored: records of earlier releases stay readable.
+ * Records of the claim stream in the platform's log. The format is persistent:
+ * records written by earlier releases must stay readable.
  */
 import * as z from 'zod'
 
-/** Name of the log's stream that holds claims. */
+/** Name of the log stream that contains claims. */
 export const CLAIM_STREAM = 'claims'
 
-/** Kinds of records on the claim stream. */
+/** Kinds of records in the claim stream. */
 export enum ClaimRecordKind {
   Claim = 'claim',
   Release = 'release',
@@ -16,26 +16,26 @@
 /** Schema of a record of the claim stream. */
 export const claimRecordSchema = z.object({
   record: z.enum(ClaimRecordKind),
-  /** Identity of one claim; a release names the claim it ends. */
+  /** Identity of the claim; in a release, the claim that is released. */
   claimId: z.uuid(),
   account: z.string(),
   requestId: z.uuid(),
-  /** The entry's process life. */
+  /** Process incarnation of the entry. */
   incarnation: z.uuid(),
-  /** The entry's address between processes, as `host:port`. */
+  /** Peer address of the entry as `host:port`. */
   address: z.string(),
 })
 
 /** A record of the claim stream. */
 export type ClaimRecord = z.infer<typeof claimRecordSchema>
 
-/** The claim that gives the authority to run a request, and who holds it. */
+/** The claim that authorizes its holder to run a request. */
 export interface Claim {
   claimId: string
   account: string
   requestId: string
   incarnation: string
   address: string
-  /** Where the claim stands on the stream. */
+  /** Offset of the claim in the stream. */
   offset: number
 }
--- a/packages/daemon/src/request/authority/not-run-proof.ts
+++ b/packages/daemon/src/request/authority/not-run-proof.ts
@@ -1,15 +1,16 @@
 /**
- * Decides whether nothing of an unrepeatable request ran, for when the log
- * cannot say so.
+ * Decides whether it is proven that no part of an unrepeatable request ran, for
+ * use while the log is unavailable.
+ *
+ * Inputs: the claims that this entry has read and the time since it last read the
+ * log (ms); the entries that the VM list contained since then; their answers.
+ *
+ * The proof holds only if this entry has read no claim of the request, and every
+ * entry that was listed since the log was last read (plus LIST_LAG_MS) answers
+ * that it knows of no claim and no run. If one entry does not answer, the proof
+ * fails. A majority is not sufficient, because a single entry may hold the claim
+ * that this entry has not read.
  *
- * Inputs: the claims that this entry has read, and since when it has read none
- * (ms); the entries that the VM list named since then; what each of them answers
- * now.
- * Rule: nothing ran only if no claim was read here, and every entry that was
- * listed since the log was last read, LIST_LAG_MS included, answers that it
- * knows of no claim and no run. One that does not answer disproves it.
- * Why: a majority would not do, because a single entry may hold the claim that
- * this one has not read.
  * Log event: `answer`, field `ran`.
  */
 import type { EntryPeers } from '../../connection/entry-peers.js'
@@ -17,31 +18,31 @@
 import type { ClaimRegistry } from './claims.js'
 import { OutcomeState } from '../../connection/messages.js'
 
-/** Milliseconds that the VM list may lag behind. Half misses an entry that is listed late, twice asks more dead ones. */
+/** Maximum lag of the VM list. A shorter time misses entries that are listed late; a longer one queries more dead entries. */
 const LIST_LAG_MS = 30_000
 
-/** The entries that the platform's VM list named. */
+/** Recent contents of the platform's VM list. */
 export interface ListedEntries {
-  /** Whether the list was read at least once. */
+  /** Whether the list has been read at least once. */
   readonly hasRead: boolean
-  /** Addresses of every entry that was listed within the last milliseconds. */
+  /** Returns the addresses of all entries that were listed within the given last milliseconds. */
   entryAddressesWithin: (milliseconds: number) => string[]
 }
 
-/** Parts of the proof. */
+/** Dependencies of the proof. */
 export interface NotRunProofOptions {
   claims: ClaimRegistry
   peers: EntryPeers
   listedEntries: ListedEntries
-  /** This entry's own address between processes. */
+  /** Peer address of this entry. */
   address: string
 }
 
-/** Proves for one entry that requests did not run. */
+/** Proves that requests did not run, from the claims of this entry and the answers of the others. */
 export class NotRunProof {
   constructor(private readonly options: NotRunProofOptions) {}
 
-  /** Whether nothing of a request has run anywhere. */
+  /** Whether it is proven that no part of a request has run on any entry. */
   async holds(account: string, requestId: string, key: string): Promise<boolean> {
     const { claims, listedEntries, peers, address } = this.options
     if (claims.find(key) || claims.readAt === undefined || !listedEntries.hasRead)
@@ -53,7 +54,7 @@
   }
 }
 
-/** Whether an entry answered that it knows of no claim and no run. */
+/** Whether an entry answered that it knows of no claim and no run of the request. */
 function deniesRun(reply: OutcomeReply | undefined): boolean {
   if (!reply || reply.claimed)
     return false
--- a/packages/daemon/src/request/authority/outcome-finder.ts
+++ b/packages/daemon/src/request/authority/outcome-finder.ts
@@ -1,10 +1,11 @@
 /**
- * Finds the outcome of a request that another process life has the authority to
- * run: passes it on, or asks the holder of its claim, and where that one is gone
- * looks for the last stage's result at the sides. Never runs anything.
+ * Finds the outcome of a request that only another process incarnation may run.
+ * Forwards the request to the incarnation that issued its ticket or queries the
+ * holder of its claim; if that incarnation is gone, looks up the result of the last
+ * stage at the sides. Never runs the request itself.
  *
- * Relies on the outcomes and claims of this entry, its connections to other
- * entries and its links to sides. State: none of its own.
+ * Uses the outcomes and claims of this entry, its connections to other entries and
+ * its links to sides. State: none.
  */
 import type { RequestAnswer } from '../../connection/answer.js'
 import type { EntryPeers } from '../../connection/entry-peers.js'
@@ -26,7 +27,7 @@
 import { remainingMs } from '../incoming-request.js'
 import { RequestLog } from '../request-log.js'
 
-/** Parts of an outcome finder. */
+/** Dependencies of an outcome finder. */
 export interface OutcomeFinderOptions {
   incarnation: string
   claims: ClaimRegistry
@@ -36,22 +37,22 @@
   decisions: DecisionRecorder
 }
 
-/** A request that another entry asks for. */
+/** A query from another entry for the outcome of a request. */
 export interface PeerQuestion {
   account: string
   requestId: string
-  /** Digest of what the request asks for, to tell a repeat from another request under the same id. */
+  /** Digest of the request, which distinguishes a retry from another request with the same id. */
   digest: string
   deadlineMs: number
 }
 
-/** A side's finished result of a request's last stage. */
+/** Result of the last stage of a request, found at a side. */
 interface FoundResult {
   backendName: string
   reply: DoneReply
 }
 
-/** Finds outcomes for one entry. */
+/** Finds outcomes of requests that this entry must not run. */
 export class OutcomeFinder {
   private readonly log: RequestLog
 
@@ -59,27 +60,27 @@
     this.log = new RequestLog(options.decisions)
   }
 
-  /** Answers another entry that asks for a request claimed here; never runs it. */
+  /** Answers another entry's query for a request that was claimed here. Never runs the request. */
   async answerForPeer(request: PeerQuestion): Promise<RequestAnswer> {
     const { account, requestId, digest, deadlineMs } = request
     const key = createRequestKey(account, requestId)
     const known = this.options.outcomes.find(key)
     if (known && known.digest !== digest)
-      return Err(createError(ErrorKind.RequestIdReused, 'This request id was used for another request; make a new id.'))
+      return Err(createError(ErrorKind.RequestIdReused, 'This request id was already used for a different request; generate a new id.'))
     if (known) {
       const answer = await settleWithin(known.answer, deadlineMs, UNABORTED)
-      const advice = 'ask for its outcome with GET /v1/requests/{id}.'
-      return known.finished ?? answer ?? unknownOutcome(`The request still runs or its answer is no longer kept; ${advice}`)
+      const advice = 'get its outcome with GET /v1/requests/{id}.'
+      return known.finished ?? answer ?? unknownOutcome(`The request is still running or its answer is no longer stored; ${advice}`)
     }
     const holder = this.options.claims.find(key)
     if (holder && this.options.claims.isAbandoned(holder)) {
-      const message = 'An earlier claim of this request is being released; come back after the given time.'
+      const message = 'An earlier claim of this request is being released; retry after the indicated delay.'
       return Err(createError(ErrorKind.LogUnavailable, message))
     }
-    return unknownOutcome('The entry that took this request no longer knows its outcome; look at what it did before you send another.')
+    return unknownOutcome('The entry that accepted this request no longer knows its outcome; check its effects before sending another.')
   }
 
-  /** Another process life holds the claim: asks it, then the sides of the last stage. */
+  /** Queries the process incarnation that holds the claim, then the sides of the last stage. */
   async askHolder(incoming: IncomingRequest, requestId: string, holder: Claim): Promise<RequestAnswer> {
     const { account, plan, body } = incoming
     const deadlineMs = remainingMs(incoming)
@@ -90,21 +91,21 @@
     this.log.askedHolder(requestId, holder, state)
     if (state === ForwardState.Answered)
       return parseAnswer(answer)
-    const advice = 'look at what it did before you send another.'
-    return await this.findResult(incoming, requestId) ?? unknownOutcome(`Another entry took this request and cannot be asked; ${advice}`)
+    const advice = 'check its effects before sending another.'
+    return await this.findResult(incoming, requestId) ?? unknownOutcome(`Another entry accepted this request and cannot be reached; ${advice}`)
   }
 
-  /** Passes a request on to the process life that made its ticket. */
+  /** Forwards a request to the process incarnation that issued its ticket. */
   async forward(incoming: IncomingRequest, requestId: string, ticket: Ticket): Promise<RequestAnswer> {
     const { state, answer } = await this.options.peers.forward(ticket.address, ticket.incarnation, createForwarded(incoming, requestId))
     this.log.forwarded(requestId, ticket.address, state)
     if (state === ForwardState.Answered)
       return parseAnswer(answer)
-    const advice = 'look at what the request did before you send another.'
-    return await this.findResult(incoming, requestId) ?? unknownOutcome(`The entry that made this ticket is gone; ${advice}`)
+    const advice = 'check the effects of the request before sending another.'
+    return await this.findResult(incoming, requestId) ?? unknownOutcome(`The entry that issued this ticket is unavailable; ${advice}`)
   }
 
-  /** Looks for the last stage's result at the sides, whoever asked for it. */
+  /** Looks up the result of the last stage at the sides, regardless of which entry called the stage. */
   private async findResult(incoming: IncomingRequest, requestId: string): Promise<RequestAnswer | undefined> {
     const last = incoming.plan.stages.at(-1)!
     const backends = this.options.membership.list().filter(({ backend }) => backend.service === last.service)
--- a/packages/daemon/src/request/authority/tickets.ts
+++ b/packages/daemon/src/request/authority/tickets.ts
@@ -1,17 +1,19 @@
 /**
- * Decides whether a ticket is genuine and whose process life may run the
- * request under it.
+ * Decides whether a ticket is authentic and which process incarnation may run its
+ * request.
  *
- * Inputs: the ticket as the caller sent it; the key that all entries share; the
- * time now (epoch ms).
- * Rule: a ticket names the process life that made it, its address and its end,
- * under a keyed hash. Only that process life runs the request; other entries
- * pass it on.
- * Why: a claim needs the log, which may not answer; a process life that ends
- * takes its tickets with it, so no request under one can run twice.
- * Log events: `forward`; refusals show as `ticket-invalid` in `answer`.
+ * Inputs: the ticket as sent by the caller; the secret shared by all entries; the
+ * current time (epoch ms).
  *
- * State: none but the key; a ticket outlives its process only as a refusal.
+ * A ticket contains the process incarnation that issued it, the address of that
+ * process and an expiry time, authenticated with an HMAC. Only the issuing
+ * incarnation runs the request; other entries forward it. Unlike claims, tickets
+ * do not depend on the log, which may be unavailable. Because a ticket becomes
+ * unusable when its incarnation ends, its request cannot run twice.
+ *
+ * Log events: `forward`; rejected tickets appear as `ticket-invalid` in `answer`.
+ *
+ * State: only the key. A ticket is rejected after the end of its process.
  */
 import type { Result } from 'ts-results-es'
 import type { IssuedTicket } from '../../connection/caller-service.js'
@@ -25,37 +27,37 @@
 const ticketSchema = z.object({
   requestId: z.uuid(),
   account: z.string(),
-  /** The entry's process life. */
+  /** Process incarnation of the entry. */
   incarnation: z.uuid(),
-  /** The entry's address between processes, as `host:port`. */
+  /** Peer address of the entry as `host:port`. */
   address: z.string(),
   /** Epoch milliseconds. */
   expiresAt: z.number(),
 })
 
-/** The content of a ticket. */
+/** Payload of a ticket. */
 export type Ticket = z.infer<typeof ticketSchema>
 
-/** Options of a ticket office. */
+/** Options of a ticket issuer. */
 export interface TicketOfficeOptions {
-  /** Secret that all entries share. */
+  /** Secret shared by all entries. */
   key: string
-  /** This process life. */
+  /** Incarnation of this process. */
   incarnation: string
-  /** This entry's address between processes, as `host:port`. */
+  /** Peer address of this entry as `host:port`. */
   address: string
-  /** Milliseconds for which a ticket may be used. */
+  /** How long a ticket is valid. */
   lifetimeMs: number
 }
 
-/** Why a ticket is refused. */
+/** Reason why a ticket is invalid. */
 export enum TicketFault {
   Malformed = 'malformed',
   Forged = 'forged',
   Expired = 'expired',
 }
 
-/** Makes and checks tickets. */
+/** Issues and verifies tickets. */
 export class TicketOffice {
   private readonly signingKey: Buffer
 
@@ -63,7 +65,7 @@
     this.signingKey = createHmac('sha256', options.key).update('eidermast ticket').digest()
   }
 
-  /** Makes a ticket for a client account. */
+  /** Issues a ticket for a client account. */
   issue(account: string): IssuedTicket {
     const { incarnation, address, lifetimeMs } = this.options
     const content: Ticket = { requestId: createRequestId(), account, incarnation, address, expiresAt: this.now() + lifetimeMs }
@@ -71,7 +73,7 @@
     return { requestId: content.requestId, ticket: `${payload}.${this.sign(payload)}`, expiresAt: content.expiresAt }
   }
 
-  /** Checks a ticket's form, signature and time. */
+  /** Verifies the format, signature and expiry time of a ticket. */
   verify(text: string): Result<Ticket, TicketFault> {
     const [payload, signature, ...rest] = text.split('.')
     if (!payload || !signature || rest.length > 0)
--- a/packages/daemon/src/request/decision-recorder.ts
+++ b/packages/daemon/src/request/decision-recorder.ts
@@ -1,9 +1,9 @@
 /**
- * What request handling needs of the process's memory of decisions.
+ * Interface through which request handling records its decisions.
  */
 import type { LogFields } from '@eidermast/common'
 
-/** Keeps decisions about requests, so that `eidermast explain` can show them. */
+/** Records decisions about requests for `eidermast explain`. */
 export interface DecisionRecorder {
   record: (event: string, requestId: string, fields: LogFields) => void
 }
--- a/packages/daemon/src/request/outcomes.ts
+++ b/packages/daemon/src/request/outcomes.ts
@@ -1,83 +1,82 @@
 /**
- * An entry's memory of requests: a repeat joins the running one or gets the
- * same answer.
+ * Deduplicates the requests of an entry: a duplicate of a running request joins
+ * it, and a duplicate of a finished request gets the same answer.
  *
- * Decides what is forgotten first: repeatable requests over the limit of number,
- * size or time; then, over the limit of size, answers of unrepeatable ones,
- * oldest first. The key of an unrepeatable request stays for its whole time, so
- * that it never runs again in this process life; when there are as many keys as
- * the limit, no further unrepeatable request is admitted (event `shed`).
+ * Decides what is evicted first: repeatable requests over the limit on number,
+ * size or age; then, over the limit on size, the answers of unrepeatable requests,
+ * oldest first. The key of an unrepeatable request is kept for its full lifetime,
+ * so that it does not run again in this process incarnation. If the number of keys
+ * reaches the limit, no further unrepeatable requests are admitted (event `shed`).
  *
- * State: in memory, limits from the settings. When the process dies, its claims
- * and tickets keep others from running what it may have run, and the answers
- * are lost.
+ * State: in memory, with limits from the settings. If the process dies, the answers
+ * are lost; its claims and tickets prevent other entries from running requests that
+ * it may have run.
  */
 import type { RequestAnswer } from '../connection/answer.js'
 import { formatAnswer } from '../connection/answer.js'
 import { OutcomeState } from '../connection/messages.js'
 import { textBytes } from './text-bytes.js'
 
-/** What is remembered of a request. */
+/** A running or finished request. */
 export interface Outcome {
   key: string
   digest: string
   unrepeatable: boolean
-  /** Resolves with the one answer. */
+  /** Resolves with the final answer. */
   answer: Promise<RequestAnswer>
-  /** Resolves the answer. */
+  /** Resolves `answer`. */
   settle: (answer: RequestAnswer) => void
-  /** The answer, once it is there and while it is kept. */
+  /** The answer, once the request has finished and until the answer is evicted. */
   finished?: RequestAnswer
   state: OutcomeState
-  /** Milliseconds of the table's clock. */
+  /** Finish time in milliseconds. */
   finishedAt?: number
-  /** Memory that the answer is counted with. */
+  /** Estimated memory of the answer. */
   bytes: number
 }
 
-/** Limits of the memory. */
+/** Limits of an outcome table. */
 export interface OutcomeTableOptions {
-  /** Finished requests kept, repeatable and unrepeatable counted apart. */
+  /** Maximum number of finished requests, separately for repeatable and unrepeatable ones. */
   entries: number
-  /** Bytes of answers kept. */
+  /** Maximum total size of stored answers. */
   bytes: number
-  /** Milliseconds for which answers are kept. */
+  /** How long answers of repeatable requests are kept. */
   lifetimeMs: number
-  /** Milliseconds for which keys of unrepeatable requests are kept. */
+  /** How long the keys of unrepeatable requests are kept. */
   unrepeatableLifetimeMs: number
 }
 
-/** Bytes of an answer beside its text. Half or twice shifts how many short answers fit into the limit. */
+/** Estimated memory of an answer in addition to its text. Affects how many short answers fit into the limit. */
 const ANSWER_OVERHEAD_BYTES = 300
 
-/** The memory of one entry. */
+/** Running and finished requests of one entry. */
 export class OutcomeTable {
   private readonly outcomes = new Map<string, Outcome>()
-  /** Repeatable finished ones, in the order in which they finished. */
+  /** Finished repeatable requests in order of finishing. */
   private readonly repeatable = new Map<string, Outcome>()
-  /** Unrepeatable finished ones, in the order in which they finished. */
+  /** Finished unrepeatable requests in order of finishing. */
   private readonly unrepeatable = new Map<string, Outcome>()
   private bytes = 0
 
   constructor(private readonly options: OutcomeTableOptions, private readonly now: () => number = Date.now) {}
 
-  /** Number of requests remembered. */
+  /** Number of running and finished requests in the table. */
   get size(): number {
     return this.outcomes.size
   }
 
-  /** Whether another unrepeatable request can be remembered for its whole time. */
+  /** Whether the key of another unrepeatable request can be kept for its full lifetime. */
   get hasCapacity(): boolean {
     this.evict()
     return this.unrepeatable.size < this.options.entries
   }
 
-  /** What is remembered of a request. */
   find(key: string): Outcome | undefined {
     return this.outcomes.get(key)
   }
 
-  /** Remembers a request that begins. */
+  /** Adds a request that starts. */
   open(key: string, digest: string, unrepeatable: boolean): Outcome {
     let settle!: (answer: RequestAnswer) => void
     const answer = new Promise<RequestAnswer>((resolve) => {
@@ -88,7 +87,7 @@
     return outcome
   }
 
-  /** Ends a request with its answer. */
+  /** Records the answer of a request and resolves its outcome. */
   finish(outcome: Outcome, answer: RequestAnswer, state: OutcomeState = OutcomeState.Finished): void {
     outcome.finished = answer
     outcome.state = state
@@ -101,7 +100,7 @@
     this.evict()
   }
 
-  /** Forgets a request that was passed to another entry, or may be tried again. */
+  /** Removes a request that was not run here, may be tried again, or is evicted. */
   forget(outcome: Outcome): void {
     if (this.outcomes.get(outcome.key) !== outcome)
       return
@@ -127,7 +126,7 @@
     this.dropUnrepeatableAnswers()
   }
 
-  /** Over the limit of bytes, answers of unrepeatable requests go but their keys stay. */
+  /** Evicts answers of unrepeatable requests over the size limit; their keys are kept. */
   private dropUnrepeatableAnswers(): void {
     if (this.bytes <= this.options.bytes)
       return
--- a/packages/daemon/src/request/plan.ts
+++ b/packages/daemon/src/request/plan.ts
@@ -1,15 +1,17 @@
 /**
- * Decides what a request will do: its stages with the client account's versions
- * and adapters, its deadline and priority, and whether it runs at most once.
+ * Decides how a request is run: its stages with the model versions and adapters of
+ * the client account, its deadline and priority, and whether it runs at most once.
+ *
+ * Inputs: the template of the pipeline, or the plain service; the client account;
+ * the options set by the caller. Template and account are taken from the
+ * configuration that is active when the request arrives. The plan does not change
+ * afterwards, so that a configuration change does not affect running requests.
+ *
+ * The account's version and adapter take precedence over the template's. The
+ * caller's deadline takes precedence over the account's, which takes precedence
+ * over the template's. A request is unrepeatable if the caller, the template or the
+ * account marks it so, or if it is a service call with a non-idempotent HTTP method.
  *
- * Inputs: the pipeline's template or the plain service, the client account (both
- * of the configuration in force when the request came), what the caller asked.
- * Rule: the account's version and adapter go before the template's; the
- * caller's deadline before the account's before the template's. A request is
- * unrepeatable if the caller, the template or the account says so, or if it is a
- * service call whose HTTP method is not idempotent.
- * Why: the plan is fixed once, so that a change of the configuration never
- * changes a request that has begun.
  * Log event: `admit`, fields `target` and `deadlineMs`.
  */
 import type { ServiceRequest } from '../connection/messages.js'
@@ -23,7 +25,7 @@
   model?: string
   version?: string
   adapter?: string
-  /** In the operators' own unit. */
+  /** In an operator-defined unit. */
   costPerCall: number
   costPerMillisecond: number
   maxTokens: number
@@ -31,9 +33,9 @@
   serviceRequest?: ServiceRequest
 }
 
-/** What a request will do. */
+/** Execution plan of a request. */
 export interface RequestPlan {
-  /** Pipeline or plain service, for logs and metrics. */
+  /** Name of the pipeline or plain service. */
   target: string
   stages: PlannedStage[]
   /** Milliseconds from arrival. */
@@ -43,16 +45,16 @@
   unrepeatable: boolean
 }
 
-/** What the caller asked for beside the body. */
+/** Options of a request set by the caller. */
 export interface PlanRequest {
-  /** Milliseconds, where the caller set a deadline. */
+  /** Milliseconds from arrival, if the caller set a deadline. */
   deadlineMs?: number
   unrepeatable: boolean
 }
 
-/** Name of a plain service's one stage, in logs, metrics and stage identities. */
+/** Name of the only stage of a plain service in logs, metrics and stage identities. */
 const SERVICE_STAGE = 'call'
-/** Milliseconds, where a plain service's caller set none. Half fails slow services, twice holds callers of a dead one. */
+/** Default deadline for plain services. A lower value fails calls to slow services; a higher one delays callers of a dead one. */
 const SERVICE_DEADLINE_MS = 1000
 
 /** Idempotent methods (RFC 9110, section 9.2.2). */
@@ -80,7 +82,7 @@
   }
 }
 
-/** Plans a call of a plain service: one stage, at high priority, so that it never waits behind model work. */
+/** Plans a plain service call: a single stage with high priority, so that it never queues behind model work. */
 export function planService(name: string, serviceRequest: ServiceRequest, account: Account, request: PlanRequest): RequestPlan {
   const stage: PlannedStage = { name: SERVICE_STAGE, service: name, costPerCall: 0, costPerMillisecond: 0, maxTokens: 1, serviceRequest }
   return {
--- a/packages/daemon/src/request/request-log.ts
+++ b/packages/daemon/src/request/request-log.ts
@@ -1,7 +1,6 @@
 /**
- * The decisions on a whole request at its entry, one function an event. The
- * lines go to the process's memory of decisions, where `eidermast explain`
- * reads them.
+ * Records the decisions that an entry makes about a request as a whole, with one
+ * method per event. `eidermast explain` shows them.
  */
 import type { RequestError } from '@eidermast/common'
 import type { RequestAnswer } from '../connection/answer.js'
@@ -12,16 +11,16 @@
 import type { IncomingRequest } from './incoming-request.js'
 import type { RequestEnd } from './request-metrics.js'
 
-/** Logs what was decided on requests. */
+/** Records decisions about requests. */
 export class RequestLog {
   constructor(private readonly recorder: DecisionRecorder) {}
 
-  /** Event `repeat`: the request was known here already. */
+  /** Event `repeat`: the request is a duplicate of one that this entry knows. */
   repeated(requestId: string, state: OutcomeState): void {
     this.recorder.record('repeat', requestId, { state })
   }
 
-  /** Event `admit`, or `shed` with the kind of error. */
+  /** Event `admit`, or `shed` with the error kind. */
   decidedAdmission(incoming: IncomingRequest, requestId: string, view: AdmissionView, refusal: RequestError | undefined): void {
     this.recorder.record(refusal ? 'shed' : 'admit', requestId, {
       account: incoming.account,
@@ -34,22 +33,22 @@
     })
   }
 
-  /** Event `claim`: how it ended for its request. */
+  /** Event `claim`: the result of claiming the request. */
   claimed(incoming: IncomingRequest, requestId: string, result: string): void {
     this.recorder.record('claim', requestId, { account: incoming.account, result })
   }
 
-  /** Event `ask-holder`: what came of asking the process life that holds the claim. */
+  /** Event `ask-holder`: the result of querying the process incarnation that holds the claim. */
   askedHolder(requestId: string, holder: { incarnation: string, address: string }, state: ForwardState): void {
     this.recorder.record('ask-holder', requestId, { holder: holder.incarnation, address: holder.address, state })
   }
 
-  /** Event `forward`: what came of passing the request to the process life of its ticket. */
+  /** Event `forward`: the result of forwarding the request to the process incarnation that issued its ticket. */
   forwarded(requestId: string, address: string, state: ForwardState): void {
     this.recorder.record('forward', requestId, { address, state })
   }
 
-  /** Event `answer`; the time runs from the request's arrival, in milliseconds. */
+  /** Event `answer`, with the milliseconds since the arrival of the request. */
   answered(incoming: IncomingRequest, requestId: string, answer: RequestAnswer, end: RequestEnd, milliseconds: number): void {
     const error = answer.isErr() ? answer.error : undefined
     this.recorder.record('answer', requestId, {
--- a/packages/daemon/src/request/request-metrics.ts
+++ b/packages/daemon/src/request/request-metrics.ts
@@ -1,19 +1,19 @@
 /**
- * What request handling counts and measures; the process holds the metrics
- * and gives them their names.
+ * Interfaces through which request handling reports metrics. The process owns the
+ * metrics and defines their names.
  */
 import type { StageCall, StageReply } from '../connection/messages.js'
 
-/** How a request ended, for attainment. */
+/** Result of a request with respect to its deadline. */
 export enum RequestEnd {
-  /** Whole, within its deadline. */
+  /** Completed within its deadline. */
   Attained = 'attained',
-  /** Whole, after its deadline. */
+  /** Completed after its deadline. */
   Late = 'late',
   Error = 'error',
 }
 
-/** Metrics of an entry's requests. */
+/** Metrics of the requests of an entry. */
 export interface RequestMetrics {
   recordRequest: (target: string, priority: string, end: RequestEnd, milliseconds: number) => void
   recordError: (kind: string, ran: string) => void
@@ -23,7 +23,7 @@
   setInFlight: (count: number) => void
 }
 
-/** Metrics of a side's stage calls. */
+/** Metrics of the stage calls of a side. */
 export interface StageMetrics {
   recordStage: (call: StageCall, reply: StageReply, serviceMs: number) => void
   recordRefusal: (reason: string) => void
--- a/packages/daemon/src/request/request-runner.ts
+++ b/packages/daemon/src/request/request-runner.ts
@@ -1,11 +1,11 @@
 /**
- * Runs the stages of one request in order, from its plan to its one answer, and
- * ends it at its deadline or when its caller has gone.
+ * Runs the stages of a request in order and ends the request at its deadline or
+ * when its caller disconnects.
  *
- * Relies on `stages/stage-caller.ts` for each stage and on
- * `stages/stage-budget.ts` for the time that a stage may use. State: recent
- * times of each target's stages, in memory; a restarted entry reserves no time
- * for later stages until it has run some.
+ * `stages/stage-caller.ts` runs each stage and `stages/stage-budget.ts` determines
+ * how much time it may use. State: recent durations of the stages of each target,
+ * in memory. A restarted entry reserves no time for later stages until it has run
+ * them.
  */
 import type { RequestError } from '@eidermast/common'
 import type { RequestAnswer, StageReport, WholeAnswer } from '../connection/answer.js'
@@ -21,25 +21,28 @@
 import { formatStageInput } from './stages/stage-input.js'
 import { describeProgress } from './stages/stage-task.js'
 
-/** Parts of a request runner. */
+/** Dependencies of a request runner. */
 export interface RequestRunnerOptions {
   stageCaller: StageCaller
   stageBudget: StageBudgetPolicy
   metrics: RequestMetrics
 }
 
-/** Quantile of a later stage's recent times that is kept free for it. The median would leave half of them too little. */
+/** Quantile of recent durations reserved for later stages. The median would reserve too little for half of their runs. */
 const RESERVED_QUANTILE = 0.9
-/** Characters of the input that stand for its prompt prefix. Half joins unlike prompts, twice parts like ones. */
+/**
+ * Characters at the start of the input that identify its prompt prefix. Fewer would group prompts
+ * with different prefixes; more would separate prompts that share one.
+ */
 const PREFIX_LENGTH = 64
 
-/** Runs requests for one entry. */
+/** Runs requests at one entry. */
 export class RequestRunner {
   private readonly times = new RecentTimesByKey()
 
   constructor(private readonly options: RequestRunnerOptions) {}
 
-  /** Runs a request to its answer. Returns at once when its deadline passes or its caller goes. */
+  /** Runs a request. Returns immediately when its deadline passes or its caller disconnects. */
   async run(request: IncomingRequest, requestId: string): Promise<RequestAnswer> {
     const over = new AbortController()
     const end = (): void => over.abort()
@@ -71,7 +74,7 @@
       previous = { requestId, output: reply.output, stages, status: reply.status, contentType: reply.contentType }
     }
     this.recordCost(stages, false)
-    return previous ? Ok(previous) : Err(createError(ErrorKind.Internal, 'The pipeline has no stage; publish its template again.'))
+    return previous ? Ok(previous) : Err(createError(ErrorKind.Internal, 'The pipeline has no stages; publish its template again.'))
   }
 
   private createTask(
@@ -92,7 +95,7 @@
       prefixKey: `${account}/${plan.target}/${body.slice(0, PREFIX_LENGTH)}`,
       unrepeatable: plan.unrepeatable,
       budgetMs: () => this.options.stageBudget.budgetMs(remainingMs(request), this.reservedFor(plan.target, later)),
-      // Only the last stage's tokens are the caller's answer.
+      // Only the tokens of the last stage are part of the answer.
       onToken: later.length === 0 ? request.onToken : undefined,
     }
   }
@@ -101,7 +104,7 @@
     return stages.map(stage => this.times.of(timesKey(target, stage)).quantile(RESERVED_QUANTILE))
   }
 
-  /** Stages of a request that ends without an answer were run in vain. */
+  /** Records the cost of stages, which is wasted if the request failed. */
   private recordCost(reports: readonly StageReport[], wasted: boolean): void {
     for (const report of reports)
       this.options.metrics.recordCost(report.stage, report.cost, wasted)
@@ -109,7 +112,7 @@
 }
 
 function createCancelledError(progress: RequestProgress): RequestError {
-  return createError(ErrorKind.Cancelled, 'The caller closed the connection before the answer.', { ran: describeProgress(progress) })
+  return createError(ErrorKind.Cancelled, 'The caller closed the connection before it was answered.', { ran: describeProgress(progress) })
 }
 
 function timesKey(target: string, stage: PlannedStage): string {
--- a/packages/daemon/src/request/request-service.ts
+++ b/packages/daemon/src/request/request-service.ts
@@ -1,12 +1,12 @@
 /**
- * Takes requests in at an entry: passes those with another entry's ticket on,
- * joins repeats, admits or sheds, and runs what this entry has the authority to
- * run.
+ * Handles the requests of an entry: forwards those with a ticket of another entry,
+ * deduplicates retries, admits or sheds the others, and runs the admitted requests
+ * that this entry is authorized to run.
  *
- * Relies on `admission.ts`, `authority/run-authority.ts` and `outcomes.ts` for
- * the decisions. State: requests in flight by account, for as long as they are.
- * When the process dies they end with their callers' connections; what may have
- * run of an unrepeatable one stays claimed, or bound to the dead process life.
+ * `admission.ts`, `authority/run-authority.ts` and `outcomes.ts` make the decisions.
+ * State: the requests in flight by account. If the process dies, they end when the
+ * callers' connections close; an unrepeatable request that may have run remains
+ * claimed by, or bound by its ticket to, the dead process incarnation.
  */
 import type { RequestError } from '@eidermast/common'
 import type { RequestAnswer } from '../connection/answer.js'
@@ -31,12 +31,12 @@
 import { RequestLog } from './request-log.js'
 import { RequestEnd } from './request-metrics.js'
 
-/** Parts of a request service. */
+/** Options and dependencies of a request service. */
 export interface RequestServiceOptions {
   incarnation: string
-  /** Requests that may be in flight. */
+  /** Maximum number of requests in flight. */
   inFlightLimit: number
-  /** Milliseconds for which claims are remembered. */
+  /** Retention of claims in milliseconds. */
   claimMemoryMs: number
   admission: AdmissionPolicy
   runner: RequestRunner
@@ -49,7 +49,7 @@
   metrics: RequestMetrics
 }
 
-/** Takes in the requests of one entry and one kind of work. */
+/** Handles the requests of one entry for one kind of work. */
 export class RequestService {
   private readonly load = new AccountLoad()
   private readonly log: RequestLog
@@ -60,12 +60,11 @@
     this.authority = new RunAuthority({ ...options, log: this.log })
   }
 
-  /** Requests that have not been answered. */
+  /** Number of requests that have not been answered. */
   get inFlight(): number {
     return this.load.total
   }
 
-  /** Answers a request. */
   async handle(incoming: IncomingRequest): Promise<RequestAnswer> {
     const requestId = incoming.ticket?.requestId ?? incoming.requestId ?? createRequestId()
     const answer = await this.route(incoming, requestId)
@@ -83,16 +82,16 @@
     return this.authority.refuseEarly(incoming, requestId) ?? this.admitAndRun(incoming, requestId)
   }
 
-  /** A repeat gets the answer of the first, within its own deadline. */
+  /** Answers a duplicate with the answer of the first request, within the deadline of the duplicate. */
   private async join(incoming: IncomingRequest, requestId: string, known: Outcome): Promise<RequestAnswer> {
     this.log.repeated(requestId, known.state)
     if (known.digest !== digestRequest(incoming.plan.target, incoming.body))
-      return Err(createError(ErrorKind.RequestIdReused, 'This request id was used for another request; make a new id.'))
+      return Err(createError(ErrorKind.RequestIdReused, 'This request id was already used for a different request; generate a new id.'))
     if (known.state !== OutcomeState.Running)
       return known.finished ?? Err(createForgottenError())
     const answer = await waitForAnswer(known.answer, incoming)
     const firstCallerGone = answer.isErr() && answer.error.kind === ErrorKind.Cancelled
-    // The first caller's leave ended the run, not this caller's.
+    // The run ended because the first caller disconnected; this caller still needs an answer.
     return firstCallerGone && !incoming.callerGone.aborted ? this.route(incoming, requestId) : answer
   }
 
@@ -109,7 +108,7 @@
       return await this.runWithAuthority(incoming, requestId, outcome)
     }
     catch (error) {
-      const answer: RequestAnswer = Err(createError(ErrorKind.Internal, `The entry failed: ${String(error)}`, { ran: Ran.Unknown }))
+      const answer: RequestAnswer = Err(createError(ErrorKind.Internal, `Internal error at the entry: ${String(error)}`, { ran: Ran.Unknown }))
       outcomes.finish(outcome, answer)
       return answer
     }
@@ -140,16 +139,16 @@
     const authority = await this.authority.obtain(incoming, requestId)
     if (!authority.granted) {
       outcomes.finish(outcome, authority.answer, authority.state)
-      // Nothing ran here: the id may be sent again.
+      // Nothing ran here, so the request id may be sent again.
       outcomes.forget(outcome)
       return authority.answer
     }
     const { plan } = incoming
-    // The one run of an unrepeatable request goes on without its caller, who may ask for the answer later.
+    // The only run of an unrepeatable request continues without its caller, which may get the answer later.
     const callerGone = plan.unrepeatable ? UNABORTED : incoming.callerGone
     const answer = await runner.run({ ...incoming, callerGone }, requestId)
     outcomes.finish(outcome, answer)
-    // A repeatable request that failed may be sent again under its id.
+    // A failed repeatable request may be sent again with the same id.
     if (answer.isErr() && !plan.unrepeatable)
       outcomes.forget(outcome)
     return answer
@@ -173,18 +172,18 @@
 }
 
 function createForgottenError(): RequestError {
-  return createError(ErrorKind.OutcomeUnknown, 'This request was answered before and the answer is no longer kept; do not send it again.')
+  return createError(ErrorKind.OutcomeUnknown, 'This request was already answered and the answer is no longer stored; do not send it again.')
 }
 
 function createMemoryError(): RequestError {
-  return createError(ErrorKind.Overloaded, 'This entry remembers as many unrepeatable requests as it can; come back after the given time.')
+  return createError(ErrorKind.Overloaded, 'This entry has reached its limit of stored unrepeatable requests; retry after the indicated delay.')
 }
 
-/** Waits for a running request's answer within the deadline of its repeat. */
+/** Waits for the answer of a running request until the deadline of its duplicate. */
 async function waitForAnswer(answer: Promise<RequestAnswer>, incoming: IncomingRequest): Promise<RequestAnswer> {
   const settled = await settleWithin(answer, remainingMs(incoming), incoming.callerGone)
   if (settled)
     return settled
-  const message = 'The request still runs; ask for its outcome with GET /v1/requests/{id}.'
+  const message = 'The request is still running; get its outcome with GET /v1/requests/{id}.'
   return Err(createError(ErrorKind.DeadlineExceeded, message, { ran: Ran.Unknown }))
 }
--- a/packages/daemon/src/request/side/backend-reply.ts
+++ b/packages/daemon/src/request/side/backend-reply.ts
@@ -1,11 +1,13 @@
 /**
- * Decides what a side replies for each end of a call at its backend server.
+ * Decides which reply a side sends for each result of a call to its backend server.
+ *
+ * Inputs: the result reported by the connection; whether the call was cancelled.
+ *
+ * Only a result that proves that the backend server did not start the call is
+ * reported as a refusal. A lost connection, a failure and a truncated stream count
+ * as started, because after a refusal an entry can call another backend server
+ * even for an unrepeatable request.
  *
- * Inputs: the end that the connection reports; whether the call was cancelled.
- * Rule: only an end at which the backend server provably did not start is a
- * refusal; a lost connection, a failure and a cut stream count as started.
- * Why: an entry may call again elsewhere after a refusal, also for an
- * unrepeatable request.
  * Log events at the entry: `done`, `failed` (field `cause`).
  */
 import type { BackendResult } from '../../connection/backend-client.js'
@@ -13,21 +15,22 @@
 import { BackendOutcome } from '../../connection/backend-client.js'
 import { FailureReason, RefusalReason, StageReplyKind } from '../../connection/messages.js'
 
-/** What every reply of a side carries. */
+/** Fields common to all replies of a side. */
 export type ReplyBase = Pick<StageReply, 'identity' | 'offset' | 'load'>
 
-/** A call that the backend server has ended. */
+/** A finished call to the backend server. */
 export interface EndedCall {
   result: BackendResult
   cancelled: boolean
-  /** Milliseconds in the queue and at the backend server. */
+  /** Time in the queue. */
   queueMs: number
+  /** Time at the backend server. */
   serviceMs: number
-  /** Milliseconds after which an entry may call again, where the reply is a refusal. */
+  /** Delay before an entry should retry, used if the reply is a refusal. */
   retryAfterMs: number
 }
 
-/** The reply for an ended call. */
+/** Creates the reply for a finished call. */
 export function createBackendReply(base: ReplyBase, ended: EndedCall): StageReply {
   const { result, queueMs, serviceMs, retryAfterMs } = ended
   if (result.outcome === BackendOutcome.Done) {
--- a/packages/daemon/src/request/side/backend-run.ts
+++ b/packages/daemon/src/request/side/backend-run.ts
@@ -1,13 +1,13 @@
 /**
- * One stage call at its side, from its arrival until its result is dropped, and
- * the tokens that it has produced so far.
+ * State of one stage call at a side, from its arrival until its result is
+ * evicted, including the tokens produced so far.
  */
 import type { LinkTokenListener } from '../../connection/link-call.js'
 import type { StageCall, StageReply } from '../../connection/messages.js'
 import { stageKey, StageReplyKind } from '../../connection/messages.js'
 import { textBytes } from '../text-bytes.js'
 
-/** One stage call at a side. */
+/** A stage call at a side. */
 export interface BackendRun {
   key: string
   call: StageCall
@@ -19,13 +19,13 @@
   reply: Promise<StageReply>
   /** Resolves the reply. */
   settle: (reply: StageReply) => void
-  /** The reply, once it is there. */
+  /** The reply, once the call has finished. */
   finished?: StageReply
-  /** Stops the call at the backend server. */
+  /** Cancels the call at the backend server. */
   abort: AbortController
 }
 
-/** Creates the run of a call that has just come. */
+/** Creates the run of a newly arrived call. */
 export function createRun(call: StageCall): BackendRun {
   let settle!: (reply: StageReply) => void
   const reply = new Promise<StageReply>((resolve) => {
@@ -44,7 +44,7 @@
   }
 }
 
-/** Sends a listener the tokens so far, and those to come while the call runs. */
+/** Replays the tokens produced so far to a listener and subscribes it to further tokens while the call runs. */
 export function addTokenListener(run: BackendRun, onToken: LinkTokenListener | undefined): void {
   if (!onToken)
     return
@@ -53,14 +53,14 @@
     run.listeners.add(onToken)
 }
 
-/** Keeps a token and sends it to every listener. */
+/** Stores a token and sends it to all listeners. */
 export function publishToken(run: BackendRun, text: string): void {
   const index = run.tokens.push(text) - 1
   for (const listener of run.listeners)
     listener(index, text)
 }
 
-/** Memory that a finished run is counted with, in bytes. */
+/** Estimated memory of a finished run in bytes. */
 export function sizeOf(run: BackendRun): number {
   const output = run.finished?.kind === StageReplyKind.Done ? textBytes(run.finished.output) : 0
   return run.call.input.length + output
--- a/packages/daemon/src/request/side/stage-queue.ts
+++ b/packages/daemon/src/request/side/stage-queue.ts
@@ -1,19 +1,23 @@
 /**
- * Decides which stage call a side takes into the queue before its backend
- * server, and which waiting call runs next.
+ * Decides which stage calls a side admits to the queue of its backend server, and
+ * which queued call runs next.
+ *
+ * Inputs: the priority, input size and remaining time (ms) of the call; the
+ * current number of running calls and slots; the expected service times of the
+ * queued calls (ms, median of similar calls that ran here).
+ *
+ * The `deadline` queue refuses a call with reason `full` if it exceeds the limit
+ * on the number of calls or on their total input size, and with reason `late` if
+ * it cannot finish in time after the calls ahead of it. Calls are ordered by
+ * priority, then by earliest deadline. A call that can no longer finish in time
+ * when it reaches the head of the queue is refused with reason `late`.
+ *
+ * An immediate refusal leaves the entry time to call another backend server, and
+ * running a call that will miss its deadline would delay the others.
  *
- * Inputs: the call's priority, input and time left (ms); calls running and
- * slots, as of now; expected service times of the calls that wait (ms, median
- * of like calls that ran here).
- * Rule (`deadline`): refuses as full beyond the limits of number and of input,
- * and as late what cannot finish in time behind the calls that go before it.
- * High priority goes first, then the earliest deadline; a call that can no
- * longer finish when its turn comes is refused as late.
- * Why: a refusal at once lets the entry go elsewhere while it has time; work on
- * a call that will be late anyway delays the others.
  * Log event: `refuse`, reasons `full` and `late`.
  *
- * State: calls that wait, in memory; they never ran when the process dies.
+ * State: the queued calls, in memory. If the process dies, they have not run.
  */
 import type { StageCall } from '../../connection/messages.js'
 import { RefusalReason } from '../../connection/messages.js'
@@ -22,25 +26,25 @@
 /** A call that waits for a slot. */
 export interface WaitingCall {
   call: StageCall
-  /** When the call came, in milliseconds of the process clock. */
+  /** Arrival time (monotonic, in milliseconds). */
   arrivedAt: number
-  /** When the call must have finished, in milliseconds of the process clock. */
+  /** Time by which the call must have finished (monotonic, in milliseconds). */
   finishBy: number
-  /** Expected service time in milliseconds; 0 where nothing is known. */
+  /** Expected service time in milliseconds; 0 if unknown. */
   expectedServiceMs: number
 }
 
-/** What the queue knows of the server when a call is offered. */
+/** State of the backend server when a call is offered to the queue. */
 export interface ServerView {
-  /** Milliseconds of the process clock. */
+  /** Current monotonic time in milliseconds. */
   now: number
-  /** Calls at the backend server. */
+  /** Calls running on the backend server. */
   running: number
-  /** Calls that it runs at once. */
+  /** Calls that the backend server can run concurrently. */
   slots: number
 }
 
-/** Calls that wait, by priority. */
+/** Number of queued calls by priority. */
 export interface QueuedByPriority {
   [Priority.High]: number
   [Priority.Normal]: number
@@ -50,17 +54,16 @@
 /** A queue of stage calls. */
 export interface StageQueue {
   readonly size: number
-  /** Takes a call in, or says why not. */
+  /** Adds a call to the queue, or returns the reason why it is refused. */
   offer: (waiting: WaitingCall, server: ServerView) => RefusalReason | undefined
-  /** The next call to run, after those that can no longer finish in time. */
+  /** Removes and returns the next call to run and the calls ahead of it that can no longer finish in time. */
   take: (now: number) => { next?: WaitingCall, late: WaitingCall[] }
-  /** Removes a call; returns whether it was waiting. */
+  /** Removes a call; returns whether it was queued. */
   remove: (waiting: WaitingCall) => boolean
-  /** Calls that wait, by priority. */
   countByPriority: () => QueuedByPriority
 }
 
-/** Order of the priorities; the lowest number goes first. */
+/** Rank of each priority; lower ranks run first. */
 const RANK: Record<Priority, number> = { [Priority.High]: 0, [Priority.Normal]: 1, [Priority.Low]: 2 }
 
 function countByPriority(waiting: readonly WaitingCall[]): QueuedByPriority {
@@ -78,7 +81,7 @@
   return true
 }
 
-/** The baseline, for the setting `queue = fifo`: first in, first out, without a limit and without a look at deadlines. */
+/** Unbounded FIFO queue that ignores deadlines (setting `queue = fifo`), a baseline for comparison. */
 export class FifoQueue implements StageQueue {
   private readonly waiting: WaitingCall[] = []
 
@@ -104,18 +107,18 @@
   }
 }
 
-/** Share of a running call that is still to be done: on average half, since calls come at any moment of another. */
+/** Expected remaining fraction of a running call: half on average, because calls arrive at a random point of its run. */
 const UNFINISHED_SHARE = 0.5
 
 /** Limits of a deadline queue. */
 export interface DeadlineQueueOptions {
-  /** Calls that may wait. */
+  /** Maximum number of queued calls. */
   limit: number
-  /** Characters of input that may wait. */
+  /** Maximum total length of the queued inputs, in characters. */
   bytes: number
 }
 
-/** Priority first, then earliest deadline; refuses at once what cannot finish in time. */
+/** Orders calls by priority, then by earliest deadline, and immediately refuses calls that cannot finish in time. */
 export class DeadlineQueue implements StageQueue {
   private readonly waiting: WaitingCall[] = []
   private bytes = 0
@@ -163,7 +166,7 @@
     return countByPriority(this.waiting)
   }
 
-  /** Milliseconds until a slot is free for a call, from the work that goes before it. */
+  /** Expected milliseconds until a slot is free, given the work ahead of the call. */
   private expectedWait(waiting: WaitingCall, server: ServerView): number {
     if (server.running < server.slots && this.waiting.length === 0)
       return 0
--- a/packages/daemon/src/request/side/stage-runner.ts
+++ b/packages/daemon/src/request/side/stage-runner.ts
@@ -1,21 +1,25 @@
 /**
- * Runs stage calls at a side, one call of the backend server for each.
+ * Runs the stage calls of a side, each with one call to the backend server.
+ *
+ * Decides whether a call runs at all. Inputs: the identity of the call and the
+ * process incarnation that it is addressed to; the table of known calls; whether
+ * the side accepts new work; the queue.
+ *
+ * A call addressed to another incarnation is refused. A known call is joined while
+ * it runs and its reply is replayed afterwards. A call whose key has a tombstone
+ * never runs. Any other call runs unless the side or the queue refuses it. Calls
+ * that are still queued when the backend server begins to leave are refused,
+ * because the state in which they were accepted no longer holds.
+ *
+ * A refused call leaves a tombstone. The entry retries after a refusal, and
+ * nothing else would prevent a delayed copy of the call, for example on an old
+ * connection, from running alongside the retry.
  *
- * Decides whether a call runs at all. Inputs: its identity and the process life
- * that it was meant for, the table of known calls, what the side says of new
- * work, the queue. Rule: a call for another process life is refused; a known
- * one is joined or replayed; one whose key is spent never runs again; then the
- * side's and the queue's refusals hold. A refused call's key is spent, so that a
- * copy that is still on its way cannot run after its entry went elsewhere.
- * A call that still waits when the backend server begins to leave is refused:
- * it was taken on a state that holds no longer.
- * Why: the entry calls again after a refusal, and nothing else keeps a copy in
- * an old connection from running beside that call.
  * Log events: `join`, `refuse`.
  *
- * Relies on the queue for the order and on `backend-reply.ts` for what an end
- * means. State: calls that wait and run. When the process dies, waiting calls
- * never ran; what of the running ones ran is unknown to their entries.
+ * The queue determines the order, and `backend-reply.ts` maps the result of a call
+ * to a reply. State: queued and running calls. If the process dies, the queued
+ * calls have not run; the entries cannot know how far the running ones got.
  */
 import type { BackendClient, BackendResult } from '../../connection/backend-client.js'
 import type { LinkTokenListener } from '../../connection/link-call.js'
@@ -32,33 +36,33 @@
 import { addTokenListener, publishToken } from './backend-run.js'
 import { ServiceTimes } from './service-times.js'
 
-/** What the runner needs to know of its side. */
+/** State of the side that the runner depends on. */
 export interface SideState {
   readonly incarnation: string
   readonly offset: number
   readonly draining: boolean
-  /** Its backend server leaves: calls that wait must not start there any more. */
+  /** Whether the backend server is leaving, so that queued calls must not start on it. */
   readonly backendLeaving: boolean
-  /** Why new work is refused, or undefined while it is taken. */
+  /** Returns why new work is refused, or undefined if it is accepted. */
   refusal: (call: StageCall) => RefusalReason | undefined
 }
 
-/** Parts of a stage runner. */
+/** Dependencies of a stage runner. */
 export interface StageRunnerOptions {
   side: SideState
   backend: BackendClient
   table: StageTable
   queue: StageQueue
-  /** Calls that the backend server runs at once. */
+  /** Calls that the backend server can run concurrently. */
   slots: number
   decisions: DecisionRecorder
   metrics: StageMetrics
 }
 
-/** Milliseconds, at least, after a refusal. Half doubles the retries at a full side, twice delays what would fit. */
+/** Minimum retry delay after a refusal. Half of it doubles the retries at a full side; twice delays calls that would fit. */
 const MIN_RETRY_AFTER_MS = 50
 
-/** Runs the stage calls of one side. */
+/** Runs stage calls at one side. */
 export class StageRunner {
   private readonly pending = new Map<WaitingCall, BackendRun>()
   private readonly times = new ServiceTimes()
@@ -66,12 +70,12 @@
 
   constructor(private readonly options: StageRunnerOptions) {}
 
-  /** Whether no call runs or waits. */
+  /** Whether no call is running or queued. */
   get idle(): boolean {
     return this.running === 0 && this.pending.size === 0
   }
 
-  /** The side's load, as entries receive it. */
+  /** Returns the load of the side as reported to entries. */
   load(): Load {
     return {
       running: this.running,
@@ -82,7 +86,7 @@
     }
   }
 
-  /** Runs, joins or replays a call and returns its one reply. */
+  /** Runs a call, or joins or replays an earlier copy of it. All copies get the same reply. */
   async run(call: StageCall, onToken?: LinkTokenListener): Promise<StageReply> {
     const { side, table } = this.options
     const key = stageKey(call.identity)
@@ -98,7 +102,7 @@
     return refusal ? this.refuse(call, refusal) : this.enqueue(call, onToken)
   }
 
-  /** Stops a call, or forbids it where it has not come yet. */
+  /** Cancels a call. If it has not arrived yet, it will be refused on arrival. */
   cancel(key: string): CancelReply {
     const { table } = this.options
     const run = table.find(key)
@@ -117,7 +121,7 @@
     return { started: false }
   }
 
-  /** Refuses the calls that wait, where the backend server leaves; their entries call another one. */
+  /** Refuses all queued calls if the backend server is leaving, so that entries call another one. */
   refuseWaitingIfLeaving(): void {
     if (!this.options.side.backendLeaving)
       return
@@ -147,7 +151,7 @@
     return run.reply
   }
 
-  /** Starts waiting calls while slots are free. */
+  /** Starts queued calls while slots are free. */
   private startNext(): void {
     this.refuseWaitingIfLeaving()
     while (this.running < this.options.slots) {
@@ -186,7 +190,7 @@
     this.startNext()
   }
 
-  /** Calls the backend server and stops the call when its time is over. */
+  /** Calls the backend server and aborts the call when its budget is exhausted. */
   private async callBackend(run: BackendRun, remainingMs: number): Promise<BackendResult> {
     const deadline = setTimeout(() => run.abort.abort(), Math.max(0, remainingMs))
     const onToken = run.listeners.size > 0 ? (text: string): void => publishToken(run, text) : undefined
@@ -202,14 +206,14 @@
     const refused = { stage, attempt, reason, queued: queue.size, running: this.running, budgetMs: call.budgetMs }
     decisions.record('refuse', requestId, refused)
     metrics.recordRefusal(reason)
-    // A copy of the call that is still on its way must not run after this refusal.
+    // A copy of the call that is still in transit must not run after this refusal.
     if (reason !== RefusalReason.OtherIncarnation)
       table.forbid(stageKey(call.identity))
     return { ...this.replyBase(call), kind: StageReplyKind.Refused, reason, retryAfterMs }
   }
 
   private createDroppedReply(call: StageCall): StageReply {
-    const message = 'the result of this call was dropped'
+    const message = 'the result of this call is no longer available'
     return { ...this.replyBase(call), kind: StageReplyKind.Failed, reason: FailureReason.Cancelled, message, serviceMs: 0 }
   }
 
@@ -229,7 +233,7 @@
     return { identity: { ...call.identity, sideIncarnation: incarnation }, offset, load: this.load() }
   }
 
-  /** Time until the work at hand is done, in milliseconds. */
+  /** Expected milliseconds until all running and queued calls are done. */
   private expectedDrainMs(): number {
     return (this.times.meanMs() * (this.running + this.options.queue.size)) / this.options.slots
   }
--- a/packages/daemon/src/request/side/stage-table.ts
+++ b/packages/daemon/src/request/side/stage-table.ts
@@ -1,15 +1,16 @@
 /**
- * A side's table of stage calls: a repeat of a running call joins it, a repeat
- * of a finished one gets the same reply. Replaying results by identity follows
- * the idea of verifiers pull request 1565.
+ * Deduplicates the stage calls of a side: a copy of a running call joins it, and a
+ * copy of a finished call gets the same reply. Replaying results by identity
+ * follows the approach of verifiers pull request 1565.
  *
- * Decides how long results are kept: until their entry acknowledges them, or
- * until the limits of number, size or time, oldest first. A dropped call's key
- * stays for the same time, so that a late copy of the call never runs again.
+ * Decides how long results are kept: until the entry acknowledges them or a limit
+ * on number, size or age evicts them, oldest first. The key of an evicted call is
+ * kept as a tombstone for the same lifetime, so that a delayed copy of the call
+ * does not run again.
  *
- * State: in memory, limits from the settings. When the process dies the results
- * are lost; a copy of a call is refused then, because it names the old process
- * life of the side.
+ * State: in memory, with limits from the settings. If the process dies, the
+ * results are lost; copies of the calls are refused afterwards because they are
+ * addressed to the previous process incarnation of the side.
  */
 import type { ResultQuestion, StageCall, StageReply } from '../../connection/messages.js'
 import type { BackendRun } from './backend-run.js'
@@ -19,31 +20,30 @@
 
 /** Limits of the table. */
 export interface StageTableOptions {
-  /** Finished results kept. */
+  /** Maximum number of finished results. */
   entries: number
-  /** Bytes of finished results kept. */
+  /** Maximum total size of finished results. */
   bytes: number
-  /** Milliseconds for which a result or a key is kept. */
+  /** How long results and tombstones are kept. */
   lifetimeMs: number
 }
 
-/** A key that must not run any more. */
+/** Marks a key that must never run (again). */
 interface SpentKey {
-  /** Milliseconds of the table's clock. */
+  /** Creation time in milliseconds. */
   at: number
-  /** Whether the backend server may have been called under it. */
+  /** Whether the backend server may have been called for this key. */
   started: boolean
 }
 
-/** Spent keys looked at for each change, so that dropping never stalls. Fewer than come would leave old ones. */
+/** Tombstones examined per change, which bounds the time of an eviction. Fewer than are added would let old ones accumulate. */
 const MAX_EVICTION_STEPS = 64
 
 /** The table of stage calls. */
 export class StageTable {
   private readonly runs = new Map<string, BackendRun>()
-  /** When each finished run finished, in that order; milliseconds of the table's clock. */
+  /** Finish time of each finished run in milliseconds, in order of finishing. */
   private readonly finished = new Map<string, number>()
-  /** Keys that must not run any more. */
   private readonly spent = new Map<string, SpentKey>()
   private bytes = 0
 
@@ -57,17 +57,17 @@
     return this.runs.size - this.finished.size
   }
 
-  /** The run of a key, if it is still held. */
+  /** Returns the run of a key if it has not been evicted. */
   find(key: string): BackendRun | undefined {
     return this.runs.get(key)
   }
 
-  /** Whether a key was used up: cancelled before its call came, or dropped after its end. */
+  /** Returns the tombstone of a key whose call was cancelled or refused before it ran, or evicted after it finished. */
   spentKey(key: string): SpentKey | undefined {
     return this.spent.get(key)
   }
 
-  /** Finds the finished result of a request's stage, whichever entry asked for it. */
+  /** Finds the result of a finished stage of a request, regardless of which entry called the stage. */
   findFinished(question: ResultQuestion): StageReply | undefined {
     for (const key of this.finished.keys()) {
       const run = this.runs.get(key)!
@@ -77,14 +77,14 @@
     return undefined
   }
 
-  /** Opens a run for a call that is not in the table. */
+  /** Adds a run for a call that is not in the table. */
   open(call: StageCall): BackendRun {
     const run = createRun(call)
     this.runs.set(run.key, run)
     return run
   }
 
-  /** Ends a run with its one reply. */
+  /** Finishes a run with its final reply. */
   finish(run: BackendRun, reply: StageReply): void {
     if (run.finished)
       return
@@ -96,13 +96,13 @@
     this.evict()
   }
 
-  /** Drops a result that its entry has taken. */
+  /** Drops a result that its entry has received. */
   acknowledge(key: string): void {
     if (this.finished.has(key))
       this.drop(key)
   }
 
-  /** Uses up a key whose call has not come, so that it is refused when it does. */
+  /** Adds a tombstone for a key that has no run, so that the call is refused if it arrives later. */
   forbid(key: string): void {
     if (!this.runs.has(key) && !this.spent.has(key))
       this.spent.set(key, { at: this.now(), started: false })
--- a/packages/daemon/src/request/stages/call-end.ts
+++ b/packages/daemon/src/request/stages/call-end.ts
@@ -1,26 +1,26 @@
 /**
- * What the end of one stage call over a link proves. The rules on retries and
- * answers rest on these facts.
+ * Interprets the result of one stage call over a link. Retry decisions and
+ * request answers depend on this classification.
  */
 import type { LinkResult } from '../../connection/link-call.js'
 import { LinkOutcome } from '../../connection/link-call.js'
 import { FailureReason, RefusalReason, StageReplyKind } from '../../connection/messages.js'
 
-/** Whether a call has provably not started: it was never sent, or its side refused it. */
+/** Whether a call definitely did not start: it was never sent, or the side refused it. */
 export function isProvablyNotRun(result: LinkResult): boolean {
   if (result.outcome === LinkOutcome.NotSent)
     return true
   return result.outcome === LinkOutcome.Replied && result.reply.kind === StageReplyKind.Refused
 }
 
-/** Whether another process life answered than the call was meant for. */
+/** Whether the side refused the call because it was addressed to another process incarnation. */
 export function isOtherIncarnation(result: LinkResult): boolean {
   if (result.outcome !== LinkOutcome.Replied || result.reply.kind !== StageReplyKind.Refused)
     return false
   return result.reply.reason === RefusalReason.OtherIncarnation
 }
 
-/** Why a call gave no result, for logs, metrics and error messages. */
+/** Returns why a call failed, for logs, metrics and error messages. */
 export function describeCause(result: LinkResult): string {
   if (result.outcome !== LinkOutcome.Replied)
     return result.outcome
--- a/packages/daemon/src/request/stages/choice.ts
+++ b/packages/daemon/src/request/stages/choice.ts
@@ -1,35 +1,41 @@
 /**
- * Decides on which backend server one stage call runs.
+ * Decides which backend server runs a stage call (load balancing).
+ *
+ * Inputs: the available candidates that are not ejected and that this stage has
+ * not tried; for each candidate, its latest load report (from its last reply or
+ * heartbeat, if any), this entry's outstanding calls to it and the calls sent
+ * since that report; the priority of the call, the failure domain of the entry
+ * and a key derived from the start of the prompt.
+ *
+ * The `predicted` policy compares the candidate selected by rendezvous hashing
+ * of the prefix key with two random candidates and picks the one with the
+ * earliest predicted finish. The prediction adds the queueing delay at the
+ * call's priority, the mean service time (reduced for the hashed candidate) and
+ * the latency of crossing failure domains.
+ *
+ * Picking the best of all candidates by their latest reports would send the
+ * calls of every entry to the same server until the next report; random sampling
+ * spreads them. The hashed candidate is always included because it is the most
+ * likely to have the prompt prefix cached.
  *
- * Inputs: the candidates in force, not ejected and not tried by this stage; of
- * each its newest load report (from its last reply or heartbeat, or none),
- * this entry's calls under way there and those sent since the report; the
- * call's priority, the entry's failure domain, a key of the prompt's beginning.
- * Rule (`predicted`): of the candidate that the key prefers and two random
- * ones, the one that is predicted to finish first. The prediction is the wait
- * for a slot, behind what goes before at this priority, and the mean service
- * time, less a saving for the preferred one, plus a crossing of domains.
- * Why: a choice among all by the newest report sends every entry to the same
- * server until the next report; random ones spread them. The preferred one is
- * always compared, because it is the likeliest to hold the prompt's prefix.
  * Log event: `choose`.
  */
 import type { Load } from '../../connection/messages.js'
 import { createHash } from 'node:crypto'
 import { Priority } from '../../version/objects.js'
 
-/** A backend server that may take a call. */
+/** A backend server that a call can be sent to. */
 export interface ChoiceCandidate {
   readonly backendName: string
   readonly failureDomain: string
   readonly load: Load | undefined
-  /** Calls of this entry under way there. */
+  /** Calls from this entry that have not been answered. */
   readonly outstanding: number
-  /** Calls of this entry sent since the newest load report. */
+  /** Calls from this entry since the latest load report. */
   readonly sentSinceReport: number
 }
 
-/** What the choice is made for. */
+/** Properties of the call for which a backend server is selected. */
 export interface ChoiceContext {
   priority: Priority
   failureDomain: string
@@ -37,16 +43,16 @@
   prefixKey: string
 }
 
-/** A way to choose. */
+/** Load-balancing policy. */
 export interface ChoicePolicy {
-  /** Chooses one of one or more candidates. */
+  /** Selects one candidate from a non-empty list. */
   choose: <Candidate extends ChoiceCandidate>(candidates: readonly Candidate[], context: ChoiceContext) => Candidate
 }
 
-/** Source of random numbers in [0, 1). */
+/** Returns a random number in [0, 1). */
 export type RandomSource = () => number
 
-/** A baseline, for the setting `choice = random`: any candidate. */
+/** Uniformly random selection (setting `choice = random`), a baseline for comparison. */
 export class RandomChoice implements ChoicePolicy {
   constructor(private readonly random: RandomSource = Math.random) {}
 
@@ -55,7 +61,7 @@
   }
 }
 
-/** A baseline, for the setting `choice = round-robin`: one after the other. */
+/** Round-robin selection (setting `choice = round-robin`), a baseline for comparison. */
 export class RoundRobinChoice implements ChoicePolicy {
   private next = 0
 
@@ -65,14 +71,17 @@
   }
 }
 
-/** Share of the service time that a warm prefix cache saves. Half leaves a warm one sooner, twice queues behind it longer. */
+/**
+ * Fraction of the service time assumed to be saved by a warm prefix cache. A lower value
+ * gives up a warm server sooner, a higher one queues behind it for longer.
+ */
 const PREFIX_SAVING = 0.3
-/** Milliseconds, there and back, to another failure domain. Only breaks ties between servers as busy as each other. */
+/** Round-trip time to another failure domain. Only breaks ties between equally loaded servers. */
 const CROSS_DOMAIN_MS = 1
-/** Milliseconds, before anything ran. Half or twice only matters until the first load report with a call. */
+/** Service time assumed until a load report includes a completed call. */
 const UNKNOWN_SERVICE_MS = 10
 
-/** Two random candidates and the one with the likeliest warm cache, by predicted finish. */
+/** Selects the earliest predicted finish among two random candidates and the one most likely to have a warm cache. */
 export class PredictedChoice implements ChoicePolicy {
   constructor(private readonly random: RandomSource = Math.random) {}
 
@@ -96,7 +105,7 @@
   }
 }
 
-/** Predicted time until a call sent now would finish, in milliseconds. */
+/** Predicted milliseconds until a call that is sent now finishes. */
 export function predictFinishMs(candidate: ChoiceCandidate, context: ChoiceContext, warm: boolean): number {
   const serviceMs = candidate.load?.meanServiceMs || UNKNOWN_SERVICE_MS
   const ownMs = warm ? serviceMs * (1 - PREFIX_SAVING) : serviceMs
@@ -104,7 +113,7 @@
   return predictWaitMs(candidate, context.priority) + ownMs + crossMs
 }
 
-/** Predicted wait for a slot, in milliseconds. */
+/** Predicted milliseconds until a call gets a slot. */
 export function predictWaitMs(candidate: ChoiceCandidate, priority: Priority): number {
   const { load } = candidate
   if (!load)
@@ -116,7 +125,7 @@
   return ((ahead - load.slots + 1) / load.slots) * (load.meanServiceMs || UNKNOWN_SERVICE_MS)
 }
 
-/** Waiting calls that go before a call of a priority. */
+/** Number of queued calls that run before a new call of the given priority. */
 function countAhead(load: Load, priority: Priority): number {
   const { queued } = load
   switch (priority) {
@@ -129,13 +138,13 @@
   }
 }
 
-/** The candidate with the highest hash for a key: stable while candidates come and go (rendezvous hashing). */
+/** Selects a candidate by rendezvous hashing, so that few keys move when candidates are added or removed. */
 export function preferByHash<Candidate extends { backendName: string }>(candidates: readonly Candidate[], key: string): Candidate {
   const rank = (candidate: Candidate): number => rendezvousHash(candidate.backendName, key)
   return candidates.reduce((best, candidate) => rank(candidate) > rank(best) ? candidate : best)
 }
 
-/** Hash of a name for a key, for rendezvous hashing. */
+/** Rendezvous weight of a name for a key. */
 export function rendezvousHash(name: string, key: string): number {
   return createHash('sha1').update(`${name}\0${key}`).digest().readUInt32BE(0)
 }
--- a/packages/daemon/src/request/stages/linked-backends.ts
+++ b/packages/daemon/src/request/stages/linked-backends.ts
@@ -1,22 +1,23 @@
 /**
- * What request handling needs of the entry's membership: the backend servers
- * that it may call. The process keeps the links and decides which are in force.
+ * The part of the entry's membership that request handling depends on: the
+ * backend servers it can call. The membership module owns the links and
+ * determines which backend servers are available.
  */
 import type { SideLink } from '../../connection/side-link.js'
 import type { Backend } from '../../version/objects.js'
 import type { PlannedStage } from '../plan.js'
 import type { ChoiceCandidate } from './choice.js'
 
-/** A backend server to which this entry keeps a link. */
+/** A backend server that this entry has a link to. */
 export interface LinkedBackend extends ChoiceCandidate {
   readonly backend: Backend
   readonly link: SideLink
 }
 
-/** The backend servers to which this entry keeps links. */
+/** The backend servers that this entry has links to. */
 export interface LinkedBackends {
-  /** Every one of them, whatever its state. */
+  /** Returns all of them, regardless of state. */
   list: () => LinkedBackend[]
-  /** Those in force that hold what a stage needs. */
+  /** Returns the available ones that can serve a stage. */
   candidates: (stage: PlannedStage) => LinkedBackend[]
 }
--- a/packages/daemon/src/request/stages/retry.ts
+++ b/packages/daemon/src/request/stages/retry.ts
@@ -1,31 +1,34 @@
 /**
- * Decides how many failed stage calls an entry makes again.
+ * Decides how many failed stage calls an entry retries.
  *
- * Inputs: calls made for this stage so far; stages begun by this entry for this
- * kind of work (pipelines or plain services) since its start.
- * Rule (`budget`): each stage begun earns RETRIES_PER_CALL of a retry, up to
- * MAX_SAVED_RETRIES; a retry costs one, and a stage has MAX_BUDGET_ATTEMPTS
- * calls at most.
- * Why: with a fixed number of calls for each stage, a failing pool gets several
- * times its load just when it can bear least.
- * Log event: `failed`, then `choose` where a retry was permitted; metric
+ * Inputs: the number of calls already made for the stage; the number of stages
+ * that this entry has started for this kind of work (pipelines or plain
+ * services) since it started.
+ *
+ * The `budget` policy is a token bucket: each started stage adds
+ * RETRIES_PER_CALL tokens, up to MAX_SAVED_RETRIES, and a retry takes one token.
+ * A stage makes at most MAX_BUDGET_ATTEMPTS calls. With a fixed number of
+ * attempts per stage, a failing pool would receive a multiple of its normal load
+ * when it is least able to handle it.
+ *
+ * Log events: `failed`, then `choose` if a retry is allowed. Metric:
  * `eidermast_retries_total`.
  *
- * State: a balance in memory; a restarted entry begins with START_RETRIES.
+ * State: the token balance, in memory. It starts at START_RETRIES after a restart.
  */
 
-/** A way to limit retries. */
+/** Retry policy. */
 export interface RetryPolicy {
-  /** Counts a stage's first call. */
+  /** Records the first call of a stage. */
   recordCall: () => void
-  /** Takes a retry where one is permitted; `attempt` calls were made so far. */
+  /** Consumes a retry and returns true if one is allowed after `attempt` calls. */
   take: (attempt: number) => boolean
 }
 
-/** Calls of one stage, the first included. Half permits no retry, twice loads a failing pool six times over. */
+/** Calls per stage, including the first. Half as many allow no retry; twice as many load a failing pool six times over. */
 const MAX_FIXED_ATTEMPTS = 3
 
-/** The baseline, for the setting `retry = fixed`: a fixed number of calls for each stage. */
+/** Fixed number of calls per stage (setting `retry = fixed`), a baseline for comparison. */
 export class FixedRetry implements RetryPolicy {
   recordCall(): void {}
 
@@ -34,16 +37,16 @@
   }
 }
 
-/** Retries earned by a call. Half fails requests when a tenth of calls fail, twice adds up to 40% of load. */
+/** Tokens per started stage. Half as many fail requests when 10% of calls fail; twice as many add up to 40% load. */
 const RETRIES_PER_CALL = 0.2
-/** Retries. Lets a new entry retry before it has earned any; twice only matters in its first 50 calls. */
+/** Initial tokens, so that a new entry can retry at once. Affects only about its first 50 calls. */
 const START_RETRIES = 10
-/** Retries. Half covers a shorter burst of failures, twice permits a longer one of extra load. */
+/** Maximum tokens. Fewer cover shorter bursts of failures; more allow longer bursts of additional load. */
 const MAX_SAVED_RETRIES = 50
-/** Calls of one stage, the first included. Half leaves a single retry, twice seldom ends within a deadline. */
+/** Calls per stage, including the first. Half as many leave a single retry; twice as many rarely fit into a deadline. */
 const MAX_BUDGET_ATTEMPTS = 5
 
-/** Retries within a share of recent calls, so that a failing pool is not loaded many times over. */
+/** Limits retries to a fraction of recent calls to avoid overloading a failing pool. */
 export class BudgetRetry implements RetryPolicy {
   private balance = START_RETRIES
 
--- a/packages/daemon/src/request/stages/stage-attempt.ts
+++ b/packages/daemon/src/request/stages/stage-attempt.ts
@@ -1,14 +1,15 @@
 /**
- * Carries out one call of a stage on one backend server: sends it, stops it
- * when the request is over, and checks that the reply is for this very call.
+ * Performs one call of a stage on one backend server: sends it, cancels it when
+ * the request ends, and verifies that the reply belongs to this call.
  *
- * Also decides how long a lost reply of an unrepeatable call is asked for
- * again: while the same process life of the side may still be there and the
- * request has time. Asking again is safe because that process life joins or
- * replays the call by its identity; another one would run it a second time.
+ * If the reply to an unrepeatable call is lost, the call is resent while the
+ * link still refers to the same process incarnation of the side and the request
+ * has time left. Resending is safe because that incarnation deduplicates calls
+ * by identity and returns the original reply; another incarnation would run the
+ * call a second time.
  *
- * State: none beyond the call. When this process dies, the side finishes the
- * call and keeps its result for whoever asks by the request's id.
+ * State: none beyond the call. If this process dies, the side finishes the call
+ * and keeps the result, which can be looked up by request id.
  */
 import type { LinkResult } from '../../connection/link-call.js'
 import type { StageCall } from '../../connection/messages.js'
@@ -24,19 +25,19 @@
 export interface StageAttempt {
   backend: LinkedBackend
   call: StageCall
-  /** Number of the call within its stage, from 1. */
+  /** Attempt number within the stage, starting at 1. */
   number: number
-  /** Milliseconds of the process clock. */
+  /** Monotonic time in milliseconds. */
   startedAt: number
 }
 
 /**
- * Milliseconds before a lost reply is asked for again. Half asks a restarting
- * side twice as often, twice adds up to 50 ms to a mended call.
+ * Delay before a call whose reply was lost is sent again. A shorter delay sends more calls to
+ * a side that is restarting; doubling it adds up to 50 ms to a call that recovers.
  */
 const ASK_AGAIN_MS = 50
 
-/** Sends a call and keeps account of what may have run. */
+/** Sends a call and records in the request's progress what may have run. */
 export async function sendAttempt(task: StageTask, attempt: StageAttempt): Promise<LinkResult> {
   task.progress.pending = true
   const result = task.unrepeatable ? await sendUntilKnown(task, attempt) : await sendOnce(task, attempt)
@@ -46,7 +47,7 @@
   return result
 }
 
-/** After a lost reply, asks the same process life again. */
+/** Sends a call and resends it to the same process incarnation while its reply is lost. */
 async function sendUntilKnown(task: StageTask, attempt: StageAttempt): Promise<LinkResult> {
   let result = await sendOnce(task, attempt)
   if (result.outcome !== LinkOutcome.Lost)
@@ -55,28 +56,28 @@
     await wait(ASK_AGAIN_MS, task.signal)
     const { incarnation } = attempt.backend.link
     if (isOver(task) || incarnation !== attempt.call.identity.sideIncarnation)
-      return lost('the reply was lost')
+      return lost('the reply was lost and the call cannot be sent again')
     attempt.call.budgetMs = task.budgetMs()
     result = await sendOnce(task, attempt)
     if (result.outcome === LinkOutcome.Replied)
-      return isOtherIncarnation(result) ? lost('the side is another process life') : result
+      return isOtherIncarnation(result) ? lost('the call reached another process incarnation of the side') : result
   }
 }
 
-/** Sends one call and stops it when the request is over. */
+/** Sends a call once and cancels it when the request ends. */
 async function sendOnce(task: StageTask, attempt: StageAttempt): Promise<LinkResult> {
   const { link } = attempt.backend
   let onAbort!: () => void
   const cancelled = new Promise<LinkResult>((resolve) => {
     onAbort = () => {
       void link.cancel(attempt.call)
-      resolve(lost('the request is over'))
+      resolve(lost('the request ended before the reply arrived'))
     }
   })
   task.signal.addEventListener('abort', onAbort)
   const result = await Promise.race([link.call(attempt.call, task.onToken), cancelled])
   task.signal.removeEventListener('abort', onAbort)
-  return answersAnother(attempt.call, result) ? lost('the reply was for another call') : result
+  return answersAnother(attempt.call, result) ? lost('the reply belongs to another call') : result
 }
 
 function answersAnother(call: StageCall, result: LinkResult): boolean {
--- a/packages/daemon/src/request/stages/stage-budget.ts
+++ b/packages/daemon/src/request/stages/stage-budget.ts
@@ -1,37 +1,42 @@
 /**
- * Decides which part of a request's remaining time one stage may use.
+ * Decides how much of a request's remaining time one stage may use.
+ *
+ * Inputs: the time left until the deadline in milliseconds; for each later
+ * stage, a high quantile of its recent durations at this entry in milliseconds
+ * (0 if it has not run here).
+ *
+ * The `reserved` policy subtracts the durations of the later stages from the
+ * remaining time, but leaves at least MIN_SHARE of it. If a stage could use all
+ * the remaining time, a slow call of an early stage would keep running after the
+ * request can no longer meet its deadline, and a retry would come too late.
  *
- * Inputs: what remains of the deadline (ms, as of now); for each later stage a
- * high quantile of its recent times (ms, of this entry's newest calls; 0 where
- * it has not run here).
- * Rule (`reserved`): what remains less the later stages' times, but at least
- * MIN_SHARE of what remains.
- * Why: with the whole time a slow call of an early stage would run on after the
- * request has lost its chance, and its retry would come too late.
  * Log event: `choose`, field `budgetMs`.
  */
 
-/** A way to give a stage its time. */
+/** Time budget policy for stages. */
 export interface StageBudgetPolicy {
   /**
-   * The time of one stage, in milliseconds.
-   * @param remainingMs What remains of the deadline, in milliseconds.
-   * @param laterMs Recent high quantiles of the later stages' times, in milliseconds.
+   * Returns the time budget of one stage in milliseconds.
+   * @param remainingMs Milliseconds left until the deadline.
+   * @param laterMs High quantiles of the recent durations of the later stages, in milliseconds.
    */
   budgetMs: (remainingMs: number, laterMs: readonly number[]) => number
 }
 
-/** The baseline, for the setting `stage-budget = whole`: all that remains. */
+/** All the remaining time (setting `stage-budget = whole`), a baseline for comparison. */
 export class WholeBudget implements StageBudgetPolicy {
   budgetMs(remainingMs: number): number {
     return remainingMs
   }
 }
 
-/** Share of what remains. Half starves a stage whose followers were slow once, twice starves those. */
+/**
+ * Minimum fraction of the remaining time. A lower value starves a stage after a single slow run of
+ * the later stages; a higher value starves the later stages.
+ */
 const MIN_SHARE = 0.25
 
-/** What remains after the later stages' recent high quantile. */
+/** Reserves a high quantile of the recent durations of the later stages. */
 export class ReservedBudget implements StageBudgetPolicy {
   budgetMs(remainingMs: number, laterMs: readonly number[]): number {
     const reserved = laterMs.reduce((sum, milliseconds) => sum + milliseconds, 0)
--- a/packages/daemon/src/request/stages/stage-caller.ts
+++ b/packages/daemon/src/request/stages/stage-caller.ts
@@ -1,13 +1,14 @@
 /**
- * Runs one stage of a request: has a backend server chosen, calls it, and calls
- * again while the rule on failed calls says so. Feeds ejection, retry limits
- * and metrics with how each call ended.
+ * Runs one stage of a request: selects a backend server, calls it and retries
+ * failed calls as decided by `stage-failure.ts`. Reports the result of each call
+ * to ejection, the retry policy and metrics.
  *
- * Relies on `choice.ts`, `tried-backends.ts`, `stage-failure.ts` and `retry.ts`
- * for the decisions and on `stage-attempt.ts` for the call itself. Log events:
- * `choose`, `done`, `failed`; `eidermast explain` reads them.
- * State: none beyond a running stage; policies keep their own. When the process
- * dies, its running requests end with their callers' connections.
+ * `choice.ts`, `tried-backends.ts`, `stage-failure.ts` and `retry.ts` make the
+ * decisions; `stage-attempt.ts` performs the call. Log events: `choose`, `done`,
+ * `failed`; `eidermast explain` shows them.
+ *
+ * State: none beyond the running stage; the policies have their own. If the
+ * process dies, its running requests end when the callers' connections close.
  */
 import type { EjectionPolicy, RequestError } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
@@ -31,7 +32,7 @@
 import { describeProgress, isOver } from './stage-task.js'
 import { TriedBackends } from './tried-backends.js'
 
-/** Parts of a stage caller. */
+/** Dependencies of a stage caller. */
 export interface StageCallerOptions {
   entryIncarnation: string
   failureDomain: string
@@ -41,15 +42,15 @@
   retry: RetryPolicy
   decisions: DecisionRecorder
   metrics: RequestMetrics
-  /** Offset of the configuration in force. */
+  /** Offset of the active configuration. */
   offset: () => number
 }
 
-/** Runs stages for one entry. */
+/** Runs stages of requests at one entry. */
 export class StageCaller {
   constructor(private readonly options: StageCallerOptions) {}
 
-  /** Runs a stage to its result or its final error. */
+  /** Runs a stage until it succeeds or no further attempt is allowed. */
   async run(task: StageTask): Promise<Result<StageSuccess, RequestError>> {
     const startedAt = performance.now()
     const tried = new TriedBackends()
@@ -158,7 +159,7 @@
 
   private recordEjectionSign(task: StageTask, attempt: StageAttempt): void {
     const { backendName } = attempt.backend
-    // A call that ended with its request says nothing, unless it had run far too long.
+    // A call that was cancelled with its request says nothing about the backend server unless it had run far too long.
     if (task.signal.aborted)
       this.options.ejection.recordAbandoned(backendName, task.stage.service, performance.now() - attempt.startedAt)
     else
@@ -172,7 +173,7 @@
   }
 }
 
-/** Cost of a stage call, in the operators' own unit. */
+/** Cost of a stage call in an operator-defined unit. */
 function stageCost(stage: PlannedStage, serviceMs: number): number {
   return stage.costPerCall + stage.costPerMillisecond * serviceMs
 }
--- a/packages/daemon/src/request/stages/stage-failure.ts
+++ b/packages/daemon/src/request/stages/stage-failure.ts
@@ -1,19 +1,23 @@
 /**
- * Decides, for the caller of a request, whether a stage whose call gave no
- * result is called again or the request fails, and with which error.
+ * Decides whether a failed stage call is retried or the request fails, and with
+ * which error.
  *
- * Inputs: the end of the call (just received); whether the request is
- * unrepeatable, whether its tokens were being streamed, whether its time is
- * over; what is known of work that ran; calls made for this stage so far.
- * Rule: a call that provably did not run may be made again. One that may have
- * run is not, if the request is unrepeatable or its caller has seen tokens. What
- * may be made again still needs time left and the retry policy's permission.
- * Why: an unrepeatable stage that runs twice does its harm twice, and a second
- * stream would not continue the first. Every other failure is cheaper to retry
- * here, with the earlier stages' results at hand, than by the caller.
- * Constants: none here; the limits on retries stand in `retry.ts`.
- * Log event: `failed` (cause of each call), then `choose` (called again) or
- * `answer` (the error).
+ * Inputs: the result of the call; whether the request is unrepeatable, whether
+ * its tokens are streamed to the caller and whether it has ended or run out of
+ * time; what is known about work that ran; the number of calls made for this
+ * stage. Retry limits are defined in `retry.ts`.
+ *
+ * A call that definitely did not run can be retried. A call that may have run is
+ * not retried if the request is unrepeatable or its tokens are streamed. Retries
+ * also require time left and the approval of the retry policy.
+ *
+ * Running an unrepeatable stage twice would apply its side effects twice, and a
+ * second stream would not continue the first. All other failures are cheaper to
+ * retry here, where the results of the earlier stages are available, than by the
+ * caller.
+ *
+ * Log events: `failed` (cause of each call), then `choose` (retry) or `answer`
+ * (error).
  */
 import type { RequestError } from '@eidermast/common'
 import type { LinkResult } from '../../connection/link-call.js'
@@ -24,37 +28,37 @@
 import { RefusalReason, StageReplyKind } from '../../connection/messages.js'
 import { describeCause, isProvablyNotRun } from './call-end.js'
 
-/** A stage call that gave no result. */
+/** A failed stage call. */
 export interface FailedCall {
   stageName: string
-  /** Number of the call, from 1. */
+  /** Attempt number, starting at 1. */
   attempt: number
   result: LinkResult
   unrepeatable: boolean
-  /** Whether the stage's tokens go to the caller as they come. */
+  /** Whether the tokens of the stage are streamed to the caller. */
   streamed: boolean
-  /** Whether the request has ended or its time is used up. */
+  /** Whether the request has ended or has no time left. */
   over: boolean
-  /** What is known of work that ran, this call included. */
+  /** What is known about work that ran, including this call. */
   ran: Ran
 }
 
-/** What follows a failed call. */
+/** Next step after a failed call. */
 export enum FailureStep {
   CallAgain = 'call-again',
   Fail = 'fail',
 }
 
-/** The decision on a failed call. */
+/** Next step after a failed call, with the error if the request fails. */
 export type FailureDecision = { step: FailureStep.CallAgain } | { step: FailureStep.Fail, error: RequestError }
 
-/** Decides what follows a failed call; asks the retry policy only where all else permits a retry. */
+/** Decides the next step after a failed call. Consults the retry policy last, because asking it consumes a retry. */
 export function decideOnFailure(failed: FailedCall, retry: RetryPolicy): FailureDecision {
   const mayHaveRun = !isProvablyNotRun(failed.result)
   if (mayHaveRun && failed.unrepeatable)
     return fail(createUnrepeatableError(failed))
   if (mayHaveRun && failed.streamed) {
-    const message = `Stage ${failed.stageName} failed while it was streamed; send the request again.`
+    const message = `Stage ${failed.stageName} failed during streaming; send the request again.`
     return fail(createError(ErrorKind.StageFailed, message, { ran: failed.ran }))
   }
   if (failed.over)
@@ -64,22 +68,22 @@
   return { step: FailureStep.CallAgain }
 }
 
-/** The error of a request whose time is used up. */
+/** Creates the error of a request that ran out of time. */
 export function createDeadlineError(ran: Ran): RequestError {
-  return createError(ErrorKind.DeadlineExceeded, 'The deadline has passed; send the request again with a longer one.', { ran })
+  return createError(ErrorKind.DeadlineExceeded, 'The deadline has passed; send the request again with a longer deadline.', { ran })
 }
 
-/** Refusals that say that the pool is short of capacity, not that this backend server is leaving. */
+/** Refusals caused by a lack of capacity rather than by a backend server that is leaving. */
 const CAPACITY_REFUSALS = new Set([RefusalReason.Full, RefusalReason.Late])
 
-/** The error where no backend server is left to call; the newest refusal says whether they were full or leaving. */
+/** Creates the error for a stage with no backend server left to call. The latest refusal tells whether they were full or leaving. */
 export function createNoBackendError(stageName: string, refusal: RefusedReply | undefined, ran: Ran): RequestError {
   const details = { ran, retryAfterMs: refusal?.retryAfterMs }
   if (refusal && CAPACITY_REFUSALS.has(refusal.reason)) {
-    const message = `Stage ${stageName} cannot finish within the deadline; come back after the given time or set a longer deadline.`
+    const message = `Stage ${stageName} cannot finish within the deadline; retry after the indicated delay or set a longer deadline.`
     return createError(ErrorKind.DeadlineUnreachable, message, details)
   }
-  return createError(ErrorKind.NoBackend, `No backend server takes work for stage ${stageName}; come back after the given time.`, details)
+  return createError(ErrorKind.NoBackend, `No backend server is available for stage ${stageName}; retry after the indicated delay.`, details)
 }
 
 function fail(error: RequestError): FailureDecision {
@@ -87,10 +91,10 @@
 }
 
 function createUnrepeatableError({ stageName, result, ran }: FailedCall): RequestError {
-  const advice = 'the request may not be repeated; look at what it did before you send another.'
+  const advice = 'the request is unrepeatable; check its effects before sending another.'
   if (result.outcome === LinkOutcome.Replied && ran === Ran.Part)
     return createError(ErrorKind.StageFailed, `Stage ${stageName} failed, and ${advice}`, { ran })
-  return createError(ErrorKind.OutcomeUnknown, `The reply of stage ${stageName} was lost, and ${advice}`, { ran: Ran.Unknown })
+  return createError(ErrorKind.OutcomeUnknown, `The reply from stage ${stageName} was lost, and ${advice}`, { ran: Ran.Unknown })
 }
 
 function createRetriesUsedError({ stageName, result, ran }: FailedCall): RequestError {
--- a/packages/daemon/src/request/stages/stage-input.ts
+++ b/packages/daemon/src/request/stages/stage-input.ts
@@ -1,6 +1,6 @@
 /**
- * The input of a stage, which carries the caller's own input to every stage, so
- * that a side can tell whose result it holds.
+ * Formats stage inputs. Each contains the caller's input, which lets a side match
+ * a stored result with the request that it belongs to.
  */
 import type { StageCall } from '../../connection/messages.js'
 import * as z from 'zod'
@@ -8,12 +8,12 @@
 
 const stageInputSchema = z.object({ input: z.string() })
 
-/** The input of a stage: the caller's input and the previous stage's output. */
+/** Formats the input of a stage from the caller's input and the output of the previous stage. */
 export function formatStageInput(input: string, previous: string | undefined): string {
   return JSON.stringify({ input, previous: previous ?? null })
 }
 
-/** Whether a stage call was made for a caller's input. */
+/** Whether a stage call belongs to a request with the given body. */
 export function carriesBody(call: StageCall, body: string): boolean {
   if (call.serviceRequest)
     return call.input === body
--- a/packages/daemon/src/request/stages/stage-task.ts
+++ b/packages/daemon/src/request/stages/stage-task.ts
@@ -1,6 +1,6 @@
 /**
- * One stage of one request, as the entry that runs the request sees it, and
- * what that entry knows of work that has run. Both live as long as the request.
+ * One stage of a request at the entry that runs it, and what the entry knows
+ * about work that has run. Both exist for the lifetime of the request.
  */
 import type { StageReport } from '../../connection/answer.js'
 import type { LinkTokenListener } from '../../connection/link-call.js'
@@ -9,24 +9,24 @@
 import type { PlannedStage } from '../plan.js'
 import { Ran } from '@eidermast/common'
 
-/** What of a request has run, as far as its entry knows. */
+/** What the entry knows about the work of a request that has run. */
 export interface RequestProgress {
-  /** A stage has provably started. */
+  /** A stage has definitely started. */
   started: boolean
   /** A call that ended without a reply may have started. */
   inDoubt: boolean
-  /** A call is under way. */
+  /** A call is in progress. */
   pending: boolean
 }
 
-/** What an answer may say of work that ran. */
+/** Returns what an answer may claim about work that ran. */
 export function describeProgress(progress: RequestProgress): Ran {
   if (progress.started)
     return Ran.Part
   return progress.inDoubt || progress.pending ? Ran.Unknown : Ran.None
 }
 
-/** One stage of one request. */
+/** One stage of a request. */
 export interface StageTask {
   account: string
   requestId: string
@@ -38,20 +38,20 @@
   unrepeatable: boolean
   /** Shared by all stages of the request. */
   progress: RequestProgress
-  /** Time left for this stage, in milliseconds, at the moment of the call. */
+  /** Returns the milliseconds left for this stage. */
   budgetMs: () => number
-  /** Aborts when the request is over for whatever reason. */
+  /** Aborted when the request ends for any reason. */
   signal: AbortSignal
-  /** Set where the stage's tokens go to the caller as they come. */
+  /** Set if the tokens of the stage are streamed to the caller. */
   onToken?: LinkTokenListener
 }
 
-/** Whether a stage must not be called again: its request has ended or its time is used up. */
+/** Whether the request has ended or the stage has no time left, so that it must not be called again. */
 export function isOver(task: StageTask): boolean {
   return task.signal.aborted || task.budgetMs() <= 0
 }
 
-/** The result of a stage. */
+/** Result of a successful stage. */
 export interface StageSuccess {
   reply: DoneReply
   report: StageReport
--- a/packages/daemon/src/request/text-bytes.ts
+++ b/packages/daemon/src/request/text-bytes.ts
@@ -1,11 +1,11 @@
 /**
- * What a text is counted with where memory is bounded by bytes.
+ * Estimates the memory of strings for limits given in bytes.
  */
 
-/** Memory of one character, as V8 holds text that is not Latin-1. */
+/** V8 stores strings that are not Latin-1 with two bytes per UTF-16 code unit. */
 const BYTES_PER_CHARACTER = 2
 
-/** Bytes of memory that a text takes at most. */
+/** Upper bound of the memory of a string. */
 export function textBytes(text: string): number {
   return text.length * BYTES_PER_CHARACTER
 }
