--- a/test/gateway/backend-run.test.ts
+++ b/test/gateway/backend-run.test.ts
@@ -4,7 +4,7 @@
 import { BackendRegistry, BackendRunner, CallFailureKind, LeastLoadChoice, NO_INPUTS, RetryBudget, RetryDecision } from '@eidermast/gateway'
 import { Err, Ok } from 'ts-results-es'
 import { describe, expect, test, vi } from 'vitest'
-import { createLog, createRecord, createRoute, UNLIMITED_COLD_PACE, NO_CRASHES, OPEN_INTAKE } from './support/fakes.js'
+import { createLog, createRecord, createRoute, NO_CRASHES, OPEN_INTAKE, UNLIMITED_COLD_PACE } from './support/fakes.js'
 
 const SERVICE = 'plain'
 
