--- a/packages/gateway/src/process/crashes/crash-detector.ts
+++ b/packages/gateway/src/process/crashes/crash-detector.ts
@@ -49,10 +49,10 @@
 
   /** Records a broken call; resolves when it is known whether the backend server crashed. */
   noteBroken(backend: Backend, fingerprint: string): Promise<void> {
-    const known = this.underWay.get(backend)
-    if (known) {
-      known.fingerprints.add(fingerprint)
-      return known.completion
+    const pending = this.underWay.get(backend)
+    if (pending) {
+      pending.fingerprints.add(fingerprint)
+      return pending.completion
     }
     const fingerprints = new Set([fingerprint])
     const completion = this.investigate(backend, fingerprints)
--- a/packages/gateway/src/process/crashes/crash-tracker.ts
+++ b/packages/gateway/src/process/crashes/crash-tracker.ts
@@ -124,10 +124,10 @@
 
   /** Records this gateway's own observations, if new. */
   private recordReports(reports: CrashReports): void {
-    const news = this.mergeReports(reports)
-    if (isEmptyReport(news))
+    const added = this.mergeReports(reports)
+    if (isEmptyReport(added))
       return
-    this.addToOwnReports(news)
+    this.addToOwnReports(added)
     this.hasUnwrittenChanges = true
     void this.write()
   }
@@ -171,8 +171,8 @@
   }
 
   /**
-   * Reports requests that were answered here recently although a backend server
-   * crashed while running them: they are not the cause.
+   * Reports answers given here recently to requests with the fingerprints of new
+   * crashes: such requests are not the cause.
    */
   private reportRecentAnswers(crashes: readonly CrashReport[]): void {
     const answers = crashes.flatMap((crash): AnswerReport[] => {
--- a/packages/gateway/src/process/intake/backend-intakes.ts
+++ b/packages/gateway/src/process/intake/backend-intakes.ts
@@ -42,7 +42,7 @@
     private readonly log: GatewayLog,
   ) {
     this.limitExchange = new LimitExchange(registry, (backend, previous, peer) => log.backendLimitChanged(backend, previous, peer))
-    this.leavingExchange = new LeavingExchange(registry, (backend, peer) => this.takeLeaving(backend, peer))
+    this.leavingExchange = new LeavingExchange(registry, (backend, peer) => this.handleLeaving(backend, peer))
   }
 
   waitMs(backend: Backend): number {
@@ -55,10 +55,10 @@
 
   noteAnswer(backend: Backend, head: AnswerHead): void {
     const notice = this.readNotice(head.status, head.headers)
-    this.noteLimit(backend, notice, head)
+    this.updateLimit(backend, notice, head)
     if (notice.isLeaving && backend.intake.takeLeaving()) {
       this.leavingExchange.note(backend)
-      this.takeLeaving(backend, OWN_ANSWER_SOURCE)
+      this.handleLeaving(backend, OWN_ANSWER_SOURCE)
     }
     if (notice.restMs !== undefined) {
       backend.intake.takeRest(notice.restMs, performance.now())
@@ -66,12 +66,12 @@
     }
   }
 
-  private takeLeaving(backend: Backend, source: string): void {
+  private handleLeaving(backend: Backend, source: string): void {
     this.log.backendSaidLeaving(backend, source)
     this.registry.noteLeaving(backend)
   }
 
-  private noteLimit(backend: Backend, notice: BackendNotice, head: AnswerHead): void {
+  private updateLimit(backend: Backend, notice: BackendNotice, head: AnswerHead): void {
     const previous = backend.intake.limitPerSecond
     if (!backend.intake.takeLimit(notice, head, performance.now()))
       return
--- a/packages/gateway/src/process/membership/members.ts
+++ b/packages/gateway/src/process/membership/members.ts
@@ -141,7 +141,8 @@
 
   /**
    * Whether another gateway answers heartbeats and is not stopping. While this
-   * process is stopping, all members are monitored.
+   * process is stopping, it is no candidate itself, so the members are monitored
+   * until others that can coordinate are found.
    */
   get othersServe(): boolean {
     this.rankIfPending()
@@ -224,7 +225,7 @@
   }
 
   /**
-   * Takes the announcement order that a member reports itself, which is newer
+   * Takes the announcement order that a member reports itself, which may be newer
    * than the directory's. With the entry of the previous process at the same
    * address, two gateways that restarted together would each expect the other to
    * coordinate, and both would coordinate.
--- a/test/gateway/crash-exchange.test.ts
+++ b/test/gateway/crash-exchange.test.ts
@@ -3,7 +3,7 @@
 import * as fc from 'fast-check'
 import { describe, expect, test } from 'vitest'
 
-/** A gateway that passes on the reports that it learns of, as the crash tracker does. */
+/** A gateway that forwards new reports, as the crash tracker does. */
 class Gateway {
   readonly known = new Set<string>()
   exchange: CrashExchange
@@ -12,15 +12,15 @@
     this.exchange = this.createExchange(initialSequence)
   }
 
-  learn({ crashes }: CrashReports): void {
-    const news = crashes.filter(({ backend }) => !this.known.has(backend))
-    news.forEach(({ backend }) => this.known.add(backend))
-    if (news.length > 0)
-      this.exchange.note({ crashes: news, answers: [] })
+  merge({ crashes }: CrashReports): void {
+    const added = crashes.filter(({ backend }) => !this.known.has(backend))
+    added.forEach(({ backend }) => this.known.add(backend))
+    if (added.length > 0)
+      this.exchange.note({ crashes: added, answers: [] })
   }
 
-  see(backend: string): void {
-    this.learn({ crashes: [{ fingerprint: 'f', backend, at: 1, gateway: this.address }], answers: [] })
+  observe(backend: string): void {
+    this.merge({ crashes: [{ fingerprint: 'f', backend, at: 1, gateway: this.address }], answers: [] })
   }
 
   restart(initialSequence: number): void {
@@ -29,7 +29,7 @@
   }
 
   private createExchange(initialSequence: number): CrashExchange {
-    return new CrashExchange(reports => this.learn(reports), initialSequence)
+    return new CrashExchange(reports => this.merge(reports), initialSequence)
   }
 }
 
@@ -57,7 +57,7 @@
 
   test('send each report once', () => {
     const [one, other] = [new Gateway('a'), new Gateway('b')]
-    one.see('plain-a')
+    one.observe('plain-a')
     exchangeHeartbeat(one, other)
     exchangeHeartbeat(one, other)
     expect(one.exchange.messageFor('b')?.reports).toBeUndefined()
@@ -66,7 +66,7 @@
 
   test('forward reports from others', () => {
     const [one, coordinator, third] = [new Gateway('a'), new Gateway('b'), new Gateway('c')]
-    one.see('plain-a')
+    one.observe('plain-a')
     exchangeHeartbeat(one, coordinator)
     exchangeHeartbeat(third, coordinator)
     expect([...third.known]).toEqual(['plain-a'])
@@ -74,7 +74,7 @@
 
   test('send all reports again to a restarted peer', () => {
     const [one, other] = [new Gateway('a'), new Gateway('b')]
-    one.see('plain-a')
+    one.observe('plain-a')
     exchangeHeartbeat(one, other)
     other.restart(1000)
     exchangeHeartbeat(one, other)
@@ -85,10 +85,10 @@
   test('send reports made after a restart, even if the peer has received more before', () => {
     const [one, other] = [new Gateway('a'), new Gateway('b')]
     for (const backend of ['plain-a', 'plain-b', 'plain-c'])
-      one.see(backend)
+      one.observe(backend)
     exchangeHeartbeat(one, other)
     one.restart(1000)
-    one.see('plain-d')
+    one.observe('plain-d')
     exchangeHeartbeat(other, one)
     expect(other.known.has('plain-d')).toBe(true)
   })
@@ -102,16 +102,16 @@
 
   test('converge after some rounds, regardless of earlier losses', () => {
     const steps = fc.array(fc.record({
-      sees: fc.option(fc.integer({ min: 0, max: 2 })),
+      observer: fc.option(fc.integer({ min: 0, max: 2 })),
       from: fc.integer({ min: 0, max: 2 }),
       to: fc.integer({ min: 0, max: 2 }),
       lost: fc.constantFrom(undefined, 'heartbeat' as const, 'answer' as const),
     }), { maxLength: 40 })
     fc.assert(fc.property(steps, (play) => {
       const gateways = ['a', 'b', 'c'].map(address => new Gateway(address))
-      play.forEach(({ sees, from, to, lost }, number) => {
-        if (sees !== null)
-          gateways[sees].see(`plain-${number}`)
+      play.forEach(({ observer, from, to, lost }, number) => {
+        if (observer !== null)
+          gateways[observer].observe(`plain-${number}`)
         if (from !== to)
           exchangeHeartbeat(gateways[from], gateways[to], lost)
       })
