--- a/packages/gateway/src/process/common-limits.ts
+++ b/packages/gateway/src/process/common-limits.ts
@@ -5,10 +5,10 @@
  * from, as of now, and owns nothing.
  */
 import type { Backend } from '../connection/backends/backend.js'
-import type { ColdAllowance } from '../request/attempts/cold-pace.js'
-import type { LimitShare } from '../request/attempts/limit-turns.js'
+import type { ColdAllowance } from '../request/attempts/cold-start-limiter.js'
+import type { LimitShare } from '../request/attempts/slotted-rate-limiter.js'
 import type { Service } from '../version/configuration.js'
-import { coldAllowancePerSecond, COORDINATED_SHARE, OWN_SHARE } from '../request/attempts/cold-pace.js'
+import { coldAllowancePerSecond, COORDINATED_SHARE, UNCOORDINATED_SHARE } from '../request/attempts/cold-start-limiter.js'
 import { coordinatorPart, countSharingGateways, shareOfConnections } from './gateway-share.js'
 
 /** What the parts follow from. */
@@ -42,7 +42,7 @@
 
   /** The same for requests for which it chooses by itself. */
   ownColdRate(service: string): number | undefined {
-    return this.coldRate(service, OWN_SHARE / this.sharingGateways())
+    return this.coldRate(service, UNCOORDINATED_SHARE / this.sharingGateways())
   }
 
   /** Place and part of this gateway where a backend server names a limit. */
@@ -50,7 +50,7 @@
     const { members, findService } = this.parts
     const isCoordinated = findService(service)?.stage !== undefined
     const part = isCoordinated ? this.coordinatorPart() : 1 / this.sharingGateways()
-    return { place: members.place / this.sharingGateways(), part }
+    return { position: members.place / this.sharingGateways(), part }
   }
 
   private coordinatorPart(): number {
--- a/packages/gateway/src/process/crashes/crash-board.ts
+++ b/packages/gateway/src/process/crashes/crash-board.ts
@@ -10,7 +10,7 @@
  */
 import type { EventLog } from '@eidermast/common'
 import type { Backend } from '../../connection/backends/backend.js'
-import type { CrashWatch } from '../../request/crash-watch.js'
+import type { CrashMonitor } from '../../request/crash-monitor.js'
 import type { CrashLedger, CrashSink } from '../platform-adapter.js'
 import type { AnswerReport, CrashReport, CrashReports } from './crash-report.js'
 import type { BackendCrash } from './crash-witness.js'
@@ -38,7 +38,7 @@
   ledger: Pick<CrashLedger, 'publish'>
   log: EventLog
   /** Finds out whether the backend server of a broken call ended. */
-  witness: Pick<CrashWatch, 'noteBroken'>
+  witness: Pick<CrashMonitor, 'noteBroken'>
   /** Whether this gateway writes again what the ledger has lost of others' reports: one does, or the reports of gateways that are gone stay lost. */
   restoresOthers: () => boolean
   /** Epoch milliseconds. @default Date.now */
@@ -46,7 +46,7 @@
 }
 
 /** Collects reports, tells them, and answers which requests are refused. */
-export class CrashBoard implements CrashWatch, CrashSink {
+export class CrashBoard implements CrashMonitor, CrashSink {
   private readonly history: CrashHistory
   private readonly answers = new RecentAnswers()
   /** Tells peers, and learns from them. */
--- a/packages/gateway/src/process/gateway.ts
+++ b/packages/gateway/src/process/gateway.ts
@@ -22,11 +22,11 @@
 import { PeerClients } from '../connection/peers/peer-clients.js'
 import { createPeerHandler } from '../connection/peers/peer-handler.js'
 import { createPeerRouter } from '../connection/peers/peer-router.js'
-import { LeastLoadChoice, PrefixAwareChoice } from '../request/attempts/backend-choice.js'
 import { BackendRunner } from '../request/attempts/backend-runner.js'
-import { ColdPace } from '../request/attempts/cold-pace.js'
-import { LimitTurns } from '../request/attempts/limit-turns.js'
+import { ColdStartLimiter } from '../request/attempts/cold-start-limiter.js'
+import { LeastLoadPolicy, PrefixAwarePolicy } from '../request/attempts/load-balancing.js'
 import { RetryBudget } from '../request/attempts/retry-budget.js'
+import { SlottedRateLimiter } from '../request/attempts/slotted-rate-limiter.js'
 import { ProxyRequestHandler } from '../request/proxy-request-handler.js'
 import { ConfigurationHolder } from '../version/configuration-holder.js'
 import { BackendList } from './backend-list.js'
@@ -91,8 +91,8 @@
     this.crashBoard = this.createCrashBoard()
     this.members = this.createMembers()
     this.commonLimits = this.createCommonLimits()
-    const limitTurns = new LimitTurns(backend => this.commonLimits.ofLimit(backend))
-    this.intakes = new BackendIntakes(this.registry, platform.backendCodec.readNotice, limitTurns, this.gatewayLog)
+    const rateLimiter = new SlottedRateLimiter(backend => this.commonLimits.ofLimit(backend))
+    this.intakes = new BackendIntakes(this.registry, platform.backendCodec.readNotice, rateLimiter, this.gatewayLog)
     this.connections = this.createConnections()
     this.stageCoordinators = this.createStageCoordinators()
     this.peerService = this.createPeerService()
@@ -202,7 +202,7 @@
   private createStageCoordinators(): StageCoordinators {
     const client = this.platform.stageClient(this.connections)
     const retryBudget = new RetryBudget({ ...this.retryAllowance(), ratio: 0 }, () => countSharingGateways(this.members.shards.length))
-    const coldPace = new ColdPace(this.self.name, service => this.commonLimits.coordinatedColdRate(service))
+    const coldPace = new ColdStartLimiter(this.self.name, service => this.commonLimits.coordinatedColdRate(service))
     return new StageCoordinators({ registry: this.registry, client, retryBudget, crashes: this.crashBoard, coldPace, intake: this.intakes, log: this.log })
   }
 
@@ -213,11 +213,11 @@
       registry: this.registry,
       client: new HttpBackendClient(this.connections, this.platform.backendCodec),
       ejection,
-      plainChoice: new LeastLoadChoice(ejection),
-      engineChoice: new PrefixAwareChoice(ejection),
+      plainPolicy: new LeastLoadPolicy(ejection),
+      enginePolicy: new PrefixAwarePolicy(ejection),
       budget: new RetryBudget(this.retryAllowance(), () => this.commonLimits.sharingGateways()),
       crashes: this.crashBoard,
-      coldPace: new ColdPace(this.self.name, service => this.commonLimits.ownColdRate(service)),
+      coldStartLimiter: new ColdStartLimiter(this.self.name, service => this.commonLimits.ownColdRate(service)),
       intake: this.intakes,
       log: this.log,
       isEngine: service => this.configuration.table?.findService(service)?.engine !== undefined,
--- a/packages/gateway/src/process/intake/backend-intakes.ts
+++ b/packages/gateway/src/process/intake/backend-intakes.ts
@@ -3,7 +3,7 @@
  * backend server, by what it says of the requests that it takes.
  *
  * Inputs: the heads of its answers to this process, and what peers tell of them
- * (limit, leaving), as of now; the turns of `limit-turns.ts`.
+ * (limit, leaving), as of now; the turns of `slotted-rate-limiter.ts`.
  * Rule: none while it rests, nor before this gateway's turn where it names a
  * limit; none ever again once it says that it leaves, for which the registry
  * counts it out. A rest is asked of one gateway and binds that one alone. Probes
@@ -19,7 +19,7 @@
 import type { AnswerHead, BackendNotice, ReadNotice } from '../../connection/backends/backend-notice.js'
 import type { Backend } from '../../connection/backends/backend.js'
 import type { IntakeGate } from '../../connection/backends/intake-gate.js'
-import type { LimitTurns } from '../../request/attempts/limit-turns.js'
+import type { SlottedRateLimiter } from '../../request/attempts/slotted-rate-limiter.js'
 import type { BackendRegistry } from '../backend-registry.js'
 import type { GatewayLog } from '../gateway-log.js'
 import { LeavingExchange } from './leaving-exchange.js'
@@ -38,7 +38,7 @@
   constructor(
     private readonly registry: Pick<BackendRegistry, 'find' | 'noteLeaving'>,
     private readonly readNotice: ReadNotice,
-    private readonly limitTurns: LimitTurns,
+    private readonly rateLimiter: SlottedRateLimiter,
     private readonly log: GatewayLog,
   ) {
     this.limitExchange = new LimitExchange(registry, (backend, previous, peer) => log.backendLimitChanged(backend, previous, peer))
@@ -46,7 +46,7 @@
   }
 
   waitMs(backend: Backend): number {
-    return Math.max(backend.intake.restMs(performance.now()), this.limitTurns.waitMs(backend))
+    return Math.max(backend.intake.restMs(performance.now()), this.rateLimiter.waitMs(backend))
   }
 
   noteSent({ intake }: Backend): void {
--- a/packages/gateway/src/process/platform-adapter.ts
+++ b/packages/gateway/src/process/platform-adapter.ts
@@ -10,7 +10,7 @@
 import type { StageClient } from '../connection/backends/stage-client.js'
 import type { ClientCodec } from '../connection/clients/client-codec.js'
 import type { Member } from '../connection/peers/member.js'
-import type { ColdAllowance } from '../request/attempts/cold-pace.js'
+import type { ColdAllowance } from '../request/attempts/cold-start-limiter.js'
 import type { ConfigurationDecoder } from '../version/configuration-holder.js'
 import type { EvacuationOrder, EvacuationOrders } from '../version/evacuation-order.js'
 import type { CrashReports } from './crashes/crash-report.js'
--- a/packages/gateway/src/process/stages/pool/pool-parts.ts
+++ b/packages/gateway/src/process/stages/pool/pool-parts.ts
@@ -5,10 +5,10 @@
 import type { IntakeGate } from '../../../connection/backends/intake-gate.js'
 import type { StageClient } from '../../../connection/backends/stage-client.js'
 import type { RetryBudget } from '../../../request/attempts/retry-budget.js'
-import type { CrashWatch } from '../../../request/crash-watch.js'
+import type { CrashMonitor } from '../../../request/crash-monitor.js'
 
 /** What stage work tells and asks of requests under which backend servers end. */
-export type StageCrashWatch = Pick<CrashWatch, 'noteBroken' | 'crashCount' | 'refusal'>
+export type StageCrashWatch = Pick<CrashMonitor, 'noteBroken' | 'crashCount' | 'refusal'>
 
 /** What a pool works with. */
 export interface StagePoolParts {
--- a/packages/gateway/src/process/stages/stage-coordinator.ts
+++ b/packages/gateway/src/process/stages/stage-coordinator.ts
@@ -11,7 +11,7 @@
 import type { Result } from 'ts-results-es'
 import type { Backend } from '../../connection/backends/backend.js'
 import type { PreparationFailure, PreparationRequest, PreparedInputs, Preparer } from '../../connection/peers/preparation.js'
-import type { ColdPace } from '../../request/attempts/cold-pace.js'
+import type { ColdStartLimiter } from '../../request/attempts/cold-start-limiter.js'
 import type { PreparationListener } from '../../request/stages/request-stages.js'
 import type { RouteTable } from '../../version/route-table.js'
 import type { ExpectedReading } from './engine-assignment.js'
@@ -55,7 +55,7 @@
 /** What a coordinator works with. */
 export interface StageCoordinatorParts extends StagePoolParts {
   /** How often the engines of this coordinator's requests may be cold ones. */
-  coldPace: Pick<ColdPace, 'mayTake' | 'note'>
+  coldPace: Pick<ColdStartLimiter, 'mayTake' | 'note'>
 }
 
 /** Owns the pools of all stage services, and the requests whose results are held. */
--- a/packages/gateway/src/request/attempts/backend-run.ts
+++ b/packages/gateway/src/request/attempts/backend-run.ts
@@ -9,7 +9,7 @@
 import type { BackendCall, BackendClient, CallFailure } from '../../connection/backends/backend-client.js'
 import type { Backend } from '../../connection/backends/backend.js'
 import type { IntakeGate } from '../../connection/backends/intake-gate.js'
-import type { CrashWatch } from '../crash-watch.js'
+import type { CrashMonitor } from '../crash-monitor.js'
 import type { RequestLog } from '../request-log.js'
 import type { BufferedResponse } from '../responses/response-relay.js'
 import type { RoutedRequest } from '../routed-request.js'
@@ -40,7 +40,7 @@
   client: BackendClient
   ejection: EjectionPolicy
   budget: RetryBudget
-  crashes: CrashWatch
+  crashes: CrashMonitor
   /** Says when a request may be sent to a backend server that limits its intake. */
   intake: Pick<IntakeGate, 'waitMs'>
   log: RequestLog
--- a/packages/gateway/src/request/attempts/backend-runner.ts
+++ b/packages/gateway/src/request/attempts/backend-runner.ts
@@ -1,15 +1,15 @@
 /**
  * Runs requests at the backend servers of their services. Lives as long as the
  * process and has no mutable state; takes the candidates from the registry and
- * their order from the policies in `backend-choice.ts`.
+ * their order from the policies in `load-balancing.ts`.
  */
 import type { EventLog } from '@eidermast/common'
 import type { Backend } from '../../connection/backends/backend.js'
 import type { IntakeState } from '../../connection/backends/intake-state.js'
 import type { RoutedRequest } from '../routed-request.js'
-import type { BackendChoice } from './backend-choice.js'
 import type { BackendRunDependencies } from './backend-run.js'
-import type { ColdPace } from './cold-pace.js'
+import type { ColdStartLimiter } from './cold-start-limiter.js'
+import type { LoadBalancingPolicy } from './load-balancing.js'
 import type { RunInputs, RunResult, RunSubject } from './run-subject.js'
 import { RequestLog } from '../request-log.js'
 import { BackendRun, shortestWaitMs } from './backend-run.js'
@@ -27,10 +27,10 @@
 export interface BackendRunnerDependencies extends Omit<BackendRunDependencies, 'log'> {
   /** Failure domain of this process. */
   failureDomain: string
-  plainChoice: BackendChoice
-  engineChoice: BackendChoice
+  plainPolicy: LoadBalancingPolicy
+  enginePolicy: LoadBalancingPolicy
   /** Limits what this process sends to cold backend servers without an assignment by a coordinator. */
-  coldPace: Pick<ColdPace, 'mayTake' | 'note'>
+  coldStartLimiter: Pick<ColdStartLimiter, 'mayTake' | 'note'>
   log: EventLog
 }
 
@@ -62,7 +62,7 @@
   private chooseForCall(request: RoutedRequest, inputs: RunInputs, tried: ReadonlySet<string>): Backend | undefined {
     const backend = this.choose(request, inputs, tried)
     if (backend && backend.id !== inputs.engine)
-      this.deps.coldPace.note(backend, performance.now())
+      this.deps.coldStartLimiter.note(backend, performance.now())
     return backend
   }
 
@@ -72,12 +72,12 @@
     const now = performance.now()
     const taking = candidates.filter(backend => this.deps.intake.waitMs(backend) === 0)
     const usable = this.deps.ejection.filter(taking)
-    const withOldLimit = usable.find(backend => isLimitOld(backend.intake, now) && this.deps.coldPace.mayTake(backend, now))
+    const withOldLimit = usable.find(backend => isLimitOld(backend.intake, now) && this.deps.coldStartLimiter.mayTake(backend, now))
     const preferred = withOldLimit ?? usable.find(backend => backend.id === inputs.engine)
     if (preferred)
       return preferred
-    const open = taking.filter(backend => this.deps.coldPace.mayTake(backend, now))
-    const choice = this.deps.isEngine(request.service) ? this.deps.engineChoice : this.deps.plainChoice
+    const open = taking.filter(backend => this.deps.coldStartLimiter.mayTake(backend, now))
+    const choice = this.deps.isEngine(request.service) ? this.deps.enginePolicy : this.deps.plainPolicy
     return choice.order(open, {
       promptParts: request.head.promptParts,
       failureDomain: inputs.failureDomain ?? this.deps.failureDomain,
--- a/packages/gateway/src/request/attempts/cold-pace.ts
+++ b/packages/gateway/src/request/attempts/cold-start-limiter.ts
@@ -38,7 +38,7 @@
  */
 export const COORDINATED_SHARE = 0.4
 /** Share of the allowance for gateways that select by themselves, all together. */
-export const OWN_SHARE = 0.15
+export const UNCOORDINATED_SHARE = 0.15
 /** With 500 ms, any second overlaps the open time slots of at most 1.5 s; longer ones raise that to 2 s. */
 const MAX_OPEN_MS = 500
 const MILLISECONDS_PER_SECOND = 1000
@@ -52,7 +52,7 @@
 }
 
 /** Limits the rate of requests from one process to each cold backend server. */
-export class ColdPace {
+export class ColdStartLimiter {
   private readonly lastSentAt = new WeakMap<Backend, number>()
 
   /** `name` is the name of this gateway, `rate` the rate that it may use. */
--- a/packages/gateway/src/request/attempts/backend-choice.ts
+++ b/packages/gateway/src/request/attempts/load-balancing.ts
@@ -20,7 +20,7 @@
 import { countTokens, findPreferredEngine, sharedParts } from '../prompt-parts.js'
 
 /** The request properties that selection depends on. */
-export interface ChoiceSubject {
+export interface SelectionInputs {
   /** Parts of the prompt in order; the last one is specific to the request. */
   promptParts: readonly PromptPart[]
   /** Failure domain of the caller, or the one that holds most of the data that the backend server fetches. */
@@ -30,9 +30,9 @@
 }
 
 /** A load balancing policy. */
-export interface BackendChoice {
+export interface LoadBalancingPolicy {
   /** The candidates that are not ejected, in order of preference; empty if there are none. */
-  order: (candidates: readonly Backend[], subject: ChoiceSubject) => Backend[]
+  order: (candidates: readonly Backend[], subject: SelectionInputs) => Backend[]
 }
 
 /**
@@ -60,15 +60,15 @@
 const MAX_TIE_BREAK = 0.01
 
 /** For plain services: the lowest load per slot, with a preference for the own failure domain. */
-export class LeastLoadChoice implements BackendChoice {
+export class LeastLoadPolicy implements LoadBalancingPolicy {
   constructor(private readonly ejection: EjectionPolicy) {}
 
-  order(candidates: readonly Backend[], subject: ChoiceSubject): Backend[] {
+  order(candidates: readonly Backend[], subject: SelectionInputs): Backend[] {
     const now = performance.now()
     return orderByCost(this.ejection.filter(candidates), backend => this.cost(backend, subject, now))
   }
 
-  private cost(backend: Backend, subject: ChoiceSubject, now: number): number {
+  private cost(backend: Backend, subject: SelectionInputs, now: number): number {
     const load = knownLoad(backend, now) / Math.max(1, backend.record.capacity)
     const crossing = backend.failureDomain === subject.failureDomain ? 0 : OTHER_DOMAIN_COST
     return load + crossing + Math.random() * MAX_TIE_BREAK
@@ -93,10 +93,10 @@
 const OTHER_DOMAIN_BYTES_PER_MS = 40_000
 
 /** For model engines: cached prompt parts, load, and bytes from other failure domains. */
-export class PrefixAwareChoice implements BackendChoice {
+export class PrefixAwarePolicy implements LoadBalancingPolicy {
   constructor(private readonly ejection: EjectionPolicy) {}
 
-  order(candidates: readonly Backend[], subject: ChoiceSubject): Backend[] {
+  order(candidates: readonly Backend[], subject: SelectionInputs): Backend[] {
     const now = performance.now()
     const usable = this.ejection.filter(candidates)
     const sharedTokens = countTokens(sharedParts(subject.promptParts))
--- a/packages/gateway/src/request/attempts/limit-turns.ts
+++ b/packages/gateway/src/request/attempts/slotted-rate-limiter.ts
@@ -31,7 +31,7 @@
 /** Position and share of a gateway among those that share a limit. */
 export interface LimitShare {
   /** From 0 to 1, evenly spaced; different for each gateway. */
-  place: number
+  position: number
   /** Share of the limit that it may use, from 0 to 1. */
   part: number
 }
@@ -40,7 +40,7 @@
 export type Clock = () => number
 
 /** Limits the rate of requests from one process to each backend server that reports a limit. */
-export class LimitTurns {
+export class SlottedRateLimiter {
   constructor(
     private readonly share: (backend: Backend) => LimitShare,
     private readonly now: Clock = () => performance.now(),
@@ -52,9 +52,9 @@
     const { limitPerSecond, lastSentAt } = backend.intake
     if (limitPerSecond === undefined)
       return 0
-    const { place, part } = this.share(backend)
+    const { position, part } = this.share(backend)
     const slotMs = MILLISECONDS_PER_SECOND / (Math.max(limitPerSecond, MIN_PER_SECOND) * part)
-    const openFor = this.openFor(backend, place, slotMs)
+    const openFor = this.openFor(backend, position, slotMs)
     const sinceSent = this.now() - lastSentAt
     const isSpaced = sinceSent >= slotMs * MIN_SPACING
     if (openFor < MAX_OPEN_MS && sinceSent > openFor && isSpaced)
@@ -63,8 +63,8 @@
   }
 
   /** Milliseconds since the current time slot of this gateway began. */
-  private openFor(backend: Backend, place: number, slotMs: number): number {
-    const offset = place + hashText(backend.life) / HASH_RANGE
+  private openFor(backend: Backend, position: number, slotMs: number): number {
+    const offset = position + hashText(backend.life) / HASH_RANGE
     return (this.wallClock() + slotMs * (2 - offset)) % slotMs
   }
 }
--- a/packages/gateway/src/request/crash-watch.ts
+++ b/packages/gateway/src/request/crash-monitor.ts
@@ -5,7 +5,7 @@
 import type { Backend } from '../connection/backends/backend.js'
 
 /** Correlates failed calls with crashes of backend servers. */
-export interface CrashWatch {
+export interface CrashMonitor {
   /** Records that a call to a backend server broke, or may have; resolves when it is known whether the backend server exited. */
   noteBroken: (backend: Backend, fingerprint: string) => Promise<void>
   /** Records that a backend server of the request's service sent a complete response. */
--- a/packages/gateway/src/request/index.ts
+++ b/packages/gateway/src/request/index.ts
@@ -1,6 +1,6 @@
 export * from './attempts/index.js'
 export * from './client-retry-detector.js'
-export * from './crash-watch.js'
+export * from './crash-monitor.js'
 export * from './deadlines.js'
 export * from './proxy-request-handler.js'
 export * from './rendezvous.js'
--- a/packages/gateway/src/request/proxy-request-handler.ts
+++ b/packages/gateway/src/request/proxy-request-handler.ts
@@ -11,7 +11,7 @@
 import type { ConfigurationHolder } from '../version/configuration-holder.js'
 import type { BackendRunner } from './attempts/backend-runner.js'
 import type { RunInputs, RunResult } from './attempts/run-subject.js'
-import type { CrashWatch } from './crash-watch.js'
+import type { CrashMonitor } from './crash-monitor.js'
 import type { RoutedRequest } from './routed-request.js'
 import { createError, ErrorKind } from '@eidermast/common'
 import { NO_INPUTS } from './attempts/run-subject.js'
@@ -33,7 +33,7 @@
   configuration: ConfigurationHolder
   preparer: Preparer
   runner: BackendRunner
-  crashes: Pick<CrashWatch, 'refusal'>
+  crashes: Pick<CrashMonitor, 'refusal'>
   metrics: RequestMetrics
   log: EventLog
 }
--- a/test/gateway/cold-pace.test.ts
+++ b/test/gateway/cold-start-limiter.test.ts
@@ -1,4 +1,4 @@
-import { coldAllowancePerSecond, ColdPace, COORDINATED_SHARE, coordinatorPart, countSharingGateways, OWN_SHARE } from '@eidermast/gateway'
+import { coldAllowancePerSecond, ColdStartLimiter, COORDINATED_SHARE, coordinatorPart, countSharingGateways, UNCOORDINATED_SHARE } from '@eidermast/gateway'
 import { describe, expect, test } from 'vitest'
 import { createBackend } from './support/fakes.js'
 import { createRandom } from './support/random.js'
@@ -13,7 +13,7 @@
 const MAX_NOTICE_DELAY_MS = 400
 
 interface Sender {
-  pace: ColdPace
+  limiter: ColdStartLimiter
   backend: ReturnType<typeof createBackend>
 }
 
@@ -21,17 +21,17 @@
 function createSender(name: string, ratePerSecond: number, heardAt: number): Sender {
   const backend = createBackend({ id: 'engine-a' })
   backend.noteCold(COLD_MS, heardAt)
-  return { pace: new ColdPace(name, () => ratePerSecond), backend }
+  return { limiter: new ColdStartLimiter(name, () => ratePerSecond), backend }
 }
 
 /** Times at which senders with unlimited demand send. */
 function simulateFullDemand(senders: readonly Sender[]): number[] {
   const sent: number[] = []
   for (let now = MAX_NOTICE_DELAY_MS; now < COLD_MS; now += STEP_MS) {
-    for (const { pace, backend } of senders) {
-      if (!pace.mayTake(backend, now))
+    for (const { limiter, backend } of senders) {
+      if (!limiter.mayTake(backend, now))
         continue
-      pace.note(backend, now)
+      limiter.note(backend, now)
       sent.push(now)
     }
   }
@@ -48,7 +48,7 @@
   const random = createRandom(seed)
   const heardAt = (): number => random() * MAX_NOTICE_DELAY_MS
   const own = Array.from({ length: gateways }, (_, index) =>
-    createSender(`gateway-${seed}-${index}`, LIMIT * OWN_SHARE / countSharingGateways(gateways), heardAt()))
+    createSender(`gateway-${seed}-${index}`, LIMIT * UNCOORDINATED_SHARE / countSharingGateways(gateways), heardAt()))
   const coordinators = groups.map((members, index) =>
     createSender(`coordinator-${seed}-${index}`, LIMIT * COORDINATED_SHARE * coordinatorPart(members - 1, gateways), heardAt()))
   return [...own, ...coordinators]
@@ -76,21 +76,21 @@
   })
 
   test('are not limited once it is warm or if there is no limit', () => {
-    const { pace, backend } = createSender('gateway', 0.1, 0)
-    expect(pace.mayTake(backend, COLD_MS + 1)).toBe(true)
-    expect(new ColdPace('gateway', () => undefined).mayTake(backend, 10)).toBe(true)
+    const { limiter, backend } = createSender('gateway', 0.1, 0)
+    expect(limiter.mayTake(backend, COLD_MS + 1)).toBe(true)
+    expect(new ColdStartLimiter('gateway', () => undefined).mayTake(backend, 10)).toBe(true)
   })
 
   test('get a new time slot after it becomes cold again', () => {
-    const { pace, backend } = createSender('gateway', 10, 0)
+    const { limiter, backend } = createSender('gateway', 10, 0)
     const later = 3 * COLD_MS
     backend.noteCold(COLD_MS, later)
     expect(backend.coldSince).toBe(later)
-    expect(opensWithinSecond(pace, backend, later)).toBe(true)
+    expect(opensWithinSecond(limiter, backend, later)).toBe(true)
   })
 })
 
 /** Whether a time slot opens within a second. */
-function opensWithinSecond(pace: ColdPace, backend: Sender['backend'], from: number): boolean {
-  return Array.from({ length: 100 }, (_, step) => from + step * STEP_MS).some(now => pace.mayTake(backend, now))
+function opensWithinSecond(limiter: ColdStartLimiter, backend: Sender['backend'], from: number): boolean {
+  return Array.from({ length: 100 }, (_, step) => from + step * STEP_MS).some(now => limiter.mayTake(backend, now))
 }
--- a/test/gateway/backend-choice.test.ts
+++ b/test/gateway/load-balancing.test.ts
@@ -1,22 +1,22 @@
-import type { BackendRecord, ChoiceSubject } from '@eidermast/gateway'
+import type { BackendRecord, SelectionInputs } from '@eidermast/gateway'
 import { NoEjection } from '@eidermast/common'
-import { Backend, LeastLoadChoice, PrefixAwareChoice } from '@eidermast/gateway'
+import { Backend, LeastLoadPolicy, PrefixAwarePolicy } from '@eidermast/gateway'
 import { describe, expect, test } from 'vitest'
 import { createRecord } from './support/fakes.js'
 
-const SHARED: ChoiceSubject = {
+const SHARED: SelectionInputs = {
   promptParts: [{ id: 'shared', tokens: 5000 }, { id: 'own', tokens: 300 }],
   failureDomain: 'zone-a',
   bytes: 0,
 }
-const SHORT: ChoiceSubject = { ...SHARED, promptParts: [{ id: 'short', tokens: 100 }, { id: 'own', tokens: 300 }] }
+const SHORT: SelectionInputs = { ...SHARED, promptParts: [{ id: 'short', tokens: 100 }, { id: 'own', tokens: 300 }] }
 
 function createBackends(overrides: (index: number) => Partial<BackendRecord> = () => ({})): Backend[] {
   return ['a', 'b', 'c', 'd'].map((id, index) => new Backend(createRecord({ id, capacity: 64, ...overrides(index) })))
 }
 
 describe('selecting a model engine', () => {
-  const choice = new PrefixAwareChoice(new NoEjection())
+  const choice = new PrefixAwarePolicy(new NoEjection())
 
   test('all gateways select the same one for the same shared prompt part', () => {
     const first = choice.order(createBackends(), SHARED)[0].id
@@ -38,7 +38,7 @@
 })
 
 describe('selecting a plain backend server', () => {
-  const choice = new LeastLoadChoice(new NoEjection())
+  const choice = new LeastLoadPolicy(new NoEjection())
 
   test('prefers the own failure domain while its backend server is not busier', () => {
     const backends = createBackends(index => ({ capacity: 6, failureDomain: index === 1 ? 'zone-a' : 'zone-b' }))
--- a/test/gateway/limit-turns.test.ts
+++ b/test/gateway/slotted-rate-limiter.test.ts
@@ -1,4 +1,4 @@
-import { CommonLimits, LimitTurns } from '@eidermast/gateway'
+import { CommonLimits, SlottedRateLimiter } from '@eidermast/gateway'
 import { describe, expect, test } from 'vitest'
 import { createBackend } from './support/fakes.js'
 import { createRandom } from './support/random.js'
@@ -14,7 +14,7 @@
 const SKEW_MS = 50
 
 interface Sender {
-  turns: LimitTurns
+  limiter: SlottedRateLimiter
   backend: ReturnType<typeof createBackend>
 }
 
@@ -34,7 +34,7 @@
     const backend = createBackend({ id: 'engine-a' })
     backend.intake.limitPerSecond = limit
     const limits = new CommonLimits({ members: { count: gateways, place }, heardGateways: () => 0, findService: () => undefined, coldAllowance: { overshoot: 1, slack: 0 } })
-    return { turns: new LimitTurns(known => limits.ofLimit(known), () => clock.now, () => clock.now + skewMs), backend }
+    return { limiter: new SlottedRateLimiter(known => limits.ofLimit(known), () => clock.now, () => clock.now + skewMs), backend }
   })
 }
 
@@ -45,8 +45,8 @@
   const random = createRandom(options.seed + 1)
   const sent: number[] = []
   for (const endAt = SLOTS * 1000 * options.gateways / options.limit; clock.now < endAt; clock.now += STEP_MS) {
-    for (const { turns, backend } of senders) {
-      if (random() >= options.demand || turns.waitMs(backend) > 0)
+    for (const { limiter, backend } of senders) {
+      if (random() >= options.demand || limiter.waitMs(backend) > 0)
         continue
       backend.intake.lastSentAt = clock.now
       sent.push(clock.now)
@@ -82,40 +82,40 @@
 })
 
 describe('the time slots of a gateway', () => {
-  const share = { place: 0, part: 0.25 }
+  const share = { position: 0, part: 0.25 }
 
   test('recur after the reported wait', () => {
     const clock = { now: 100_000 }
-    const turns = new LimitTurns(() => share, () => clock.now, () => clock.now)
+    const limiter = new SlottedRateLimiter(() => share, () => clock.now, () => clock.now)
     const backend = createBackend()
     backend.intake.limitPerSecond = 1
     for (let sent = 0; sent < 5; sent++) {
-      clock.now += turns.waitMs(backend)
-      expect(turns.waitMs(backend)).toBe(0)
+      clock.now += limiter.waitMs(backend)
+      expect(limiter.waitMs(backend)).toBe(0)
       backend.intake.lastSentAt = clock.now
-      expect(turns.waitMs(backend)).toBeGreaterThan(0)
+      expect(limiter.waitMs(backend)).toBeGreaterThan(0)
     }
   })
 
   test('are always open if no limit is reported', () => {
-    expect(new LimitTurns(() => share).waitMs(createBackend())).toBe(0)
+    expect(new SlottedRateLimiter(() => share).waitMs(createBackend())).toBe(0)
   })
 
   test('recur even with a limit of 0, so that the backend server can report that the limit has ended', () => {
     const clock = { now: 0 }
     const backend = createBackend()
     backend.intake.limitPerSecond = 0
-    expect(new LimitTurns(() => share, () => clock.now, () => clock.now).waitMs(backend)).toBeLessThan(60_000)
+    expect(new SlottedRateLimiter(() => share, () => clock.now, () => clock.now).waitMs(backend)).toBeLessThan(60_000)
   })
 
   test.each([2000, -2000])('allow no immediate second request if the wall clock jumps by %i ms', (jumpMs) => {
     const clock = { now: 100_000, jump: 0 }
-    const turns = new LimitTurns(() => share, () => clock.now, () => clock.now + clock.jump)
+    const limiter = new SlottedRateLimiter(() => share, () => clock.now, () => clock.now + clock.jump)
     const backend = createBackend()
     backend.intake.limitPerSecond = 1
-    clock.now += turns.waitMs(backend)
+    clock.now += limiter.waitMs(backend)
     backend.intake.lastSentAt = clock.now
     clock.jump = jumpMs
-    expect(turns.waitMs(backend)).toBeGreaterThan(1000)
+    expect(limiter.waitMs(backend)).toBeGreaterThan(1000)
   })
 })
--- a/test/gateway/support/fakes.ts
+++ b/test/gateway/support/fakes.ts
@@ -3,7 +3,7 @@
  * Fakes at the gateway's interfaces: a log that is kept, a stage service in
  * memory, and makers of records.
  */
-import type { BackendRecord, ColdPace, Configuration, CrashWatch, IntakeGate, ItemOutcome, Route, StageCallResult, StageClient, StageItem, StageLimits } from '@eidermast/gateway'
+import type { BackendRecord, ColdStartLimiter, Configuration, CrashMonitor, IntakeGate, ItemOutcome, Route, StageCallResult, StageClient, StageItem, StageLimits } from '@eidermast/gateway'
 import { EventLog } from '@eidermast/common'
 import { Backend, ItemFailure, StageCallEnd } from '@eidermast/gateway'
 
@@ -57,7 +57,7 @@
 }
 
 /** Nothing is known of crashes, and nothing is learned. */
-export const NO_CRASHES: CrashWatch = { noteBroken: async () => {}, noteAnswered: () => {}, crashCount: () => 0, refusal: () => undefined }
+export const NO_CRASHES: CrashMonitor = { noteBroken: async () => {}, noteAnswered: () => {}, crashCount: () => 0, refusal: () => undefined }
 
 /** A call that a fake stage backend server got. */
 export interface FakeStageCall {
@@ -134,4 +134,4 @@
 export const OPEN_INTAKE: IntakeGate = { waitMs: () => 0, noteSent: () => {}, noteAnswer: () => {} }
 
 /** Cold backend servers take as much as others. */
-export const NO_COLD_BOUND: Pick<ColdPace, 'mayTake' | 'note'> = { mayTake: () => true, note: () => {} }
+export const NO_COLD_BOUND: Pick<ColdStartLimiter, 'mayTake' | 'note'> = { mayTake: () => true, note: () => {} }
--- a/test/gateway/support/stage-coordinator.ts
+++ b/test/gateway/support/stage-coordinator.ts
@@ -1,14 +1,14 @@
 /**
  * A stage coordinator with a fake stage service, and requests for it.
  */
-import type { CrashWatch, PreparationRequest } from '@eidermast/gateway'
+import type { CrashMonitor, PreparationRequest } from '@eidermast/gateway'
 import { BackendRegistry, RouteTable, StageCoordinator } from '@eidermast/gateway'
 import { createConfiguration, createLog, createRecord, createStageLimits, FakeStageService, NO_COLD_BOUND, NO_CRASHES, OPEN_INTAKE } from './fakes.js'
 
 const LIMITS = createStageLimits()
 
 /** A coordinator of two stage services, `encode` and `rerank`, with a fake stage service behind it. */
-export function createCoordinator(backends: { id: string, failureDomain?: string, service?: string }[], crashes: CrashWatch = NO_CRASHES) {
+export function createCoordinator(backends: { id: string, failureDomain?: string, service?: string }[], crashes: CrashMonitor = NO_CRASHES) {
   const { log, lines } = createLog()
   const registry = new BackendRegistry(log)
   const service = new FakeStageService(LIMITS)
