--- a/packages/gateway/src/process/stages/backend/result-frees.ts
+++ b/packages/gateway/src/process/stages/backend/result-frees.ts
@@ -34,7 +34,7 @@
 
   /** Deletes a result soon; one whose deletion is under way is left alone. */
   free({ handle, holder }: StageResult): void {
-    if (!holder.markFreeing(handle))
+    if (!holder.markForDeletion(handle))
       return
     const handles = this.pending.get(holder)
     if (handles) {
--- a/packages/gateway/src/process/stages/backend/result-memory.ts
+++ b/packages/gateway/src/process/stages/backend/result-memory.ts
@@ -113,7 +113,7 @@
     return Math.max(0, (this.held.get(handle)?.expiresAt ?? now) - now)
   }
 
-  markFreeing(handle: string): boolean {
+  markForDeletion(handle: string): boolean {
     const result = this.held.get(handle)
     if (!result || result.freeing)
       return false
--- a/packages/gateway/src/process/stages/pool/stage-pool.ts
+++ b/packages/gateway/src/process/stages/pool/stage-pool.ts
@@ -90,7 +90,7 @@
     this.dispatch()
     return {
       cancel: () => this.queue.cancel(submitted),
-      isUnderWay: () => submitted.waiting.length === 0 && !submitted.ended,
+      isInFlight: () => submitted.waiting.length === 0 && !submitted.ended,
     }
   }
 
--- a/packages/gateway/src/request/attempts/backend-runner.ts
+++ b/packages/gateway/src/request/attempts/backend-runner.ts
@@ -70,15 +70,15 @@
   private choose(request: RoutedRequest, inputs: RunInputs, tried: ReadonlySet<string>): Backend | undefined {
     const candidates = this.deps.registry.available(request.service).filter(backend => !tried.has(backend.id))
     const now = performance.now()
-    const taking = candidates.filter(backend => this.deps.intake.waitMs(backend) === 0)
-    const usable = this.deps.ejection.filter(taking)
-    const withOldLimit = usable.find(backend => isLimitOld(backend.intake, now) && this.deps.coldStartLimiter.mayTake(backend, now))
-    const preferred = withOldLimit ?? usable.find(backend => backend.id === inputs.engine)
+    const accepting = candidates.filter(backend => this.deps.intake.waitMs(backend) === 0)
+    const usable = this.deps.ejection.filter(accepting)
+    const withStaleLimit = usable.find(backend => isLimitStale(backend.intake, now) && this.deps.coldStartLimiter.mayTake(backend, now))
+    const preferred = withStaleLimit ?? usable.find(backend => backend.id === inputs.engine)
     if (preferred)
       return preferred
-    const open = taking.filter(backend => this.deps.coldStartLimiter.mayTake(backend, now))
+    const eligible = accepting.filter(backend => this.deps.coldStartLimiter.mayTake(backend, now))
     const choice = this.deps.isEngine(request.service) ? this.deps.enginePolicy : this.deps.plainPolicy
-    return choice.order(open, {
+    return choice.order(eligible, {
       promptParts: request.head.promptParts,
       failureDomain: inputs.failureDomain ?? this.deps.failureDomain,
       bytes: inputs.bytes,
@@ -87,6 +87,6 @@
 }
 
 /** Whether the limit may have been lifted since it was reported; only the response to a request can tell. */
-function isLimitOld({ limitPerSecond, limitNamedAt }: IntakeState, now: number): boolean {
+function isLimitStale({ limitPerSecond, limitNamedAt }: IntakeState, now: number): boolean {
   return limitPerSecond !== undefined && now - limitNamedAt > LIMIT_REFRESH_MS
 }
--- a/packages/gateway/src/request/attempts/cold-start-limiter.ts
+++ b/packages/gateway/src/request/attempts/cold-start-limiter.ts
@@ -63,8 +63,8 @@
     const rate = backend.isCold(now) ? this.rate(backend.service) : undefined
     if (rate === undefined)
       return true
-    const openFor = this.openFor(backend, MILLISECONDS_PER_SECOND / rate, now)
-    return openFor !== undefined && (this.lastSentAt.get(backend) ?? Number.NEGATIVE_INFINITY) < now - openFor
+    const slotAge = this.slotAgeMs(backend, MILLISECONDS_PER_SECOND / rate, now)
+    return slotAge !== undefined && (this.lastSentAt.get(backend) ?? Number.NEGATIVE_INFINITY) < now - slotAge
   }
 
   /** Records that a request is sent. */
@@ -74,11 +74,11 @@
   }
 
   /** Milliseconds for which the current time slot has been open; undefined if none is open. */
-  private openFor(backend: Backend, slotMs: number, now: number): number | undefined {
-    const firstAt = backend.coldSince + slotMs * hashText(`${this.name}\n${backend.life}`) / HASH_RANGE
-    if (now < firstAt)
+  private slotAgeMs(backend: Backend, slotMs: number, now: number): number | undefined {
+    const firstSlotAt = backend.coldSince + slotMs * hashText(`${this.name}\n${backend.life}`) / HASH_RANGE
+    if (now < firstSlotAt)
       return undefined
-    const sinceSlotStart = (now - firstAt) % slotMs
-    return sinceSlotStart < MAX_OPEN_MS ? sinceSlotStart : undefined
+    const slotAge = (now - firstSlotAt) % slotMs
+    return slotAge < MAX_OPEN_MS ? slotAge : undefined
   }
 }
--- a/packages/gateway/src/request/attempts/load-balancing.ts
+++ b/packages/gateway/src/request/attempts/load-balancing.ts
@@ -52,12 +52,12 @@
  * Load per slot that a call to another failure domain is worth. Half crosses
  * domains for small differences in load, twice fills the own domain first.
  */
-const OTHER_DOMAIN_COST = 0.3
+const OTHER_DOMAIN_PENALTY_LOAD = 0.3
 /**
  * Upper bound of the random load per slot that spreads the calls of several
  * gateways over equally loaded servers. Must be less than the load of one call.
  */
-const MAX_TIE_BREAK = 0.01
+const MAX_TIE_BREAK_LOAD = 0.01
 
 /** For plain services: the lowest load per slot, with a preference for the own failure domain. */
 export class LeastLoadPolicy implements LoadBalancingPolicy {
@@ -70,8 +70,8 @@
 
   private cost(backend: Backend, subject: SelectionInputs, now: number): number {
     const load = knownLoad(backend, now) / Math.max(1, backend.record.capacity)
-    const crossing = backend.failureDomain === subject.failureDomain ? 0 : OTHER_DOMAIN_COST
-    return load + crossing + Math.random() * MAX_TIE_BREAK
+    const domainPenalty = backend.failureDomain === subject.failureDomain ? 0 : OTHER_DOMAIN_PENALTY_LOAD
+    return load + domainPenalty + Math.random() * MAX_TIE_BREAK_LOAD
   }
 }
 
@@ -79,12 +79,12 @@
  * Cost of a prompt token that is not cached. Well above the processing time of
  * a token, because processing also delays the server's other requests.
  */
-const TOKEN_COST_MS = 0.05
+const UNCACHED_TOKEN_COST_MS = 0.05
 /**
  * Cost of each other request in progress. Half keeps shared prompts on busy
  * servers, twice scatters them.
  */
-const RUNNING_COST_MS = 8
+const REQUEST_COST_MS = 8
 /**
  * Bytes from another failure domain that cost one millisecond. Half moves
  * requests to busy servers to save transfers, twice crosses domains for small
@@ -102,9 +102,9 @@
     const sharedTokens = countTokens(sharedParts(subject.promptParts))
     const preferred = findPreferredEngine(subject.promptParts, usable)
     return orderByCost(usable, (backend) => {
-      const read = backend === preferred ? 0 : sharedTokens * TOKEN_COST_MS
+      const read = backend === preferred ? 0 : sharedTokens * UNCACHED_TOKEN_COST_MS
       const fetch = backend.failureDomain === subject.failureDomain ? 0 : subject.bytes / OTHER_DOMAIN_BYTES_PER_MS
-      return read + fetch + knownLoad(backend, now) * RUNNING_COST_MS
+      return read + fetch + knownLoad(backend, now) * REQUEST_COST_MS
     })
   }
 }
--- a/packages/gateway/src/request/attempts/retry-budget.ts
+++ b/packages/gateway/src/request/attempts/retry-budget.ts
@@ -31,7 +31,7 @@
  * Share of the allowance that is used. The rest covers gateways that this one
  * does not know yet; a larger share could exceed the allowance while gateways join.
  */
-const USED_SHARE = 0.8
+const USABLE_SHARE = 0.8
 
 /** Counts of one bucket of the window. */
 interface Bucket {
@@ -55,35 +55,35 @@
   }
 
   countRequest(service: string): void {
-    this.bucket(service).requests++
+    this.currentBucket(service).requests++
   }
 
   /** Takes one retry from the allowance; returns false if it is used up. */
   takeRetry(service: string): boolean {
-    const buckets = this.recent(service)
+    const buckets = this.recentBuckets(service)
     const requests = buckets.reduce((sum, bucket) => sum + bucket.requests, 0)
     const retries = buckets.reduce((sum, bucket) => sum + bucket.retries, 0)
     if (retries + 1 > this.allowedRetries(requests))
       return false
-    this.bucket(service).retries++
+    this.currentBucket(service).retries++
     return true
   }
 
   /** Returns a retry that was not made. Lowers the oldest count, so that later windows never undercount. */
   returnRetry(service: string): void {
-    const taken = this.recent(service).find(bucket => bucket.retries > 0)
+    const taken = this.recentBuckets(service).find(bucket => bucket.retries > 0)
     if (taken)
       taken.retries--
   }
 
   private allowedRetries(requests: number): number {
     const fixedPart = this.settings.extra / Math.max(1, this.gatewayCount())
-    return USED_SHARE * (this.settings.ratio * requests + fixedPart)
+    return USABLE_SHARE * (this.settings.ratio * requests + fixedPart)
   }
 
-  private bucket(service: string): Bucket {
+  private currentBucket(service: string): Bucket {
     const index = Math.floor(this.now() / this.bucketMs)
-    const buckets = this.recent(service)
+    const buckets = this.recentBuckets(service)
     const last = buckets.at(-1)
     if (last?.index === index)
       return last
@@ -92,7 +92,7 @@
     return created
   }
 
-  private recent(service: string): Bucket[] {
+  private recentBuckets(service: string): Bucket[] {
     const oldest = Math.floor(this.now() / this.bucketMs) - BUCKETS
     const buckets = (this.services.get(service) ?? []).filter(bucket => bucket.index >= oldest)
     this.services.set(service, buckets)
--- a/packages/gateway/src/request/attempts/retry-rule.ts
+++ b/packages/gateway/src/request/attempts/retry-rule.ts
@@ -24,7 +24,7 @@
  * Least remaining time for another attempt. Half would send calls that cannot be
  * answered in time, twice would refuse some that can.
  */
-const MIN_USEFUL_MS = 30
+const MIN_REMAINING_MS = 30
 /**
  * Attempts per request, including those that did not run. Half would fail
  * requests while a pool is being replaced, twice would retry for too long while
@@ -118,7 +118,7 @@
 export function decideBeforeAttempt({ history, hasBackend, remainingMs }: NextAttemptInputs): RetryDecision {
   if (!hasBackend)
     return RetryDecision.NoBackend
-  if (history.attempts > 0 && remainingMs < MIN_USEFUL_MS)
+  if (history.attempts > 0 && remainingMs < MIN_REMAINING_MS)
     return RetryDecision.NoTime
   return RetryDecision.Proceed
 }
--- a/packages/gateway/src/request/attempts/slotted-rate-limiter.ts
+++ b/packages/gateway/src/request/attempts/slotted-rate-limiter.ts
@@ -25,7 +25,7 @@
 /** Lower bound of the limit in requests per second: a backend server that gets no requests cannot report that its limit has ended. */
 const MIN_PER_SECOND = 0.1
 /** Minimum time between two requests, as a share of a time slot; applies when time slots move because the limit or the set of gateways changed. */
-const MIN_SPACING = 0.5
+const MIN_SPACING_SHARE = 0.5
 const MILLISECONDS_PER_SECOND = 1000
 
 /** Position and share of a gateway among those that share a limit. */
@@ -54,16 +54,16 @@
       return 0
     const { position, part } = this.share(backend)
     const slotMs = MILLISECONDS_PER_SECOND / (Math.max(limitPerSecond, MIN_PER_SECOND) * part)
-    const openFor = this.openFor(backend, position, slotMs)
-    const sinceSent = this.now() - lastSentAt
-    const isSpaced = sinceSent >= slotMs * MIN_SPACING
-    if (openFor < MAX_OPEN_MS && sinceSent > openFor && isSpaced)
+    const slotAge = this.slotAgeMs(backend, position, slotMs)
+    const sinceSentMs = this.now() - lastSentAt
+    const isSpaced = sinceSentMs >= slotMs * MIN_SPACING_SHARE
+    if (slotAge < MAX_OPEN_MS && sinceSentMs > slotAge && isSpaced)
       return 0
-    return Math.max(slotMs - openFor, slotMs * MIN_SPACING - sinceSent)
+    return Math.max(slotMs - slotAge, slotMs * MIN_SPACING_SHARE - sinceSentMs)
   }
 
   /** Milliseconds since the current time slot of this gateway began. */
-  private openFor(backend: Backend, position: number, slotMs: number): number {
+  private slotAgeMs(backend: Backend, position: number, slotMs: number): number {
     const offset = position + hashText(backend.life) / HASH_RANGE
     return (this.wallClock() + slotMs * (2 - offset)) % slotMs
   }
--- a/packages/gateway/src/request/deadlines.ts
+++ b/packages/gateway/src/request/deadlines.ts
@@ -33,9 +33,9 @@
 /** Clients wait at least this long for an event of a stream; this and the two factors are limits of the clients. */
 const MIN_EVENT_WAIT_MS = 2000
 /** How long clients wait for an event, in multiples of the route's target latency. */
-const EVENT_WAIT_TARGETS = 4
+const EVENT_WAIT_TARGET_FACTOR = 4
 /** How long clients wait for an event, in multiples of the route's longest gap. */
-const EVENT_WAIT_GAPS = 8
+const EVENT_WAIT_GAP_FACTOR = 8
 
 /**
  * Minimum time of an attempt that may be followed by another one. Half would
@@ -64,7 +64,7 @@
 function maxEventWaitMs(route: Route): number {
   if (!route.streaming)
     return route.timeoutMs
-  return Math.max(MIN_EVENT_WAIT_MS, EVENT_WAIT_TARGETS * route.targetLatencyMs, EVENT_WAIT_GAPS * route.targetGapMs)
+  return Math.max(MIN_EVENT_WAIT_MS, EVENT_WAIT_TARGET_FACTOR * route.targetLatencyMs, EVENT_WAIT_GAP_FACTOR * route.targetGapMs)
 }
 
 /** Inputs of the time limit of one attempt. */
--- a/packages/gateway/src/request/request-errors.ts
+++ b/packages/gateway/src/request/request-errors.ts
@@ -24,7 +24,7 @@
  * Retry delay for clients after every backend server refused. Half sends retries
  * to a pool that is still full, twice leaves free slots unused.
  */
-const REFUSED_RETRY_MS = 200
+const REFUSED_RETRY_AFTER_MS = 200
 
 /** A request that was not answered. */
 export interface UnansweredRequest {
@@ -52,7 +52,7 @@
   if (waitMs > 0 && Number.isFinite(waitMs))
     return errorOfWithheld(service, waitMs)
   if (lastFailure && lastFailure.kind !== CallFailureKind.Leaving)
-    return createError(ErrorKind.Overloaded, `no backend server accepted the request: ${lastFailure.message}`, { retryAfterMs: REFUSED_RETRY_MS })
+    return createError(ErrorKind.Overloaded, `no backend server accepted the request: ${lastFailure.message}`, { retryAfterMs: REFUSED_RETRY_AFTER_MS })
   return createError(ErrorKind.NoBackend, `no backend server of service ${service} is available`, { ran: Ran.None })
 }
 
--- a/packages/gateway/src/request/responses/event-splitter.ts
+++ b/packages/gateway/src/request/responses/event-splitter.ts
@@ -16,28 +16,28 @@
 
 /** Buffers bytes until an event is complete. */
 export class EventSplitter {
-  private rest: Buffer = Buffer.alloc(0)
+  private buffered: Buffer = Buffer.alloc(0)
 
   /** Whether an incomplete event is buffered. */
   get hasPartial(): boolean {
-    return this.rest.length > 0
+    return this.buffered.length > 0
   }
 
   /** Bytes of the incomplete event. */
   get partial(): Buffer {
-    return this.rest
+    return this.buffered
   }
 
   /** Adds bytes and returns the events that they complete. */
   push(bytes: Buffer): StreamEvent[] {
-    const buffer = this.rest.length === 0 ? bytes : Buffer.concat([this.rest, bytes])
+    const buffer = this.buffered.length === 0 ? bytes : Buffer.concat([this.buffered, bytes])
     const events: StreamEvent[] = []
     let start = 0
     for (let end = findEnd(buffer, start); end >= 0; end = findEnd(buffer, start)) {
       events.push(readEvent(buffer.subarray(start, end)))
       start = end
     }
-    this.rest = buffer.subarray(start)
+    this.buffered = buffer.subarray(start)
     return events
   }
 }
--- a/packages/gateway/src/request/stages/request-stages.ts
+++ b/packages/gateway/src/request/stages/request-stages.ts
@@ -85,7 +85,7 @@
    */
   handOver(): void {
     this.handingOver = true
-    if (this.ended || this.states.isUnderWay)
+    if (this.ended || this.states.hasStageInFlight)
       return
     const progress = this.states.describeProgress(performance.now())
     this.ended = true
--- a/packages/gateway/src/request/stages/stage-states.ts
+++ b/packages/gateway/src/request/stages/stage-states.ts
@@ -45,8 +45,8 @@
   }
 
   /** Whether there is a stage whose items without a result are all in flight. */
-  get isUnderWay(): boolean {
-    return this.states.some(state => state.task?.isUnderWay())
+  get hasStageInFlight(): boolean {
+    return this.states.some(state => state.task?.isInFlight())
   }
 
   hasResults(stage: number): boolean {
--- a/packages/gateway/src/request/stages/stage-task.ts
+++ b/packages/gateway/src/request/stages/stage-task.ts
@@ -22,7 +22,7 @@
    * Marks a result for deletion; returns false if it is unknown or already
    * marked. Its bytes stay accounted for until it is dropped.
    */
-  markFreeing: (handle: string) => boolean
+  markForDeletion: (handle: string) => boolean
   /** Removes a result that the backend server no longer holds and releases its bytes. */
   drop: (handle: string) => void
 }
@@ -72,7 +72,7 @@
   /** Cancels it without calling the listener; results of items in flight are freed on arrival. */
   cancel: () => void
   /** Whether every item without a result is in flight. */
-  isUnderWay: () => boolean
+  isInFlight: () => boolean
 }
 
 /** Runs the tasks of one stage service. */
