--- a/packages/gateway/src/process/crashes/crash-tracker.ts
+++ b/packages/gateway/src/process/crashes/crash-tracker.ts
@@ -10,7 +10,7 @@
  */
 import type { EventLog } from '@eidermast/common'
 import type { Backend } from '../../connection/backends/backend.js'
-import type { CrashWatch } from '../../request/crash-watch.js'
+import type { CrashMonitor } from '../../request/crash-monitor.js'
 import type { CrashLedger, CrashSink } from '../platform-adapter.js'
 import type { BackendCrash } from './crash-detector.js'
 import type { AnswerReport, CrashReport, CrashReports } from './crash-report.js'
@@ -39,7 +39,7 @@
   ledger: Pick<CrashLedger, 'publish'>
   log: EventLog
   /** Determines whether the backend server of a broken call crashed. */
-  detector: Pick<CrashWatch, 'noteBroken'>
+  detector: Pick<CrashMonitor, 'noteBroken'>
   /**
    * Whether this gateway restores reports of other gateways that the ledger has
    * lost. One gateway does, since reports of gateways that are gone would
@@ -51,7 +51,7 @@
 }
 
 /** Collects and shares crash reports, and decides which requests are refused. */
-export class CrashTracker implements CrashWatch, CrashSink {
+export class CrashTracker implements CrashMonitor, CrashSink {
   private readonly history: CrashHistory
   private readonly answers = new RecentAnswers()
   /** Exchanges reports with peers. */
--- a/packages/gateway/src/process/shared-limits.ts
+++ b/packages/gateway/src/process/shared-limits.ts
@@ -5,10 +5,10 @@
  * inputs on each call; the shares are computed in `gateway-share.ts`.
  */
 import type { Backend } from '../connection/backends/backend.js'
-import type { ColdAllowance } from '../request/attempts/cold-pace.js'
-import type { LimitShare } from '../request/attempts/limit-turns.js'
+import type { ColdAllowance } from '../request/attempts/cold-start-limiter.js'
+import type { LimitShare } from '../request/attempts/slotted-rate-limiter.js'
 import type { Service } from '../version/configuration.js'
-import { coldAllowancePerSecond, COORDINATED_SHARE, OWN_SHARE } from '../request/attempts/cold-pace.js'
+import { coldAllowancePerSecond, COORDINATED_SHARE, UNCOORDINATED_SHARE } from '../request/attempts/cold-start-limiter.js'
 import { coordinatorPart, countSharingGateways, shareOfConnections } from './gateway-share.js'
 
 /** Inputs of the shares. */
@@ -42,7 +42,7 @@
 
   /** As `coordinatedColdRate`, for requests whose backend server this gateway selects itself. */
   ownColdRate(service: string): number | undefined {
-    return this.coldRate(service, OWN_SHARE / this.sharingGateways())
+    return this.coldRate(service, UNCOORDINATED_SHARE / this.sharingGateways())
   }
 
   /** Time slot and share of this gateway in the rate limit of a backend server. */
@@ -50,7 +50,7 @@
     const { members, findService } = this.inputs
     const isCoordinated = findService(service)?.stage !== undefined
     const part = isCoordinated ? this.coordinatorShare() : 1 / this.sharingGateways()
-    return { place: members.place / this.sharingGateways(), part }
+    return { position: members.place / this.sharingGateways(), part }
   }
 
   private coordinatorShare(): number {
--- a/packages/gateway/src/process/stages/backend/result-deleter.ts
+++ b/packages/gateway/src/process/stages/backend/result-deleter.ts
@@ -32,7 +32,7 @@
 
   /** Schedules the deletion of a result; does nothing if it is already being deleted. */
   free({ handle, holder }: StageResult): void {
-    if (!holder.markFreeing(handle))
+    if (!holder.markForDeletion(handle))
       return
     const handles = this.pending.get(holder)
     if (handles) {
--- a/packages/gateway/src/request/attempts/cold-pace.ts
+++ b/packages/gateway/src/request/attempts/cold-start-limiter.ts
@@ -38,7 +38,7 @@
  */
 export const COORDINATED_SHARE = 0.4
 /** Share of the allowance for gateways that select by themselves, all together. */
-export const OWN_SHARE = 0.15
+export const UNCOORDINATED_SHARE = 0.15
 /** With 500 ms, any second overlaps the open time slots of at most 1.5 s; longer ones raise that to 2 s. */
 const MAX_OPEN_MS = 500
 const MILLISECONDS_PER_SECOND = 1000
@@ -52,7 +52,7 @@
 }
 
 /** Limits the rate of requests from one process to each cold backend server. */
-export class ColdPace {
+export class ColdStartLimiter {
   private readonly lastSentAt = new WeakMap<Backend, number>()
 
   /** `name` is the name of this gateway, `rate` the rate that it may use. */
@@ -63,8 +63,8 @@
     const rate = backend.isCold(now) ? this.rate(backend.service) : undefined
     if (rate === undefined)
       return true
-    const openFor = this.openFor(backend, MILLISECONDS_PER_SECOND / rate, now)
-    return openFor !== undefined && (this.lastSentAt.get(backend) ?? Number.NEGATIVE_INFINITY) < now - openFor
+    const slotAge = this.slotAgeMs(backend, MILLISECONDS_PER_SECOND / rate, now)
+    return slotAge !== undefined && (this.lastSentAt.get(backend) ?? Number.NEGATIVE_INFINITY) < now - slotAge
   }
 
   /** Records that a request is sent. */
@@ -74,11 +74,11 @@
   }
 
   /** Milliseconds for which the current time slot has been open; undefined if none is open. */
-  private openFor(backend: Backend, slotMs: number, now: number): number | undefined {
-    const firstAt = backend.coldSince + slotMs * hashText(`${this.name}\n${backend.life}`) / HASH_RANGE
-    if (now < firstAt)
+  private slotAgeMs(backend: Backend, slotMs: number, now: number): number | undefined {
+    const firstSlotAt = backend.coldSince + slotMs * hashText(`${this.name}\n${backend.life}`) / HASH_RANGE
+    if (now < firstSlotAt)
       return undefined
-    const sinceSlotStart = (now - firstAt) % slotMs
-    return sinceSlotStart < MAX_OPEN_MS ? sinceSlotStart : undefined
+    const slotAge = (now - firstSlotAt) % slotMs
+    return slotAge < MAX_OPEN_MS ? slotAge : undefined
   }
 }
--- a/packages/gateway/src/request/attempts/backend-choice.ts
+++ b/packages/gateway/src/request/attempts/load-balancing.ts
@@ -20,7 +20,7 @@
 import { countTokens, findPreferredEngine, sharedParts } from '../prompt-parts.js'
 
 /** The request properties that selection depends on. */
-export interface ChoiceSubject {
+export interface SelectionInputs {
   /** Parts of the prompt in order; the last one is specific to the request. */
   promptParts: readonly PromptPart[]
   /** Failure domain of the caller, or the one that holds most of the data that the backend server fetches. */
@@ -30,9 +30,9 @@
 }
 
 /** A load balancing policy. */
-export interface BackendChoice {
+export interface LoadBalancingPolicy {
   /** The candidates that are not ejected, in order of preference; empty if there are none. */
-  order: (candidates: readonly Backend[], subject: ChoiceSubject) => Backend[]
+  order: (candidates: readonly Backend[], subject: SelectionInputs) => Backend[]
 }
 
 /**
@@ -52,26 +52,26 @@
  * Load per slot that a call to another failure domain is worth. Half crosses
  * domains for small differences in load, twice fills the own domain first.
  */
-const OTHER_DOMAIN_COST = 0.3
+const OTHER_DOMAIN_PENALTY_LOAD = 0.3
 /**
  * Upper bound of the random load per slot that spreads the calls of several
  * gateways over equally loaded servers. Must be less than the load of one call.
  */
-const MAX_TIE_BREAK = 0.01
+const MAX_TIE_BREAK_LOAD = 0.01
 
 /** For plain services: the lowest load per slot, with a preference for the own failure domain. */
-export class LeastLoadChoice implements BackendChoice {
+export class LeastLoadPolicy implements LoadBalancingPolicy {
   constructor(private readonly ejection: EjectionPolicy) {}
 
-  order(candidates: readonly Backend[], subject: ChoiceSubject): Backend[] {
+  order(candidates: readonly Backend[], subject: SelectionInputs): Backend[] {
     const now = performance.now()
     return orderByCost(this.ejection.filter(candidates), backend => this.cost(backend, subject, now))
   }
 
-  private cost(backend: Backend, subject: ChoiceSubject, now: number): number {
+  private cost(backend: Backend, subject: SelectionInputs, now: number): number {
     const load = knownLoad(backend, now) / Math.max(1, backend.record.capacity)
-    const crossing = backend.failureDomain === subject.failureDomain ? 0 : OTHER_DOMAIN_COST
-    return load + crossing + Math.random() * MAX_TIE_BREAK
+    const domainPenalty = backend.failureDomain === subject.failureDomain ? 0 : OTHER_DOMAIN_PENALTY_LOAD
+    return load + domainPenalty + Math.random() * MAX_TIE_BREAK_LOAD
   }
 }
 
@@ -79,12 +79,12 @@
  * Cost of a prompt token that is not cached. Well above the processing time of
  * a token, because processing also delays the server's other requests.
  */
-const TOKEN_COST_MS = 0.05
+const UNCACHED_TOKEN_COST_MS = 0.05
 /**
  * Cost of each other request in progress. Half keeps shared prompts on busy
  * servers, twice scatters them.
  */
-const RUNNING_COST_MS = 8
+const REQUEST_COST_MS = 8
 /**
  * Bytes from another failure domain that cost one millisecond. Half moves
  * requests to busy servers to save transfers, twice crosses domains for small
@@ -93,18 +93,18 @@
 const OTHER_DOMAIN_BYTES_PER_MS = 40_000
 
 /** For model engines: cached prompt parts, load, and bytes from other failure domains. */
-export class PrefixAwareChoice implements BackendChoice {
+export class PrefixAwarePolicy implements LoadBalancingPolicy {
   constructor(private readonly ejection: EjectionPolicy) {}
 
-  order(candidates: readonly Backend[], subject: ChoiceSubject): Backend[] {
+  order(candidates: readonly Backend[], subject: SelectionInputs): Backend[] {
     const now = performance.now()
     const usable = this.ejection.filter(candidates)
     const sharedTokens = countTokens(sharedParts(subject.promptParts))
     const preferred = findPreferredEngine(subject.promptParts, usable)
     return orderByCost(usable, (backend) => {
-      const read = backend === preferred ? 0 : sharedTokens * TOKEN_COST_MS
+      const read = backend === preferred ? 0 : sharedTokens * UNCACHED_TOKEN_COST_MS
       const fetch = backend.failureDomain === subject.failureDomain ? 0 : subject.bytes / OTHER_DOMAIN_BYTES_PER_MS
-      return read + fetch + knownLoad(backend, now) * RUNNING_COST_MS
+      return read + fetch + knownLoad(backend, now) * REQUEST_COST_MS
     })
   }
 }
--- a/packages/gateway/src/request/attempts/limit-turns.ts
+++ b/packages/gateway/src/request/attempts/slotted-rate-limiter.ts
@@ -25,13 +25,13 @@
 /** Lower bound of the limit in requests per second: a backend server that gets no requests cannot report that its limit has ended. */
 const MIN_PER_SECOND = 0.1
 /** Minimum time between two requests, as a share of a time slot; applies when time slots move because the limit or the set of gateways changed. */
-const MIN_SPACING = 0.5
+const MIN_SPACING_SHARE = 0.5
 const MILLISECONDS_PER_SECOND = 1000
 
 /** Position and share of a gateway among those that share a limit. */
 export interface LimitShare {
   /** From 0 to 1, evenly spaced; different for each gateway. */
-  place: number
+  position: number
   /** Share of the limit that it may use, from 0 to 1. */
   part: number
 }
@@ -40,7 +40,7 @@
 export type Clock = () => number
 
 /** Limits the rate of requests from one process to each backend server that reports a limit. */
-export class LimitTurns {
+export class SlottedRateLimiter {
   constructor(
     private readonly share: (backend: Backend) => LimitShare,
     private readonly now: Clock = () => performance.now(),
@@ -52,19 +52,19 @@
     const { limitPerSecond, lastSentAt } = backend.intake
     if (limitPerSecond === undefined)
       return 0
-    const { place, part } = this.share(backend)
+    const { position, part } = this.share(backend)
     const slotMs = MILLISECONDS_PER_SECOND / (Math.max(limitPerSecond, MIN_PER_SECOND) * part)
-    const openFor = this.openFor(backend, place, slotMs)
-    const sinceSent = this.now() - lastSentAt
-    const isSpaced = sinceSent >= slotMs * MIN_SPACING
-    if (openFor < MAX_OPEN_MS && sinceSent > openFor && isSpaced)
+    const slotAge = this.slotAgeMs(backend, position, slotMs)
+    const sinceSentMs = this.now() - lastSentAt
+    const isSpaced = sinceSentMs >= slotMs * MIN_SPACING_SHARE
+    if (slotAge < MAX_OPEN_MS && sinceSentMs > slotAge && isSpaced)
       return 0
-    return Math.max(slotMs - openFor, slotMs * MIN_SPACING - sinceSent)
+    return Math.max(slotMs - slotAge, slotMs * MIN_SPACING_SHARE - sinceSentMs)
   }
 
   /** Milliseconds since the current time slot of this gateway began. */
-  private openFor(backend: Backend, place: number, slotMs: number): number {
-    const offset = place + hashText(backend.life) / HASH_RANGE
+  private slotAgeMs(backend: Backend, position: number, slotMs: number): number {
+    const offset = position + hashText(backend.life) / HASH_RANGE
     return (this.wallClock() + slotMs * (2 - offset)) % slotMs
   }
 }
--- a/test/gateway/support/fakes.ts
+++ b/test/gateway/support/fakes.ts
@@ -3,7 +3,7 @@
  * stage service, and factories for records.
  */
 import type { LogFields } from '@eidermast/common'
-import type { BackendRecord, ColdPace, Configuration, CrashWatch, IntakeGate, ItemOutcome, Route, StageCallResult, StageClient, StageItem, StageLimits } from '@eidermast/gateway'
+import type { BackendRecord, ColdStartLimiter, Configuration, CrashMonitor, IntakeGate, ItemOutcome, Route, StageCallResult, StageClient, StageItem, StageLimits } from '@eidermast/gateway'
 import { EventLog } from '@eidermast/common'
 import { Backend, ItemFailure, StageCallEnd } from '@eidermast/gateway'
 
@@ -57,7 +57,7 @@
 }
 
 /** A crash watch that knows of no crashes and records none. */
-export const NO_CRASHES: CrashWatch = { noteBroken: async () => {}, noteAnswered: () => {}, crashCount: () => 0, refusal: () => undefined }
+export const NO_CRASHES: CrashMonitor = { noteBroken: async () => {}, noteAnswered: () => {}, crashCount: () => 0, refusal: () => undefined }
 
 /** A call received by a fake stage backend server. */
 export interface FakeStageCall {
@@ -137,4 +137,4 @@
 export const OPEN_INTAKE: IntakeGate = { waitMs: () => 0, noteSent: () => {}, noteAnswer: () => {} }
 
 /** Allows any number of requests to cold backend servers. */
-export const UNLIMITED_COLD_PACE: Pick<ColdPace, 'mayTake' | 'note'> = { mayTake: () => true, note: () => {} }
+export const UNLIMITED_COLD_PACE: Pick<ColdStartLimiter, 'mayTake' | 'note'> = { mayTake: () => true, note: () => {} }
--- a/test/gateway/support/stage-coordinator.ts
+++ b/test/gateway/support/stage-coordinator.ts
@@ -1,14 +1,14 @@
 /**
  * Creates stage coordinators with a fake stage service, and requests for them.
  */
-import type { CrashWatch, PreparationRequest } from '@eidermast/gateway'
+import type { CrashMonitor, PreparationRequest } from '@eidermast/gateway'
 import { BackendRegistry, RouteTable, StageCoordinator } from '@eidermast/gateway'
 import { createConfiguration, createLog, createRecord, createStageLimits, FakeStageService, NO_CRASHES, OPEN_INTAKE, UNLIMITED_COLD_PACE } from './fakes.js'
 
 const LIMITS = createStageLimits()
 
 /** Creates a coordinator of two stage services, `encode` and `rerank`, with a fake stage client. */
-export function createCoordinator(backends: { id: string, failureDomain?: string, service?: string }[], crashes: CrashWatch = NO_CRASHES) {
+export function createCoordinator(backends: { id: string, failureDomain?: string, service?: string }[], crashes: CrashMonitor = NO_CRASHES) {
   const { log, lines } = createLog()
   const registry = new BackendRegistry(log)
   const service = new FakeStageService(LIMITS)
