--- a/packages/gateway/src/process/stages/admission-accuracy.ts
+++ b/packages/gateway/src/process/stages/admission-accuracy.ts
@@ -1,43 +1,45 @@
 /**
- * How far the times that admission expected of stage work were from the real
- * ones, by the services that the work needs. A record only: `stage-admission`
- * decides. It lives with the coordinator and starts again with the next one.
+ * Tracks the ratio of actual to expected time of stage work, by the services
+ * that the work needs. It only keeps the ratio; `stage-admission.ts` decides.
+ * Owned by the coordinator and empty in the next one.
  *
- * What arrives later and goes first, calls that are not full and lost backend
- * servers are in no plain estimate, so that work takes longer than expected in
- * bursts. What was learned fades, since nothing is learned while all are refused.
+ * Work that arrives later and runs first, calls that are not full and lost
+ * backend servers are not part of the estimate, so work takes longer than
+ * expected in bursts. The ratio decays towards 1, since no sample is taken while
+ * all requests are refused.
  */
 import type { PreparationRequest } from '../../connection/peers/preparation.js'
 
-/** Weight of the newest request. Half follows a burst late, twice as much follows single requests. */
+/** Weight of the newest request. Half of it follows a burst late; twice as much follows single requests. */
 const EWMA_WEIGHT = 0.1
-/** Bounds of a single request's factor. They keep one that lost a backend server from deciding for long. */
+/** Bounds of a single sample, so that a request that lost a backend server does not dominate for long. */
 const MAX_FACTOR = 2.5
 /** See MAX_FACTOR. */
 const MIN_FACTOR = 0.5
-/** Milliseconds in which what was learned loses half of its weight: while all are refused, nothing is learned. */
+/** Half-life of the decay towards 1, which lets work be admitted again after a period in which all was refused. */
 const HALF_LIFE_MS = 700
 
-/** Real over expected time of the stages of like requests. */
+/** Ratio of actual to expected time of the stages, by required services. */
 export class AdmissionAccuracy {
   private readonly factors = new Map<string, { factor: number, updatedAt: number }>()
-  /** Expected time of the stages of admitted requests, in milliseconds, by request. */
+  /** Expected time of the stages in milliseconds, by id of the admitted request. */
   private readonly expected = new Map<string, number>()
 
-  /** Factor for the expected time of a request's stages; 1 where nothing is known. */
+  /** Correction factor for the expected time of a request's stages; 1 if there is no sample. */
   factorFor(request: PreparationRequest, now: number): number {
     const entry = this.factors.get(serviceKey(request))
     return entry ? 1 + (entry.factor - 1) * 2 ** ((entry.updatedAt - now) / HALF_LIFE_MS) : 1
   }
 
-  /** A request was admitted with this expected time of its stages, in milliseconds and without the factor. */
+  /** Records the expected time of an admitted request's stages, before correction. */
   recordAdmission({ requestId }: PreparationRequest, stagesMs: number): void {
     this.expected.set(requestId, stagesMs)
   }
 
   /**
-   * The stage work of a request ended; `tookMs` is undefined where its time says
-   * nothing of the queues. Returns what was expected of it, in milliseconds.
+   * Records the end of a request's stage work and returns its expected time in
+   * milliseconds; `tookMs` is undefined if its duration says nothing about the
+   * queues.
    */
   recordEnd(request: PreparationRequest, tookMs: number | undefined, now: number): number | undefined {
     const expectedMs = this.expected.get(request.requestId)
--- a/packages/gateway/src/process/stages/engine-assignment.ts
+++ b/packages/gateway/src/process/stages/engine-assignment.ts
@@ -1,64 +1,56 @@
 /**
  * Decides which model engine reads the results of a request's stages.
  *
- * Inputs: the engines that take work; the tokens that requests assigned to each
- * still have to read (of all gateways, known here since their stages run here),
- * and the time that a token took there; which shared prompt parts each was
- * assigned lately; where the results lie (bytes).
- * Rule: the least sum of the time until the engine has read what was assigned
- * before and this prompt, the parts that it lacks weighed with TOKEN_COST_MS
- * more, and the bytes that cross failure domains.
- * Why: a long prompt holds up everything behind it at its engine, for a second
- * at times, and the results of what waits use memory meanwhile. A gateway alone
- * sees only its own requests, and load reports are older than such a wait.
+ * Inputs: the engines that accept work; the prompt tokens assigned to each of
+ * them and not yet prefilled (of all gateways, since their stages run here), and
+ * the measured prefill time per token; which shared prompt parts were recently
+ * assigned to each engine; the failure domain and size (bytes) of the results.
+ * Rule: the lowest sum of the expected prefill time of the pending tokens and
+ * this prompt, RECOMPUTE_COST_MS_PER_TOKEN for its uncached shared parts, and the
+ * cost of bytes that cross failure domains.
+ * Why: a long prompt delays everything queued behind it at its engine, by up to a
+ * second, and the results of waiting requests use memory meanwhile. A single
+ * gateway sees only its own requests, and load reports are older than such a
+ * delay.
  * Log event: `route` (backend).
  */
 import type { Backend } from '../../connection/backends/backend.js'
 import type { PromptPart } from '../../connection/clients/client-codec.js'
 import { countTokens, findHome, sharedParts } from '../../request/prompt-parts.js'
 
-/**
- * Milliseconds for each token of a shared part that is read again: it takes the
- * engine's time from others too.
- */
+/** Additional cost of an uncached token of a shared part: recomputing it takes engine time from other requests. */
 const RECOMPUTE_COST_MS_PER_TOKEN = 0.08
 /**
- * Share that counts of the tokens that the home of a prompt lacks, as far as is
- * known here: it may have read them for an earlier coordinator, or longer ago.
+ * Share of the uncached tokens that counts at the home engine of a prompt, which
+ * may have them cached from an earlier coordinator or from longer ago.
  */
 const HOME_UNCACHED_SHARE = 0.5
-/** Bytes from another failure domain that weigh as much as a millisecond. */
+/** Cross-domain bytes that cost as much as one millisecond. */
 const CROSS_DOMAIN_BYTES_PER_MS = 40_000
-/**
- * Milliseconds for which an engine counts as keeping a part that it was
- * assigned.
- */
+/** How long a part counts as cached after it was assigned to an engine. */
 const PART_CACHE_LIFETIME_MS = 20_000
-/** Milliseconds that a token takes at an engine of which nothing was measured. */
+/** Prefill time per token of an engine without measurements. */
 const INITIAL_MS_PER_TOKEN = 0.026
-/** Bounds of a measured time for each token, over FIRST_TOKEN_MS. They keep one odd request from deciding for long. */
+/** Bounds of the measured time per token over INITIAL_MS_PER_TOKEN, so that one outlier does not dominate the average. */
 const MAX_SLOWDOWN = 20
 /** See MAX_SLOWNESS. */
 const MIN_SLOWDOWN = 0.5
-/** Weight of the newest long request in the measured time. Half notices a slowed engine late. */
+/** Weight of the newest long request in the measured time per token. Half of it detects a slowed engine late. */
 const SPEED_EWMA_WEIGHT = 0.2
 /**
- * Tokens from which on a request has its full weight: the time of a short one
- * says little of the engine's, since most of it does not depend on the prompt.
+ * Tokens from which on a request has its full weight: most of the time of a
+ * short request does not depend on its prompt.
  */
 const FULL_WEIGHT_TOKENS = 4000
-/**
- * Milliseconds of an answer's first event that do not depend on the prompt:
- * fetch, connection, first step.
- */
+/** Time to the first event that does not depend on the prompt: fetch, connection set-up, first step. */
 const FIXED_OVERHEAD_MS = 50
-/** Milliseconds after which an assigned request counts as read whatever is known of it. Far above a usual first event. */
+/** After this time an assigned request counts as prefilled in any case. Far above a typical time to the first event. */
 const MAX_PREFILL_MS = 3000
 
-/** A request whose engine is to be chosen. */
+/** A request that needs an engine. */
 export interface EngineRequest {
   requestId: string
-  /** Parts of the prompt in order; the last one belongs to the request itself. */
+  /** Parts of the prompt in order; the last one is specific to the request. */
   prompt: readonly PromptPart[]
   /** Failure domain that holds most of its results. */
   failureDomain: string
@@ -68,36 +60,35 @@
 
 interface Assignment {
   engine: EngineState
-  /** Tokens that it has to read, by estimate. */
+  /** Estimated number of tokens to prefill. */
   tokens: number
-  /** Tokens that were assigned there and not read when it came. */
+  /** Pending tokens of the engine at the time of the assignment. */
   tokensAhead: number
   assignedAt: number
 }
 
-/** The engine that a request would be assigned, and what is expected of it. */
+/** The best engine for a request, and its expected time to the first event. */
 export interface ExpectedPrefill {
   engine: Backend
-  /** Milliseconds from the call to the first event, by estimate. */
+  /** Estimated time from the call to the first event. */
   firstEventMs: number
 }
 
-/** What it would cost that an engine reads a request. */
+/** Cost of a request at an engine. */
 interface EngineCost extends ExpectedPrefill {
-  /** Tokens of shared parts that it would have to read. */
+  /** Tokens of shared parts to prefill. */
   uncachedTokens: number
-  /** Milliseconds, by estimate. */
   costMs: number
 }
 
-/** What is known of one engine. */
+/** State of one engine. */
 class EngineState {
   pendingTokens = 0
   msPerToken = INITIAL_MS_PER_TOKEN
-  /** When each shared part was last assigned here, on the process clock in milliseconds; the longest ago comes first. */
+  /** Time of the last assignment by part, in milliseconds on the process clock; the oldest comes first. */
   private readonly cachedParts = new Map<string, number>()
 
-  /** A shared part is assigned. */
+  /** Records that a shared part was assigned. */
   markCached(part: string, now: number): void {
     this.cachedParts.delete(part)
     this.cachedParts.set(part, now)
@@ -107,7 +98,7 @@
     return now - (this.cachedParts.get(part) ?? Number.NEGATIVE_INFINITY) <= PART_CACHE_LIFETIME_MS
   }
 
-  /** Forgets parts that are no longer kept. */
+  /** Removes expired parts. */
   expire(now: number): void {
     for (const part of this.cachedParts.keys()) {
       if (this.isCached(part, now))
@@ -116,7 +107,7 @@
     }
   }
 
-  /** A request's first event came after a time in milliseconds. */
+  /** Records the time to the first event of a request, given the tokens that were prefilled until then. */
   recordFirstEvent(tookMs: number, tokens: number): void {
     const measured = Math.max(0, tookMs - FIXED_OVERHEAD_MS) / Math.max(1, tokens)
     const bounded = Math.min(MAX_SLOWDOWN * INITIAL_MS_PER_TOKEN, Math.max(MIN_SLOWDOWN * INITIAL_MS_PER_TOKEN, measured))
@@ -124,17 +115,17 @@
   }
 }
 
-/** Assigns engines and follows what they still have to read. */
+/** Assigns engines and tracks their pending tokens. */
 export class EngineAssignments {
   private readonly engines = new Map<string, EngineState>()
   private readonly assignments = new Map<string, Assignment>()
 
-  /** The engine that would be assigned; undefined where there is none. */
+  /** Returns the engine that `assign` would select; undefined if there is none. */
   choose(request: EngineRequest, engines: readonly Backend[], now: number): ExpectedPrefill | undefined {
     return this.findCheapest(request, engines, now)
   }
 
-  /** Assigns an engine; undefined where there is none. */
+  /** Assigns an engine; undefined if there is none. */
   assign(request: EngineRequest, engines: readonly Backend[], now: number): Backend | undefined {
     this.expire(now)
     const cheapest = this.findCheapest(request, engines, now)
@@ -151,12 +142,12 @@
     return engine
   }
 
-  /** Forgets an engine that was removed. */
+  /** Discards the state of an engine that was removed. */
   removeEngine(engineId: string): void {
     this.engines.delete(engineId)
   }
 
-  /** The engine of a request has read its results, or will not. */
+  /** Ends an assignment: the engine has sent its first event, or the request was abandoned. */
   release(requestId: string, now: number): void {
     const assignment = this.remove(requestId)
     if (assignment)
@@ -190,7 +181,7 @@
     return { engine, uncachedTokens, firstEventMs: FIXED_OVERHEAD_MS + prefillMs, costMs: prefillMs + uncachedTokens * RECOMPUTE_COST_MS_PER_TOKEN + transferMs }
   }
 
-  /** Tokens of shared parts that an engine has to read, by what it was assigned; a part is of use only behind all before it. */
+  /** Tokens of the shared parts from the first uncached one on; a cached part is only usable if all parts before it are cached too. */
   private uncachedTokens(prompt: readonly PromptPart[], engine: Backend, isHome: boolean, now: number): number {
     const state = this.stateOf(engine)
     const shared = sharedParts(prompt)
--- a/packages/gateway/src/process/stages/shard-backends.ts
+++ b/packages/gateway/src/process/stages/shard-backends.ts
@@ -1,20 +1,20 @@
 /**
- * The backend servers of one shard of the stage work: what the registry holds of
- * its failure domains. It owns nothing.
+ * The backend servers of one shard of the stage work: a view of the registry,
+ * restricted to the failure domains of the shard. Stateless.
  */
 import type { Backend } from '../../connection/backends/backend.js'
 import type { StageShard } from '../../connection/peers/stage-shard.js'
 import type { BackendListener, BackendRegistry } from '../backend-registry.js'
 import { isInShard } from '../../connection/peers/stage-shard.js'
 
-/** What a stage coordinator follows; the registry, or a part of it. */
+/** Backend servers as a stage coordinator sees them: the whole registry, or a part of it. */
 export type BackendView = Pick<BackendRegistry, 'available' | 'listen'>
 
-/** The part of the registry that belongs to a shard. */
+/** Restricts a registry to the backend servers of a shard. */
 export class ShardBackends implements BackendView {
   constructor(private readonly registry: BackendView, private readonly shard: StageShard) {}
 
-  /** Backend servers of a service that take new work. */
+  /** Backend servers of a service that accept new work. */
   available(service: string): Backend[] {
     return this.registry.available(service).filter(backend => this.includes(backend))
   }
--- a/packages/gateway/src/process/stages/shard-choice.ts
+++ b/packages/gateway/src/process/stages/shard-choice.ts
@@ -1,14 +1,16 @@
 /**
- * Decides which shards of the stage work are asked for a request, in order.
+ * Decides which shards of the stage work a request is sent to, in order.
  *
- * Inputs: the current shards; for each service that the request needs, how many
- * of its backend servers take work in each failure domain (the platform's list);
- * the last shared part of the prompt, or the request's id where there is none.
- * Rule: by weighted rendezvous hashing, each shard weighed by the least share
- * that it has of a needed service; a shard without one of them is left out.
- * Why: prompts that share a part come to the same shard, so that its engines
- * keep the part. A shard that loses backend servers gets less at once, without
- * a message.
+ * Inputs: the current shards; for each service that the request needs, the
+ * number of its backend servers that accept work in each failure domain (the
+ * platform's list); the last shared part of the prompt, or the request's id if
+ * there is none.
+ * Rule: weighted rendezvous hashing. The weight of a shard is the smallest share
+ * that it has of the backend servers of a required service; shards with weight 0
+ * are excluded.
+ * Why: prompts with a common part go to the same shard, whose engines have the
+ * part cached. A shard that loses backend servers gets less work at once, without
+ * any message.
  * Log event: `stages-admission` (shard).
  */
 import type { PreparationRequest } from '../../connection/peers/preparation.js'
@@ -19,16 +21,16 @@
 import { sharedParts } from '../../request/prompt-parts.js'
 import { HASH_RANGE, hashText } from '../../request/rendezvous.js'
 
-/** A way to choose the shards that are asked for a request. */
+/** Selects the shards for a request. */
 export interface ShardChoice {
-  /** The shards to ask, the preferred one first; never empty. */
+  /** Shards in order of preference; never empty. */
   order: (request: PreparationRequest) => readonly StageShard[]
 }
 
-/** All work goes to the one shard. */
+/** All stage work belongs to one shard. */
 export const UNSHARDED: ShardChoice = { order: () => [WHOLE_SHARD] }
 
-/** Chooses by the prompt and by what each shard has. */
+/** Selects shards by the shared prompt parts and by the backend servers of each shard. */
 export class PromptShardChoice implements ShardChoice {
   constructor(private readonly members: Pick<Members, 'shards'>, private readonly registry: Pick<BackendRegistry, 'countByDomain'>) {}
 
@@ -51,7 +53,7 @@
   return [...new Set(prompt && service ? [...required, service] : required)]
 }
 
-/** The least share that a shard has of a service's backend servers, from 0 to 1. */
+/** The smallest share, from 0 to 1, that a shard has of the backend servers of a service. */
 function minBackendShare(shard: StageShard, counts: readonly ReadonlyMap<string, number>[]): number {
   return Math.min(1, ...counts.map((byDomain) => {
     let all = 0
@@ -64,13 +66,13 @@
   }))
 }
 
-/** Weighted rendezvous hashing: the highest score wins, in proportion to the weights. */
+/** Score of a shard in weighted rendezvous hashing: it is the highest with a probability proportional to the weight. */
 function rendezvousScore(key: string, { name }: StageShard, weight: number): number {
   const uniform = (hashText(`${key}\n${name}`) + 0.5) / HASH_RANGE
   return weight / -Math.log(uniform)
 }
 
-/** What requests have in common that should meet the same engines. */
+/** Hash key; equal for requests that benefit from the same engines. */
 function affinityKey({ prompt, requestId }: PreparationRequest): string {
   return sharedParts(prompt ?? []).at(-1)?.id ?? requestId
 }
--- a/packages/gateway/src/process/stages/shared-preparer.ts
+++ b/packages/gateway/src/process/stages/shared-preparer.ts
@@ -1,12 +1,13 @@
 /**
- * Stage work of this gateway's requests at the coordinator, be that this
- * process or another. When the coordinator fails, the next one restarts the
- * work, and the failed one, if it is still alive, frees its results once it
- * sees its caller gone; a coordinator that stops hands its results to the next
- * one through here. Owns which coordinator holds each request's results until
- * they are released, and the releases that wait for their call; relies on the
- * members' view of the coordinator. When the process dies, coordinators see
- * their callers gone, and results whose release is lost expire.
+ * Runs the stage work of this gateway's requests at the coordinator, which is
+ * this process or another one. If the coordinator fails, the next one restarts
+ * the work; the failed one, if it is still running, frees its results when its
+ * caller disconnects. A coordinator that stops hands its results over to the next
+ * one through this module. Owns the mapping from each request to the coordinator
+ * that holds its results until they are released, and the releases that wait for
+ * their batch; relies on the membership for the current coordinator. When the
+ * process dies, coordinators see their callers disconnect, and results whose
+ * release is lost expire.
  */
 import type { EventLog } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
@@ -23,28 +24,25 @@
 import { UNSHARDED } from './shard-choice.js'
 
 /**
- * Calls to coordinators for one request. Half of them fail requests when two
- * coordinators die in turn, twice as many keep a client waiting that no
- * coordinator serves.
+ * Calls to coordinators per request. Half of it fails requests when two
+ * coordinators die in turn; twice as many keep a client waiting that no
+ * coordinator can serve.
  */
 const MAX_COORDINATOR_CALLS = 4
-/**
- * Milliseconds after which a client may retry when no coordinator answered.
- * Half of it doubles the retries while gateways restart.
- */
+/** Retry delay for clients when no coordinator answered. Half of it doubles the retries while gateways restart. */
 const RETRY_AFTER_MS = 1000
 /**
- * Milliseconds that a release waits for others to share its call. Half of it
- * sends more calls, twice as much holds result memory longer.
+ * Milliseconds that a release waits to share a call with others. Half of it
+ * sends more calls; twice as much keeps result memory in use longer.
  */
 const RELEASE_DELAY_MS = 20
 
 type Preparation = Result<PreparedInputs, PreparationFailure>
 
-/** Calls the coordinator of the stage work. */
+/** Calls the coordinators of the stage work. */
 export class SharedPreparer implements Preparer {
   private readonly coordinatorByRequest = new Map<string, Member>()
-  /** Ids of requests to release, by the coordinator's address. */
+  /** Ids of requests to release, by address of the coordinator. */
   private readonly pendingReleases = new Map<string, string[]>()
 
   constructor(
@@ -83,14 +81,14 @@
     this.pendingReleases.set(coordinator.address, batch)
     setTimeout(() => {
       this.pendingReleases.delete(coordinator.address)
-      // Harmless: results that are not released expire at their backend servers.
+      // A failure is harmless: results that are not released expire at their backend servers.
       void this.peers.release(coordinator, batch).catch(() => {})
     }, RELEASE_DELAY_MS)
   }
 
   /**
-   * Asks the preferred shard, and one more where that one has too much to do:
-   * its load is the luck of the prompts that belong to it.
+   * Tries the preferred shard, and one more if that one is overloaded: which
+   * prompts hash to a shard, and so its load, is random.
    */
   private async prepareInShards(request: PreparationRequest, signal: AbortSignal): Promise<Preparation> {
     const startedAt = performance.now()
@@ -103,7 +101,7 @@
     return second.isErr() && second.error.kind === PreparationFailureKind.Overloaded ? result : second
   }
 
-  /** Asks one coordinator of a shard after the other, with the time left and the results handed over. */
+  /** Calls the coordinators of a shard in turn, with the remaining time and the results handed over so far. */
   private async prepareInShard(request: PreparationRequest, shard: StageShard, signal: AbortSignal): Promise<Preparation> {
     const startedAt = performance.now()
     let { progress } = request
@@ -117,7 +115,7 @@
       const failure = result?.isErr() ? result.error : undefined
       if (result && failure?.kind !== PreparationFailureKind.HandedOver)
         return result
-      // One that is this process has found another coordinator and is not stopping for that.
+      // This process hands work over when another coordinator takes its place, which does not mean that it is stopping.
       if (result && coordinator.name !== this.members.self.name)
         this.members.markStopping(coordinator)
       progress = failure?.progress
@@ -126,7 +124,7 @@
     return Err({ kind, message: 'no coordinator of the stage work answered', retryAfterMs: RETRY_AFTER_MS })
   }
 
-  /** The coordinator's answer; undefined where its call failed, and its results cannot be used. */
+  /** The coordinator's response; undefined if the call failed, in which case its results cannot be used. */
   private async prepareAt(
     coordinator: Member,
     request: PreparationRequest,
@@ -141,7 +139,7 @@
       return await this.peers.prepare(coordinator, request, AbortSignal.any([signal, failure.signal]))
     }
     catch (error) {
-      // A call that was cancelled with its request says nothing of the coordinator.
+      // A call that was cancelled with its request is no evidence against the coordinator.
       if (!signal.aborted)
         this.handleCallFailure(coordinator, request.requestId, error, failedCoordinators)
       return undefined
@@ -162,7 +160,7 @@
   }
 }
 
-/** A request after some milliseconds. */
+/** The request with its time limits reduced by the time elapsed. */
 function subtractElapsed(request: PreparationRequest, elapsedMs: number): PreparationRequest {
   return { ...request, targetMs: request.targetMs - elapsedMs, deadlineMs: request.deadlineMs - elapsedMs }
 }
--- a/packages/gateway/src/process/stages/stage-coordinator.ts
+++ b/packages/gateway/src/process/stages/stage-coordinator.ts
@@ -1,12 +1,11 @@
 /**
- * The coordinator of a shard of the stage work, or of all of it: batches the
- * items of all gateways' requests in one pool for each stage service. Owns the
- * pools for as long as the process lives, and the stage work of each request
- * until its results are released. One coordinator of a shard at a time is a
- * matter of efficiency, never of safety: items may run again, and two
- * coordinators at once cost result memory and time only. When the process dies,
- * the requesting gateways ask the next coordinator, and results left behind
- * expire.
+ * Coordinator of one shard of the stage work, or of all of it: batches the items
+ * of all gateways' requests in one pool per stage service. Owns the pools for the
+ * life of the process, and the stage work of each request until its results are
+ * released. A single coordinator per shard is a matter of efficiency, not of
+ * correctness: items are safe to run again, and two coordinators at once only
+ * cost result memory and time. When the process dies, the requesting gateways ask
+ * the next coordinator, and results left behind expire.
  */
 import type { Result } from 'ts-results-es'
 import type { Backend } from '../../connection/backends/backend.js'
@@ -29,32 +28,31 @@
 import { rankRequest } from './stage-order.js'
 
 /**
- * Milliseconds between looks at waiting tasks that no call's end wakes. Twice
- * as much delays tasks that waited for a failure domain, half costs processor
- * time only.
+ * Interval of dispatching waiting tasks that no end of a call triggers. Twice as
+ * much delays tasks that waited for a failure domain; half only costs processor
+ * time.
  */
 const DISPATCH_INTERVAL_MS = 50
 /**
- * Milliseconds after which results that nobody released are freed. Far beyond
- * any request's deadline and a result's lifetime of 4 s. Half of it could free
- * results of requests with long deadlines, twice as much keeps state of lost
- * requests.
+ * Time after which unreleased results are freed; far above any request's deadline
+ * and the 4 s lifetime of a result. Half of it could free results of requests
+ * with long deadlines; twice as much keeps the state of lost requests longer.
  */
 const MAX_RESULT_HOLD_MS = 20_000
 /**
- * Milliseconds of an answer beside the engine's: the way from the coordinator
- * over the gateway to the engine, and back. Half admits some that are late,
- * twice refuses some that would be in time.
+ * Part of the answer time outside the engine: from the coordinator via the
+ * gateway to the engine, and back. Half of it admits some late requests; twice
+ * as much refuses some that would be in time.
  */
 const ANSWER_OVERHEAD_MS = 70
-/** Milliseconds from the last stage to the answer where no engine reads the results. */
+/** Time from the last stage to the answer if no engine reads the results. */
 const ANSWER_WITHOUT_ENGINE_MS = 250
-/** The client left, or the request's time passed. */
-const CANCELLED: PreparationFailure = { kind: PreparationFailureKind.Cancelled, message: 'the request was given up', retryAfterMs: 0 }
+/** The client disconnected, or the request's deadline passed. */
+const CANCELLED: PreparationFailure = { kind: PreparationFailureKind.Cancelled, message: 'the request was cancelled', retryAfterMs: 0 }
 
-/** What a coordinator works with. */
+/** Dependencies of a coordinator. */
 export interface StageCoordinatorDependencies extends StagePoolDependencies {
-  /** How often the engines of this coordinator's requests may be cold ones. */
+  /** Limits how often this coordinator may assign cold engines. */
   coldPace: Pick<ColdPace, 'mayTake' | 'note'>
 }
 
@@ -78,7 +76,7 @@
     this.timer.unref()
   }
 
-  /** Follows the stage services of a configuration. */
+  /** Updates the pools to the stage services of a configuration. */
   applyConfiguration(table: RouteTable): void {
     for (const { name, stage } of table.configuration.services) {
       if (!stage)
@@ -123,9 +121,9 @@
   }
 
   /**
-   * This process is the coordinator from now on, possibly after the one that it
-   * handed its work over to failed. Results of the coordinator before may still
-   * use result memory, so the backend servers are asked for what is free.
+   * This process coordinates from now on, possibly because the coordinator that it
+   * handed its work over to failed. Results of the previous coordinator may still
+   * use memory, so the backend servers are queried for their free memory.
    */
   takeOver(): void {
     this.isStopping = false
@@ -133,17 +131,17 @@
       pool.readFreeMemory()
   }
 
-  /** Another coordinator may be at work at the same backend servers. */
+  /** Another coordinator may use the same backend servers for a while. */
   expectOtherCoordinator(): void {
     for (const pool of this.pools.values())
       pool.expectOtherCoordinator()
   }
 
   /**
-   * Lets the next coordinator continue with the results that there are. One that
-   * is stopping takes no more work; another one takes what still comes from
-   * gateways that have not noticed, since refusing it would send them from one
-   * slow gateway to the next and back.
+   * Hands the work and its finished results over to the next coordinator. A
+   * stopping coordinator accepts no further work. Otherwise it still accepts
+   * requests from gateways that do not know of the change yet, since refusing them
+   * would send them back and forth between slow gateways.
    */
   handOver(isStopping: boolean): void {
     this.isStopping ||= isStopping
@@ -183,7 +181,7 @@
     run.start()
   }
 
-  /** A request as admission and the stages see it: read in the failure domain of the engine that would read it now. */
+  /** Prepares a request for admission, with the failure domain of the engine that would read its results now. */
   private createCandidate(request: PreparationRequest, prefill: ExpectedPrefill | undefined, now: number): AdmissionCandidate {
     const answerMs = prefill ? prefill.firstEventMs + ANSWER_OVERHEAD_MS : ANSWER_WITHOUT_ENGINE_MS
     return {
@@ -209,7 +207,7 @@
     return { ...inputs, engine: engine.id }
   }
 
-  /** The engines that may answer a request now; one that names a limit only where all do, since each gateway waits for its turns there. */
+  /** Engines that may answer a request now. Rate-limited ones only if all are, since each gateway waits for its turn there. */
   private eligibleEngines({ prompt, service }: PreparationRequest, now: number): Backend[] {
     const engines = prompt && service ? this.backends.available(service) : []
     const open = engines.filter(engine => this.dependencies.coldPace.mayTake(engine, now))
@@ -217,7 +215,7 @@
     return unlimited.length > 0 ? unlimited : open
   }
 
-  /** Gives a service's pool the backend servers that take work. */
+  /** Updates the backend servers of a service's pool. */
   private refreshPool(service: string): void {
     this.pools.get(service)?.setBackends(this.backends.available(service))
   }
--- a/packages/gateway/src/process/stages/stage-coordinators.ts
+++ b/packages/gateway/src/process/stages/stage-coordinators.ts
@@ -1,8 +1,8 @@
 /**
- * The coordinators of the stage work in this process, one for each shard that
- * it was asked to coordinate. Each owns its pools and requests; this module owns
- * the coordinators for the life of the process. They are lost with it, and the
- * requesting gateways ask the next coordinator of each shard.
+ * The stage coordinators of this process, one per shard that it was asked to
+ * coordinate. Each owns its pools and requests; this module owns the coordinators
+ * for the life of the process. When it dies, the requesting gateways ask the next
+ * coordinator of each shard.
  */
 import type { Result } from 'ts-results-es'
 import type { PreparationFailure, PreparationRequest, PreparedInputs, Preparer } from '../../connection/peers/preparation.js'
@@ -14,25 +14,25 @@
 import { ShardBackends } from './shard-backends.js'
 import { StageCoordinator } from './stage-coordinator.js'
 
-/** What the coordinators work with. */
+/** Dependencies of the coordinators. */
 export interface StageCoordinatorsDependencies extends StageCoordinatorDependencies {
   registry: BackendRegistry
 }
 
-/** What a change of a shard's coordinator means for this process. */
+/** Role of this process after a change of a shard's coordinator. */
 export enum CoordinatorRole {
   /** It coordinates the shard from now on. */
   Coordinates = 'coordinates',
   /**
-   * Another one does, and this process leaves its work to it: what it holds
-   * would go on in small calls beside the other's.
+   * Another process coordinates it, and takes over the work. Work that stayed here
+   * would run in small calls beside those of the other coordinator.
    */
   HandsOver = 'hands-over',
-  /** Another one does; this process is leaving and takes no more work. */
+  /** Another process coordinates it; this one is shutting down and accepts no more work. */
   Leaves = 'leaves',
 }
 
-/** Coordinates the shards that this process is asked for. */
+/** Creates coordinators on demand and forwards requests to them by shard. */
 export class StageCoordinators implements Preparer {
   private readonly byShard = new Map<string, StageCoordinator>()
   private table: RouteTable | undefined
@@ -49,18 +49,18 @@
       coordinator.release(requestId)
   }
 
-  /** Follows the stage services of a configuration. */
+  /** Updates all coordinators to the stage services of a configuration. */
   applyConfiguration(table: RouteTable): void {
     this.table = table
     for (const coordinator of this.byShard.values())
       coordinator.applyConfiguration(table)
   }
 
-  /** A shard has another coordinator. */
+  /** Applies a change of the coordinator of a shard. */
   applyRole(shard: StageShard, role: CoordinatorRole): void {
     if (role === CoordinatorRole.Leaves)
       this.leaving = true
-    // A leaving gateway is chosen only where no other is left: then it takes what comes.
+    // A gateway that is shutting down is only elected if no other is left; it then accepts all work.
     if (role === CoordinatorRole.Coordinates)
       this.leaving = false
     const coordinator = this.byShard.get(shard.name)
