--- a/test/gateway/admission-accuracy.test.ts
+++ b/test/gateway/admission-accuracy.test.ts
@@ -2,9 +2,9 @@
 import { AdmissionAccuracy, decideAdmission } from '@eidermast/gateway'
 import { describe, expect, test } from 'vitest'
 
-/** Expected time of the stages, in milliseconds. */
+/** Expected time of the stages. */
 const EXPECTED_MS = 400
-/** Expected time of the answer, in milliseconds. */
+/** Expected time of the answer. */
 const ANSWER_MS = 250
 
 function createRequest(service = 'encode', requestId = 'request-1'): PreparationRequest {
@@ -12,8 +12,8 @@
   return { requestId, stages, key: '', priority: 0, targetMs: 1000, deadlineMs: 4000, isRetry: false, failureDomain: 'domain-a' }
 }
 
-/** An accuracy after requests that were expected to take 400 ms. */
-function createLearned(tookMs: number | undefined, requests = 50): AdmissionAccuracy {
+/** Creates an accuracy after requests that were expected to take EXPECTED_MS and took `tookMs`. */
+function createTrained(tookMs: number | undefined, requests = 50): AdmissionAccuracy {
   const accuracy = new AdmissionAccuracy()
   for (let count = 0; count < requests; count++) {
     accuracy.recordAdmission(createRequest(), EXPECTED_MS)
@@ -22,51 +22,51 @@
   return accuracy
 }
 
-describe('the accuracy of admission', () => {
-  test('is a factor of 1 where nothing is known', () => {
+describe('the correction factor of admission', () => {
+  test('is 1 without samples', () => {
     expect(new AdmissionAccuracy().factorFor(createRequest(), 0)).toBe(1)
   })
 
-  test('follows the real times of like requests only', () => {
-    const accuracy = createLearned(600)
+  test('follows the actual times of requests for the same services only', () => {
+    const accuracy = createTrained(600)
     expect(accuracy.factorFor(createRequest(), 0)).toBeCloseTo(1.5, 1)
     expect(accuracy.factorFor(createRequest('rank'), 0)).toBe(1)
   })
 
-  test('is not decided by a single request', () => {
-    expect(createLearned(60_000, 1).factorFor(createRequest(), 0)).toBeLessThan(1.2)
+  test('is not dominated by a single request', () => {
+    expect(createTrained(60_000, 1).factorFor(createRequest(), 0)).toBeLessThan(1.2)
   })
 
-  test('fades where nothing more is learned, so that work that is refused is tried again', () => {
-    const accuracy = createLearned(800)
+  test('decays towards 1 without samples, so that refused work is admitted again', () => {
+    const accuracy = createTrained(800)
     expect(accuracy.factorFor(createRequest(), 700)).toBeCloseTo(1.5, 1)
     expect(accuracy.factorFor(createRequest(), 10_000)).toBeCloseTo(1, 3)
   })
 
-  test('learns nothing of work that was abandoned, or that was not admitted here', () => {
-    expect(createLearned(undefined).factorFor(createRequest(), 0)).toBe(1)
+  test('ignores work that was abandoned, and work that was not admitted here', () => {
+    expect(createTrained(undefined).factorFor(createRequest(), 0)).toBe(1)
     const accuracy = new AdmissionAccuracy()
     expect(accuracy.recordEnd(createRequest(), 900, 0)).toBeUndefined()
     expect(accuracy.factorFor(createRequest(), 0)).toBe(1)
   })
 
-  test('tells what was expected', () => {
+  test('returns the expected time when the work ends', () => {
     const accuracy = new AdmissionAccuracy()
     accuracy.recordAdmission(createRequest(), EXPECTED_MS)
     expect(accuracy.recordEnd(createRequest(), 500, 0)).toBe(400)
   })
 
-  test('refuses work that would be in time by the plain estimate alone', () => {
-    const pace = { backends: 1, itemMs: 100, callMs: 300 }
+  test('refuses work that the uncorrected estimate would admit', () => {
+    const throughput = { backends: 1, itemMs: 100, callMs: 300 }
     const ahead = [{ rank: 0, remainingItems: () => 6 }]
-    const decide = (accuracyFactor: number) => decideAdmission({ request: createRequest(), rank: 1, answerMs: ANSWER_MS, correctionFactor: accuracyFactor }, ahead, () => pace)
+    const decide = (correctionFactor: number) => decideAdmission({ request: createRequest(), rank: 1, answerMs: ANSWER_MS, correctionFactor }, ahead, () => throughput)
     expect(decide(1)).toMatchObject({ isAdmitted: true, finishMs: 950, stagesMs: 700 })
     expect(decide(1.5)).toMatchObject({ isAdmitted: false, finishMs: 1150, stagesMs: 700 })
   })
 
-  test('corrects the wait alone, so that nothing is refused where nothing goes before', () => {
-    const pace = { backends: 1, itemMs: 100, callMs: 300 }
-    const decision = decideAdmission({ request: createRequest(), rank: 1, answerMs: ANSWER_MS, correctionFactor: 2.5 }, [], () => pace)
+  test('applies to the wait alone, so that nothing is refused while no work is queued', () => {
+    const throughput = { backends: 1, itemMs: 100, callMs: 300 }
+    const decision = decideAdmission({ request: createRequest(), rank: 1, answerMs: ANSWER_MS, correctionFactor: 2.5 }, [], () => throughput)
     expect(decision).toMatchObject({ isAdmitted: true, finishMs: 550, stagesMs: 300 })
   })
 })
--- a/test/gateway/call-size.test.ts
+++ b/test/gateway/call-size.test.ts
@@ -4,17 +4,17 @@
 
 const FIXED_CALL_MS = 240
 
-function startsIn(milliseconds: number, isUsable = true): BackendForecast {
+function createForecast(milliseconds: number, isUsable = true): BackendForecast {
   return { failureDomain: 'domain-a', isUsable: () => isUsable, msUntilNextCall: () => milliseconds, expectedCallMs: () => FIXED_CALL_MS }
 }
 
-describe('the items of a call', () => {
+describe('the size of a call', () => {
   test.each([
-    ['are all that waits where no other backend server starts soon', 12, [startsIn(0), startsIn(200)], 12],
-    ['are divided among those that start at once', 12, [startsIn(0), startsIn(0), startsIn(0)], 4],
-    ['are divided among those that start within half of the fixed time', 12, [startsIn(0), startsIn(120), startsIn(121)], 6],
-    ['leave none over', 7, [startsIn(0), startsIn(0)], 4],
-    ['are not left to a backend server that gets no calls', 12, [startsIn(0), startsIn(0, false)], 12],
+    ['covers all waiting items if no other backend server can start soon', 12, [createForecast(0), createForecast(200)], 12],
+    ['is an equal share if other backend servers can start at once', 12, [createForecast(0), createForecast(0), createForecast(0)], 4],
+    ['is an equal share among those that can start within half of the fixed time', 12, [createForecast(0), createForecast(120), createForecast(121)], 6],
+    ['is rounded up', 7, [createForecast(0), createForecast(0)], 4],
+    ['leaves no items to a paused backend server', 12, [createForecast(0), createForecast(0, false)], 12],
   ])('%s', (_name, waiting, backends, items) => {
     expect(decideCallItems(waiting, new CallForecasts(backends, 0), FIXED_CALL_MS)).toBe(items)
   })
--- a/test/gateway/engine-assignment.test.ts
+++ b/test/gateway/engine-assignment.test.ts
@@ -4,7 +4,7 @@
 import { createRecord } from './support/fakes.js'
 
 const ENGINES = ['a', 'b', 'c'].map(id => new Backend(createRecord({ id, failureDomain: `domain-${id}` })))
-/** Milliseconds after which nothing is known of a shared part any more. */
+/** Longer than any state of an engine is kept. */
 const LONG_MS = 60_000
 
 let created = 0
@@ -18,20 +18,20 @@
 }
 
 describe('the engine of a request', () => {
-  test('is one that has less to read', () => {
+  test('is one with fewer pending tokens', () => {
     const assignments = new EngineAssignments()
     const first = [1, 2, 3].map(() => assignments.assign(createRequest(), ENGINES, 0)?.id)
     expect(new Set(first)).toEqual(new Set(['a', 'b', 'c']))
   })
 
-  test('is not one behind a long prompt, however few requests it has', () => {
+  test('is not one with a long prompt pending, however few requests it has', () => {
     const assignments = new EngineAssignments()
     const busy = assignments.assign(createRequest({ prompt: [{ id: 'long', tokens: 40_000 }] }), ENGINES, 0)
     const others = Array.from({ length: 20 }, () => assignments.assign(createRequest(), ENGINES, 0))
     expect(others).not.toContain(busy)
   })
 
-  test('is free of a prompt that was read or given up', () => {
+  test('no longer has a prompt pending that was released', () => {
     const assignments = new EngineAssignments()
     const long = createRequest({ prompt: [{ id: 'long', tokens: 40_000 }] })
     const busy = assignments.assign(long, ENGINES, 0)!
@@ -39,32 +39,32 @@
     expect(assignments.assign(createRequest({ failureDomain: busy.failureDomain, bytes: 8_000_000 }), ENGINES, 900)).toBe(busy)
   })
 
-  test('is free of a prompt that nobody released, after a while', () => {
+  test('no longer has a prompt pending that was never released, after MAX_PREFILL_MS', () => {
     const assignments = new EngineAssignments()
     const busy = assignments.assign(createRequest({ prompt: [{ id: 'long', tokens: 40_000 }] }), ENGINES, 0)!
     assignments.assign(createRequest(), ENGINES, LONG_MS)
     expect(assignments.assign(createRequest({ failureDomain: busy.failureDomain, bytes: 8_000_000 }), ENGINES, LONG_MS)).toBe(busy)
   })
 
-  test('keeps shared parts together while its queue is short, and passes them on when it is long', () => {
+  test('is the same for a shared part while its queue is short, and another when it is long', () => {
     const assignments = new EngineAssignments()
     const engines = Array.from({ length: 30 }, () => assignments.assign(sharing('part'), ENGINES, 0)?.id)
     expect(new Set(engines.slice(0, 4)).size).toBe(1)
     expect(new Set(engines).size).toBeGreaterThan(1)
   })
 
-  test('is the same at every coordinator for shared parts of which it knows nothing', () => {
+  test('is the same at every coordinator for shared parts that were never assigned', () => {
     const parts = Array.from({ length: 10 }, (_, number) => `part-${number}`)
     const engineOf = (part: string, engines: readonly Backend[]) => new EngineAssignments().choose(sharing(part), engines, 0)?.engine.id
     expect(parts.map(part => engineOf(part, ENGINES))).toEqual(parts.map(part => engineOf(part, ENGINES.toReversed())))
   })
 
-  test('lies where the results are, if nothing else speaks against it', () => {
+  test('is in the failure domain of the results, other things being equal', () => {
     const request = createRequest({ failureDomain: 'domain-b', bytes: 2_000_000 })
     expect(new EngineAssignments().choose(request, ENGINES, 0)?.engine.id).toBe('b')
   })
 
-  test('is no longer one whose prompts turned out to be read slowly', () => {
+  test('is no longer one with a slow measured prefill', () => {
     const assignments = new EngineAssignments()
     const engines = Array.from({ length: 20 }, () => {
       const request = createRequest({ failureDomain: 'domain-a', bytes: 8_000_000 })
@@ -76,7 +76,7 @@
     expect(engines.at(-1)).not.toBe('a')
   })
 
-  test('is chosen anew where it was removed, and by nothing that an earlier life left', () => {
+  test('has no state of an earlier process after it was removed', () => {
     const assignments = new EngineAssignments()
     const long = createRequest({ prompt: [{ id: 'long', tokens: 40_000 }] })
     const busy = assignments.assign(long, ENGINES, 0)!
@@ -85,7 +85,7 @@
     expect(assignments.assign(createRequest({ failureDomain: busy.failureDomain, bytes: 8_000_000 }), ENGINES, 100)).toBe(busy)
   })
 
-  test('is chosen for prompts without tokens too', () => {
+  test('is assigned to prompts without tokens too', () => {
     const assignments = new EngineAssignments()
     const empty = createRequest({ prompt: [{ id: 'own', tokens: 0 }] })
     assignments.assign(empty, ENGINES, 0)
@@ -93,7 +93,7 @@
     expect(assignments.assign(createRequest(), ENGINES, 0)).toBeDefined()
   })
 
-  test('no longer keeps a shared part that nobody asked for lately', () => {
+  test('no longer counts a shared part as cached after PART_CACHE_LIFETIME_MS', () => {
     const assignments = new EngineAssignments()
     const first = assignments.assign(sharing('part'), ENGINES, 0)!
     const others = ENGINES.filter(engine => engine !== first)
@@ -103,7 +103,7 @@
     expect(assignments.choose(sharing('part'), others, LONG_MS)?.engine).toBe(home)
   })
 
-  test('is one that keeps the part that most prompts begin with, rather than the home of the rest', () => {
+  test('is one that has the common first part cached, rather than the home of the part after it', () => {
     const assignments = new EngineAssignments()
     const beginning = (rest: string) => createRequest({ prompt: [{ id: 'first', tokens: 400 }, { id: rest, tokens: 200 }, { id: 'own', tokens: 100 }] })
     const engines = Array.from({ length: 6 }, (_, number) => {
@@ -115,13 +115,13 @@
     expect(new Set(engines).size).toBe(1)
   })
 
-  test('is expected to answer later, the more it has to read', () => {
+  test('is expected to answer later with a longer prompt', () => {
     const assignments = new EngineAssignments()
     const expectedMs = (tokens: number) => assignments.choose(createRequest({ prompt: [{ id: 'own', tokens }] }), ENGINES, 0)!.firstEventMs
     expect(expectedMs(20_000) - expectedMs(10_000)).toBeGreaterThan(100)
   })
 
-  test('is not taken for slow because short prompts wait for what does not depend on them', () => {
+  test('does not appear slow because of the fixed overhead of short prompts', () => {
     const assignments = new EngineAssignments()
     const long = createRequest({ prompt: [{ id: 'own', tokens: 10_000 }] })
     const expectedMs = (): number => assignments.choose(long, [ENGINES[0]], 0)!.firstEventMs
@@ -134,7 +134,7 @@
     expect(expectedMs()).toBeLessThan(before * 2.5)
   })
 
-  test('is none where none takes work', () => {
+  test('is undefined if no engine accepts work', () => {
     expect(new EngineAssignments().assign(createRequest(), [], 0)).toBeUndefined()
   })
 })
--- a/test/gateway/engine-load.test.ts
+++ b/test/gateway/engine-load.test.ts
@@ -6,17 +6,17 @@
 
 const ENGINES = 80
 const LOAD_MS = 30_000
-/** Milliseconds that a prompt token takes at the engines. */
+/** Prefill time per token at the engines. */
 const TOKEN_MS = 0.018
-/** Milliseconds of an answer that do not depend on its prompt. */
+/** Time to the first event that does not depend on the prompt. */
 const FIXED_MS = 50
-/** Milliseconds after its last use within which a part that another engine reads counts as read again. */
-const AGAIN_WITHIN_MS = 10_000
+/** A part that is prefilled within this time of its last use counts as recomputed. */
+const RECOMPUTE_WINDOW_MS = 10_000
 
-/** Prompts that begin with one of a few parts and go on with one of many. */
+/** Prompts that begin with one of a few parts, followed by one of many. */
 interface PromptKind {
   name: string
-  /** Requests a second. */
+  /** Requests per second. */
   rate: number
   firsts: number
   firstTokens: number
@@ -31,20 +31,20 @@
   { name: 'middling', rate: 78, firsts: 78, firstTokens: 340, seconds: 1300, secondTokens: 230, ownTokens: 1800 },
 ]
 
-/** An engine that reads one prompt after the other and keeps every part. */
-class ReadingEngine {
-  private readonly kept = new Set<string>()
+/** An engine that prefills prompts one at a time and caches every part. */
+class PrefillEngine {
+  private readonly cachedParts = new Set<string>()
   private freeAt = 0
 
-  /** Tokens of the parts that it lacks from the first missing one on. */
-  read(prompt: EngineRequest['prompt'], now: number): { missing: readonly { id: string, tokens: number }[], firstEventAt: number } {
+  /** Prefills a prompt; returns its uncached parts from the first one on. */
+  read(prompt: EngineRequest['prompt'], now: number): { uncached: readonly { id: string, tokens: number }[], firstEventAt: number } {
     const shared = prompt.slice(0, -1)
-    const firstMissing = shared.findIndex(part => !this.kept.has(part.id))
-    const missing = firstMissing === -1 ? [] : shared.slice(firstMissing)
-    shared.forEach(part => this.kept.add(part.id))
-    const tokens = missing.reduce((sum, part) => sum + part.tokens, prompt.at(-1)!.tokens)
+    const firstUncached = shared.findIndex(part => !this.cachedParts.has(part.id))
+    const uncached = firstUncached === -1 ? [] : shared.slice(firstUncached)
+    shared.forEach(part => this.cachedParts.add(part.id))
+    const tokens = uncached.reduce((sum, part) => sum + part.tokens, prompt.at(-1)!.tokens)
     this.freeAt = Math.max(now, this.freeAt) + tokens * TOKEN_MS
-    return { missing, firstEventAt: this.freeAt + FIXED_MS }
+    return { uncached, firstEventAt: this.freeAt + FIXED_MS }
   }
 }
 
@@ -57,22 +57,22 @@
   ]
 }
 
-/** Plays the load by a seed: the share of all tokens read that are parts read again, and the first events' times in milliseconds. */
-function play(seed: number): { againShare: number, firstEventMs: number[] } {
+/** Simulates the load with a seed; returns the share of prefilled tokens that were recomputed, and the sorted times to the first event. */
+function simulate(seed: number): { recomputedShare: number, firstEventMs: number[] } {
   const random = createRandom(seed)
   const engines = Array.from({ length: ENGINES }, (_, number) => new Backend(createRecord({ id: `engine-${number}` })))
-  const readers = new Map(engines.map(engine => [engine.id, new ReadingEngine()]))
+  const readers = new Map(engines.map(engine => [engine.id, new PrefillEngine()]))
   const assignments = new EngineAssignments()
   const lastUse = new Map<string, number>()
-  const reading: { requestId: string, until: number }[] = []
+  const prefilling: { requestId: string, until: number }[] = []
   const firstEventMs: number[] = []
   let readTokens = 0
-  let againTokens = 0
+  let recomputedTokens = 0
   const totalRate = KINDS.reduce((sum, { rate }) => sum + rate, 0)
   for (let now = 0, number = 0; now < LOAD_MS; now += -Math.log(1 - random()) * 1000 / totalRate) {
-    reading.sort((left, right) => left.until - right.until)
-    while (reading[0]?.until <= now) {
-      const { requestId, until } = reading.shift()!
+    prefilling.sort((left, right) => left.until - right.until)
+    while (prefilling[0]?.until <= now) {
+      const { requestId, until } = prefilling.shift()!
       assignments.release(requestId, until)
     }
     let left = random() * totalRate
@@ -80,27 +80,27 @@
     const requestId = `request-${number++}`
     const prompt = createPrompt(kind, random, requestId)
     const engine = assignments.assign({ requestId, prompt, failureDomain: 'zone-a', bytes: 0 }, engines, now)!
-    const { missing, firstEventAt } = readers.get(engine.id)!.read(prompt, now)
+    const { uncached, firstEventAt } = readers.get(engine.id)!.read(prompt, now)
     readTokens += prompt.at(-1)!.tokens
-    for (const { id, tokens } of missing) {
+    for (const { id, tokens } of uncached) {
       readTokens += tokens
-      againTokens += now - (lastUse.get(id) ?? Number.NEGATIVE_INFINITY) < AGAIN_WITHIN_MS ? tokens : 0
+      recomputedTokens += now - (lastUse.get(id) ?? Number.NEGATIVE_INFINITY) < RECOMPUTE_WINDOW_MS ? tokens : 0
     }
     prompt.slice(0, -1).forEach(part => lastUse.set(part.id, now))
-    reading.push({ requestId, until: firstEventAt })
+    prefilling.push({ requestId, until: firstEventAt })
     firstEventMs.push(firstEventAt - now)
   }
-  return { againShare: againTokens / readTokens, firstEventMs: firstEventMs.sort((a, b) => a - b) }
+  return { recomputedShare: recomputedTokens / readTokens, firstEventMs: firstEventMs.sort((a, b) => a - b) }
 }
 
-// What callers and operators saw: parts of prompts were read again at engine after engine, which took time from all.
-// Cause: a prompt went to the home of its last shared part although another engine kept the part that it begins with,
-// and the fixed time of short prompts made engines look slow, so that prompts left their homes. Evidence: with both as
-// they were, 0.031 to 0.033 of the tokens are read again here.
+// Guards against recomputing cached prompt parts on engine after engine. It happened when a prompt went to the home
+// engine of its last shared part although another engine had the first part cached, and when the fixed overhead of
+// short prompts made engines appear slow, so that prompts left their home engines. With both faults, 0.031 to 0.033 of
+// the tokens are recomputed here.
 describe('prompts on many engines', () => {
-  test.each([1, 2, 3])('find engines that keep their parts, and do not queue for them (seed %i)', (seed) => {
-    const { againShare, firstEventMs } = play(seed)
-    expect(againShare).toBeLessThan(0.02)
+  test.each([1, 2, 3])('are assigned to engines with cached parts, without long queues (seed %i)', (seed) => {
+    const { recomputedShare, firstEventMs } = simulate(seed)
+    expect(recomputedShare).toBeLessThan(0.02)
     expect(firstEventMs[Math.floor(firstEventMs.length * 0.9)]).toBeLessThan(250)
   })
 })
--- a/test/gateway/result-memory.test.ts
+++ b/test/gateway/result-memory.test.ts
@@ -6,8 +6,8 @@
 beforeEach(() => void vi.useFakeTimers())
 afterEach(() => void vi.useRealTimers())
 
-describe('the stage coordinator\'s account of result memory', () => {
-  test('neither counts a backend server without memory as fast nor calls it again at once', async () => {
+describe('the stage coordinator\'s accounting of result memory', () => {
+  test('neither treats a backend server without memory as fast nor calls it again at once', async () => {
     const { stageCoordinator, service } = createCoordinator([{ id: 'encode-a' }])
     service.behaviour = () => service.calls.length <= 3 ? () => ItemFailure.NoMemory : StageCallEnd.Done
     void stageCoordinator.prepare(createStageRequest(), NEVER)
@@ -17,7 +17,7 @@
     expect(service.calls.length).toBeLessThanOrEqual(2)
   })
 
-  test('calls a backend server without memory again only after a while, or for memory that was freed since', async () => {
+  test('calls a backend server without memory again after MEMORY_EXHAUSTED_MS, or once memory was freed', async () => {
     const { stageCoordinator, service } = createCoordinator([{ id: 'encode-a' }])
     service.behaviour = () => {
       service.behaviour = () => StageCallEnd.Done
@@ -57,7 +57,7 @@
     expect(service.calls).toHaveLength(2)
   })
 
-  test('counts the memory of a call that broke off as used until its results expire', async () => {
+  test('counts the memory of a broken call as used until its results expire', async () => {
     const { stageCoordinator, service } = createCoordinator([{ id: 'encode-a' }])
     const large = [{ service: 'encode', dependsOn: [], resultBytes: 400, items: 2 }]
     service.behaviour = () => {
--- a/test/gateway/shard-choice.test.ts
+++ b/test/gateway/shard-choice.test.ts
@@ -10,7 +10,7 @@
   return { requestId: `request-${number}`, stages, key: '', priority: 0, targetMs: 1000, deadlineMs: 4000, isRetry: false, failureDomain: 'a', ...overrides }
 }
 
-/** A choice among shards that have these backend servers of `encode` and `rerank`. */
+/** Creates a shard choice with backend servers of `encode` and `rerank` in the given failure domains. */
 function createChoice(encode: string, rerank = 'abc') {
   const registry = new BackendRegistry(createLog().log)
   const services = { encode, rerank }
@@ -28,13 +28,13 @@
 }
 
 describe('the shard of a request', () => {
-  test('follows what the shards have of the service that it needs', () => {
+  test('is distributed in proportion to the backend servers of the required service', () => {
     const names = preferredShards(createChoice('aabc'))
     expect(shareOf(names, 'a')).toBeCloseTo(0.5, 1)
     expect(shareOf(names, 'b')).toBeCloseTo(0.25, 1)
   })
 
-  test('is the same for prompts that share a part', () => {
+  test('is the same for prompts with a shared part', () => {
     const choice = createChoice('abc')
     const prompts = Array.from({ length: 20 }, (_, number) => [{ id: 'shared', tokens: 10 }, { id: `own-${number}`, tokens: 10 }])
     const names = prompts.map((prompt, number) => choice.order(createRequest(number, { prompt, service: 'rerank' }))[0].name)
@@ -50,15 +50,15 @@
   })
 
   test.each([
-    ['has all services that it needs', 'abc', 'bc', ['b', 'c']],
-    ['is all stage work where none has them', 'a', 'b', [WHOLE_SHARD.name]],
+    ['has all required services', 'abc', 'bc', ['b', 'c']],
+    ['is the whole shard if no shard has all of them', 'a', 'b', [WHOLE_SHARD.name]],
   ])('%s', (_name, encode, rerank, shards) => {
     const stages = ['encode', 'rerank'].map(service => ({ service, dependsOn: [], resultBytes: 10, items: 1 }))
     const orders = Array.from({ length: 30 }, (_, number) => createChoice(encode, rerank).order(createRequest(number, { stages })))
     expect([...new Set(orders.flat().map(({ name }) => name))].toSorted()).toEqual(shards)
   })
 
-  test('does not depend on services of which it needs no items', () => {
+  test('does not depend on services without items', () => {
     const stages = [{ service: 'gone', dependsOn: [], resultBytes: 10, items: 0 }]
     expect(createChoice('abc').order(createRequest(0, { stages }))).toHaveLength(SHARDS.length)
   })
--- a/test/gateway/shared-preparer.test.ts
+++ b/test/gateway/shared-preparer.test.ts
@@ -11,13 +11,13 @@
 type Preparation = Result<PreparedInputs, PreparationFailure>
 
 const PREPARED: Preparation = Ok({ handles: ['handle'], failureDomain: 'zone-a', bytes: 1 })
-const REFUSED: Preparation = Err({ kind: PreparationFailureKind.Overloaded, message: 'too much waits', retryAfterMs: 300 })
+const REFUSED: Preparation = Err({ kind: PreparationFailureKind.Overloaded, message: 'the queue is too long', retryAfterMs: 300 })
 
 const FAILED: Preparation = Err({ kind: PreparationFailureKind.Failed, message: 'items failed', retryAfterMs: 300 })
 
 function createPreparer(prepare: Preparer['prepare']) {
   const { log } = createLog()
-  const members = new Members(SELF, { heartbeat: () => Promise.reject(new Error('nobody')) }, log, () => {})
+  const members = new Members(SELF, { heartbeat: () => Promise.reject(new Error('unreachable')) }, log, () => {})
   const local = { prepare, release: vi.fn() }
   return { local, shared: new SharedPreparer(members, local, new PeerClients(), log) }
 }
@@ -30,7 +30,7 @@
     expect(local.release).toHaveBeenCalledWith('id-1')
   })
 
-  test('that was refused leaves nothing to release', async () => {
+  test('is not released after it was refused', async () => {
     const { shared, local } = createPreparer(async () => REFUSED)
     expect((await shared.prepare(REQUEST, NEVER)).isErr()).toBe(true)
     shared.release('id-1')
@@ -38,15 +38,15 @@
   })
 })
 
-describe('a coordinator that hands its own work over, since another one was found', () => {
+describe('a coordinator that hands its work over because another one was elected', () => {
   const HANDED_OVER: Preparation = Err({ kind: PreparationFailureKind.HandedOver, message: 'the coordinator is stopping', retryAfterMs: 0 })
 
   beforeEach(() => void vi.useFakeTimers())
   afterEach(() => void vi.useRealTimers())
 
-  // What operators would see: a gateway that was slow for a moment never coordinates again, until it restarts. Cause: to
-  // the request, work that is handed over means a coordinator that stops, and here that was taken of this process too.
-  test('is not stopping, and coordinates again', async () => {
+  // Guards against a gateway that was slow for a moment and never coordinates again until it restarts: work that is
+  // handed over marks its coordinator as stopping, which must not apply to the local process.
+  test('is not marked as stopping, and coordinates again', async () => {
     const { log } = createLog()
     const members = new Members(SELF, { heartbeat: async () => ({ version: 1, stopping: false, slow: false }) }, log, () => {})
     members.start()
@@ -68,34 +68,34 @@
 
   function createInShards(replies: Record<string, Preparation>) {
     const { log } = createLog()
-    const members = new Members(SELF, { heartbeat: () => Promise.reject(new Error('nobody')) }, log, () => {})
-    const asked: string[] = []
+    const members = new Members(SELF, { heartbeat: () => Promise.reject(new Error('unreachable')) }, log, () => {})
+    const calledShards: string[] = []
     const local: Preparer = {
       prepare: async ({ shard }) => {
-        asked.push(shard!)
+        calledShards.push(shard!)
         return replies[shard!]
       },
       release: () => {},
     }
-    return { asked, shared: new SharedPreparer(members, local, new PeerClients(), log, { order: () => ORDER }) }
+    return { calledShards, shared: new SharedPreparer(members, local, new PeerClients(), log, { order: () => ORDER }) }
   }
 
   test.each([
-    ['is asked of the preferred shard alone where that takes it', { a: PREPARED }, ['a'], true],
-    ['is asked of one more where that has too much to do', { a: REFUSED, b: PREPARED }, ['a', 'b'], true],
-    ['is refused where both have', { a: REFUSED, b: REFUSED }, ['a', 'b'], false],
-    ['is asked of no other where it failed', { a: FAILED }, ['a'], false],
+    ['is sent to the preferred shard only, if that admits it', { a: PREPARED }, ['a'], true],
+    ['is sent to one more shard if the preferred one is overloaded', { a: REFUSED, b: PREPARED }, ['a', 'b'], true],
+    ['is refused if both shards are overloaded', { a: REFUSED, b: REFUSED }, ['a', 'b'], false],
+    ['is not sent to another shard after it failed', { a: FAILED }, ['a'], false],
   ])('%s', async (_name, replies, shards, isPrepared) => {
-    const { shared, asked } = createInShards(replies)
+    const { shared, calledShards } = createInShards(replies)
     expect((await shared.prepare(REQUEST, NEVER)).isOk()).toBe(isPrepared)
-    expect(asked).toEqual(shards)
+    expect(calledShards).toEqual(shards)
   })
 })
 
 describe('stage work at another gateway', () => {
   const COORDINATOR = { name: 'gateway-b', address: '127.0.0.1:2' }
 
-  /** An error as undici's fetch and tRPC wrap it. */
+  /** Creates an error as wrapped by undici's fetch and tRPC. */
   function createError(code: string): Error {
     return new Error('call failed', { cause: new TypeError('fetch failed', { cause: Object.assign(new Error(code), { code }) }) })
   }
@@ -107,33 +107,33 @@
     members.noteListRead()
     members.start()
     await vi.advanceTimersByTimeAsync(500)
-    const askedAt: string[] = []
+    const calledCoordinators: string[] = []
     const peers = { prepare: async () => {
-      askedAt.push(COORDINATOR.name)
+      calledCoordinators.push(COORDINATOR.name)
       const failure = failures.shift()
       if (failure)
         throw failure
       return PREPARED
     }, release: async () => {} }
     const local = { prepare: async () => {
-      askedAt.push(SELF.name)
+      calledCoordinators.push(SELF.name)
       return PREPARED
     }, release: () => {} }
-    return { shared: new SharedPreparer(members, local, peers, log), members, askedAt }
+    return { shared: new SharedPreparer(members, local, peers, log), members, calledCoordinators }
   }
 
   beforeEach(() => void vi.useFakeTimers())
   afterEach(() => void vi.useRealTimers())
 
   test.each([
-    ['is asked of the same coordinator again after one connection that was reset', [createError('ECONNRESET')], [COORDINATOR.name, COORDINATOR.name]],
-    ['restarts here where the coordinator refuses connections', [createError('ECONNREFUSED')], [COORDINATOR.name, SELF.name]],
-    ['restarts here after a second failed call', [createError('ECONNRESET'), createError('ECONNRESET')], [COORDINATOR.name, COORDINATOR.name, SELF.name]],
-  ])('%s', async (_name, failures, asked) => {
-    const { shared, members, askedAt } = await createShared([...failures])
+    ['is retried at the same coordinator after a connection reset', [createError('ECONNRESET')], [COORDINATOR.name, COORDINATOR.name]],
+    ['restarts at this gateway if the coordinator refuses connections', [createError('ECONNREFUSED')], [COORDINATOR.name, SELF.name]],
+    ['restarts at this gateway after a second failed call', [createError('ECONNRESET'), createError('ECONNRESET')], [COORDINATOR.name, COORDINATOR.name, SELF.name]],
+  ])('%s', async (_name, failures, coordinators) => {
+    const { shared, members, calledCoordinators } = await createShared([...failures])
     expect((await shared.prepare(REQUEST, NEVER)).isOk()).toBe(true)
-    expect(askedAt).toEqual(asked)
-    expect(members.coordinator.name).toBe(asked.at(-1))
+    expect(calledCoordinators).toEqual(coordinators)
+    expect(members.coordinator.name).toBe(coordinators.at(-1))
     members.stop()
   })
 })
--- a/test/gateway/stage-coordinator.test.ts
+++ b/test/gateway/stage-coordinator.test.ts
@@ -24,7 +24,7 @@
     expect(service.calls.map(call => call.items.length)).toEqual([2, 4])
   })
 
-  test('frees results when their last reader has fetched them, and all of a request that is released', async () => {
+  test('frees results when their last reader has fetched them, and all results of a released request', async () => {
     const { stageCoordinator, service } = createCoordinator([{ id: 'encode-a' }, { id: 'rerank-a', service: 'rerank' }])
     const prepared = stageCoordinator.prepare(createStageRequest({ stages: TWO_STAGES }), NEVER)
     await vi.advanceTimersByTimeAsync(2000)
@@ -35,7 +35,7 @@
     expect(service.live.size).toBe(0)
   })
 
-  test('frees the results of a request whose client has left', async () => {
+  test('frees the results of a request whose client has disconnected', async () => {
     const { stageCoordinator, service } = createCoordinator([{ id: 'encode-a' }])
     const leaving = new AbortController()
     const prepared = stageCoordinator.prepare(createStageRequest(), leaving.signal)
@@ -46,7 +46,7 @@
     expect(service.live.size).toBe(0)
   })
 
-  test('sends nothing more to a backend server that reports that it is leaving', async () => {
+  test('sends no calls to a draining backend server', async () => {
     const { stageCoordinator, registry, service } = createCoordinator([{ id: 'encode-a' }, { id: 'encode-b', failureDomain: 'zone-b' }])
     registry.upsert(createRecord({ id: 'encode-a', draining: true }))
     const prepared = stageCoordinator.prepare(createStageRequest(), NEVER)
@@ -59,8 +59,8 @@
     ['an item that failed', () => (item: { index: number }) => item.index === 1 ? ItemFailure.Error : undefined],
     ['an item without result memory', () => (item: { index: number }) => item.index === 1 ? ItemFailure.NoMemory : undefined],
     ['a call that was refused', () => StageCallEnd.Refused],
-    ['a call that broke off', () => StageCallEnd.Broken],
-    ['a call that reached nobody', () => StageCallEnd.NotSent],
+    ['a broken call', () => StageCallEnd.Broken],
+    ['a call that was not sent', () => StageCallEnd.NotSent],
     ['a call that is never answered', () => 'silent' as const],
   ])('recovers from %s', async (_name, behaviour) => {
     const { stageCoordinator, service } = createCoordinator([{ id: 'encode-a' }, { id: 'encode-b' }])
@@ -73,7 +73,7 @@
     expect((await prepared).unwrap().handles).toHaveLength(2)
   })
 
-  test('restarts the stages when the inputs died with their backend server', async () => {
+  test('restarts the stages when the inputs were lost with their backend server', async () => {
     const { stageCoordinator, service } = createCoordinator([{ id: 'encode-a' }, { id: 'rerank-a', service: 'rerank' }])
     service.behaviour = (call) => {
       if (call.backendId === 'rerank-a' && service.calls.length === 2)
@@ -86,7 +86,7 @@
     expect(service.calls.filter(call => call.backendId === 'encode-a')).toHaveLength(2)
   })
 
-  test('restarts the stages once where a call of several items fails without a retry left', async () => {
+  test('restarts the stages once if a call of several items fails and the retry budget is used up', async () => {
     const { stageCoordinator, service, retries } = createCoordinator([{ id: 'encode-a' }])
     retries.allowed = 0
     service.behaviour = () => service.calls.length === 1 ? StageCallEnd.Refused : StageCallEnd.Done
@@ -96,7 +96,7 @@
     expect(service.calls.flatMap(call => call.items).map(item => item.index)).toEqual([0, 1, 0, 1])
   })
 
-  test('stops retrying items when the budget is used up', async () => {
+  test('stops retrying items when the retry budget is used up', async () => {
     const { stageCoordinator, service, retries } = createCoordinator([{ id: 'encode-a' }])
     retries.allowed = 0
     service.behaviour = () => StageCallEnd.Refused
@@ -107,9 +107,9 @@
   })
 
   test.each([
-    ['arrives for the first time', false],
-    ['is a retry, whatever time its client has left', true],
-  ])('refuses at once what cannot be in time, with a time to retry, where it %s', async (_name, isRetry) => {
+    ['a first attempt', false],
+    ['a retry, whatever the time left to its client', true],
+  ])('refuses at once, with a retry delay, work that cannot be in time: %s', async (_name, isRetry) => {
     const { stageCoordinator } = createCoordinator([{ id: 'encode-a' }])
     const earlier = createStageRequest({ targetMs: 60_000, deadlineMs: 60_000, priority: 0 })
     for (let index = 0; index < 30; index++)
@@ -122,7 +122,7 @@
     expect(refusal.retryAfterMs).toBeGreaterThan(0)
   })
 
-  test('restarts the stages whose inputs expired while their reader waited, without a call for the reader', async () => {
+  test('restarts the stages whose results expired while their reader was queued, without a call for the reader', async () => {
     const { stageCoordinator, registry, service } = createCoordinator([{ id: 'encode-a' }, { id: 'rerank-a', service: 'rerank' }])
     const prepared = stageCoordinator.prepare(createStageRequest({ stages: TWO_STAGES, targetMs: 20_000, deadlineMs: 20_000 }), NEVER)
     registry.upsert(createRecord({ id: 'rerank-a', service: 'rerank', draining: true }))
--- a/test/gateway/stage-coordinators.test.ts
+++ b/test/gateway/stage-coordinators.test.ts
@@ -20,7 +20,7 @@
 afterEach(() => void vi.useRealTimers())
 
 describe('the coordinators of one gateway', () => {
-  test('run the work of a shard at its own backend servers only', async () => {
+  test('run the work of a shard on its own backend servers only', async () => {
     const { coordinators, client } = createCoordinators()
     const requests = Array.from({ length: 6 }, (_, number) => coordinators.prepare(createStageRequest({ requestId: `request-${number}`, shard: 'b', targetMs: 9000, deadlineMs: 9000 }), NEVER))
     await vi.advanceTimersByTimeAsync(3000)
@@ -29,7 +29,7 @@
     coordinators.stop()
   })
 
-  test('run work that names no shard anywhere, as gateways of an earlier release ask for it', async () => {
+  test('run work without a shard, as sent by gateways of an earlier release, on any backend server', async () => {
     const { coordinators, client } = createCoordinators()
     const requests = Array.from({ length: 6 }, (_, number) => coordinators.prepare(createStageRequest({ requestId: `request-${number}` }), NEVER))
     await vi.advanceTimersByTimeAsync(3000)
@@ -38,7 +38,7 @@
     coordinators.stop()
   })
 
-  test('know backend servers of a shard that come later, and none of another', async () => {
+  test('use backend servers that join their shard later, and none of another shard', async () => {
     const { coordinators, client, registry } = createCoordinators()
     const asked = coordinators.prepare(createStageRequest({ shard: 'c' }), NEVER)
     expect((await asked).isErr()).toBe(true)
@@ -50,7 +50,7 @@
     coordinators.stop()
   })
 
-  test('free the results of a request whichever shard made them', async () => {
+  test('free the results of a request in any shard', async () => {
     const { coordinators, client } = createCoordinators()
     const prepared = coordinators.prepare(createStageRequest({ shard: 'a' }), NEVER)
     await vi.advanceTimersByTimeAsync(1000)
@@ -61,7 +61,7 @@
     coordinators.stop()
   })
 
-  test('hand over what waits in a shard that another gateway coordinates, and go on with the other shard', async () => {
+  test('hand over the waiting work of a shard that another gateway coordinates, and continue the other shard', async () => {
     const { coordinators } = createCoordinators()
     const request = (requestId: string, shard: string) => coordinators.prepare(createStageRequest({ requestId, shard, targetMs: 9000, deadlineMs: 9000 }), NEVER)
     const inA = ['a-1', 'a-2', 'a-3', 'a-4'].map(id => request(id, 'a'))
@@ -74,7 +74,7 @@
     coordinators.stop()
   })
 
-  test('take no work of any shard while this gateway is leaving', async () => {
+  test('accept no work of any shard while this gateway is shutting down', async () => {
     const { coordinators } = createCoordinators()
     coordinators.applyRole(createShard(['a']), CoordinatorRole.Leaves)
     const result = await coordinators.prepare(createStageRequest({ shard: 'b' }), NEVER)
@@ -82,10 +82,10 @@
     coordinators.stop()
   })
 
-  // What callers would see: 503 for all requests of a shard while the one gateway that is left is stopping. Order of
-  // events: it hands one shard over and stops taking work; the gateways that took over are lost; it is asked for a
-  // shard that it did not coordinate before. Cause: what it remembered of its stop was undone for known shards only.
-  test('take work of any shard again when a leaving gateway is the one that is left', async () => {
+  // Guards against 503 responses for all requests of a shard while the only remaining gateway is shutting down: it hands
+  // one shard over and stops accepting work, the gateways that took over are lost, and it is asked for a shard that it
+  // did not coordinate before. Its refusal of work must end for such shards too.
+  test('accept work of any shard again if a gateway that is shutting down is the only one left', async () => {
     const { coordinators } = createCoordinators()
     coordinators.applyRole(createShard(['a']), CoordinatorRole.Leaves)
     coordinators.applyRole(createShard(['b']), CoordinatorRole.Coordinates)
--- a/test/gateway/stage-crashes.test.ts
+++ b/test/gateway/stage-crashes.test.ts
@@ -1,13 +1,11 @@
 /**
- * What callers would see: an item of one request ends the stage backend server
- * that runs it. Calls are made for items of several requests: the items of all
- * are sent again, meet in the next call, and the next backend server ends. Once
- * the item has failed three times its request's stages begin again.
- *
- * Cause: a broken call was the backend server's fault alone; which items were in
- * it was not looked at.
- *
- * Evidence: without the mend the first test below ends all six backend servers.
+ * Guards against one request crashing a series of stage backend servers. An item
+ * that crashes its backend server shares its call with items of other requests.
+ * The items of all of them are sent again, meet in the next call, and crash the
+ * next backend server; after three failures of the item its request restarts its
+ * stages. This happened while a broken call was attributed to the backend server
+ * alone, not to its items. Without the fix, the first test crashes all six
+ * backend servers.
  */
 import type { FakeStageCall } from './support/fakes.js'
 import { CrashBoard, CrashWitness, GatewayLog, Presence, StageCallEnd } from '@eidermast/gateway'
@@ -16,8 +14,8 @@
 import { createCoordinator, createStageRequest, NEVER } from './support/stage-coordinator.js'
 
 const CAUSE = 'cause'
-/** Milliseconds in which all work is done or has failed. */
-const PLAY_MS = 4000
+/** Time after which all work is done or has failed. */
+const SCENARIO_MS = 4000
 
 function createBoard(): CrashBoard {
   const { log } = createLog()
@@ -30,18 +28,18 @@
   return items.some(({ requestId }) => requestId === CAUSE)
 }
 
-/** Requests of one item each, of which one ends every backend server that runs it. */
-function play() {
+/** Creates a coordinator with six backend servers that crash when they run an item of the request CAUSE. */
+function createCrashScenario() {
   const board = createBoard()
   const backends = ['a', 'b', 'c', 'd', 'e', 'f'].map(name => ({ id: `encode-${name}` }))
   const coordinator = createCoordinator(backends, board)
   const { service, registry, stageCoordinator } = coordinator
-  const ended: FakeStageCall[] = []
+  const crashed: FakeStageCall[] = []
   service.behaviour = (call) => {
     if (!isFatal(call))
       return StageCallEnd.Done
-    ended.push(call)
-    registry.remove(call.backendId, 'it ended')
+    crashed.push(call)
+    registry.remove(call.backendId, 'crashed')
     return StageCallEnd.Broken
   }
   const outcomes = new Map<string, boolean>()
@@ -50,50 +48,50 @@
     const result = await stageCoordinator.prepare(createStageRequest({ requestId, fingerprint: `f-${requestId}`, stages }), NEVER)
     outcomes.set(requestId, result.isOk())
   }
-  return { board, ended, outcomes, send, service }
+  return { board, crashed, outcomes, send, service }
 }
 
-/** All of one call, and what waits behind it. */
-const TOGETHER = ['beside-1', CAUSE, 'beside-2', 'beside-3']
+/** Requests whose items share a call, or are queued behind it. */
+const REQUEST_IDS = ['beside-1', CAUSE, 'beside-2', 'beside-3']
 
 beforeEach(() => void vi.useFakeTimers())
 afterEach(() => void vi.useRealTimers())
 
-describe('an item that ends the stage backend server that runs it', () => {
-  test('ends three at most, and has no other request fail', async () => {
-    const { ended, outcomes, send } = play()
-    for (const requestId of TOGETHER)
+describe('an item that crashes the stage backend server that runs it', () => {
+  test('crashes three at most, and fails no other request', async () => {
+    const { crashed, outcomes, send } = createCrashScenario()
+    for (const requestId of REQUEST_IDS)
       void send(requestId)
-    await vi.advanceTimersByTimeAsync(PLAY_MS)
-    expect(ended.length).toBeLessThanOrEqual(3)
+    await vi.advanceTimersByTimeAsync(SCENARIO_MS)
+    expect(crashed.length).toBeLessThanOrEqual(3)
     expect(Object.fromEntries(outcomes)).toEqual({ 'beside-1': true, [CAUSE]: false, 'beside-2': true, 'beside-3': true })
   })
 
-  test('travels alone after two ends', async () => {
-    const { board, ended, send, service } = play()
+  test('is isolated after two crashes', async () => {
+    const { board, crashed, send, service } = createCrashScenario()
     for (const backend of ['earlier-1', 'earlier-2'])
       board.takeReports('gateway-b', { crashes: [{ fingerprint: `f-${CAUSE}`, backend, at: Date.now(), gateway: 'gateway-b' }], answers: [] })
-    for (const requestId of TOGETHER)
+    for (const requestId of REQUEST_IDS)
       void send(requestId)
-    await vi.advanceTimersByTimeAsync(PLAY_MS)
-    expect(ended.map(({ items }) => items.map(({ requestId }) => requestId))).toEqual([[CAUSE]])
+    await vi.advanceTimersByTimeAsync(SCENARIO_MS)
+    expect(crashed.map(({ items }) => items.map(({ requestId }) => requestId))).toEqual([[CAUSE]])
     expect(service.calls.length).toBeGreaterThan(1)
   })
 
-  test('is not sent any more after three, wherever they were seen', async () => {
-    const { board, ended, outcomes, send } = play()
+  test('is not sent after three crashes, whichever gateway observed them', async () => {
+    const { board, crashed, outcomes, send } = createCrashScenario()
     for (const backend of ['earlier-1', 'earlier-2', 'earlier-3'])
       board.takeReports('gateway-b', { crashes: [{ fingerprint: `f-${CAUSE}`, backend, at: Date.now(), gateway: 'gateway-b' }], answers: [] })
     await send(CAUSE)
-    expect(ended).toEqual([])
+    expect(crashed).toEqual([])
     expect(outcomes.get(CAUSE)).toBe(false)
   })
 
-  test('is not spoken for by results of its stages', async () => {
-    const { board, send } = play()
+  test('keeps its crash count when its stages produce results', async () => {
+    const { board, send } = createCrashScenario()
     board.takeReports('gateway-b', { crashes: ['1', '2'].map(backend => ({ fingerprint: 'f-fine', backend, at: Date.now(), gateway: 'gateway-b' })), answers: [] })
     void send('fine')
-    await vi.advanceTimersByTimeAsync(PLAY_MS)
+    await vi.advanceTimersByTimeAsync(SCENARIO_MS)
     expect(board.crashCount('f-fine')).toBe(2)
   })
 })
--- a/test/gateway/stage-handover.test.ts
+++ b/test/gateway/stage-handover.test.ts
@@ -6,7 +6,7 @@
 afterEach(() => void vi.useRealTimers())
 
 describe('a change of the stage coordinator', () => {
-  test('hands work over when it stops: what waits at once, what is in a call when that ends; and accepts no new work', async () => {
+  test('hands work over when it stops, waiting items at once and others when their call ends, and accepts no new work', async () => {
     const { stageCoordinator, service } = createCoordinator([{ id: 'encode-a' }])
     const running = stageCoordinator.prepare(createStageRequest(), NEVER)
     const waiting = stageCoordinator.prepare(createStageRequest({ requestId: 'waiting' }), NEVER)
@@ -20,7 +20,7 @@
     expect(service.calls).toHaveLength(1)
   })
 
-  test('hands work over when it is slow, and takes what gateways still send that have not noticed', async () => {
+  test('hands work over when it is slow, and accepts work of gateways that have not noticed the change', async () => {
     const { stageCoordinator } = createCoordinator([{ id: 'encode-a' }])
     const running = stageCoordinator.prepare(createStageRequest(), NEVER)
     const waiting = stageCoordinator.prepare(createStageRequest({ requestId: 'waiting' }), NEVER)
@@ -42,7 +42,7 @@
     expect((await prepared).isOk()).toBe(true)
   })
 
-  test('hands results over when it stops, and the next coordinator continues with them', async () => {
+  test('hands results over when it stops, which the next coordinator continues with', async () => {
     const first = createCoordinator([{ id: 'encode-a' }, { id: 'rerank-a', service: 'rerank' }])
     const request = createStageRequest({ stages: TWO_STAGES })
     const running = first.stageCoordinator.prepare(request, NEVER)
@@ -64,7 +64,7 @@
     expect(second.service.freed).toEqual(['encode-a/0', 'encode-a/1'])
   })
 
-  test('never sends a stage without its inputs, where those were fetched by work that is lost', async () => {
+  test('never sends a stage without its inputs if those were fetched by a call that was lost', async () => {
     const { stageCoordinator, service } = createCoordinator([{ id: 'encode-a' }, { id: 'rerank-a', service: 'rerank' }])
     const prepared = stageCoordinator.prepare(createStageRequest({ stages: TWO_STAGES, progress: [{ stage: 0, results: [] }] }), NEVER)
     await vi.advanceTimersByTimeAsync(2000)
@@ -73,10 +73,10 @@
   })
 
   test.each([
-    ['have lost their backend server', [{ handle: 'encode-z/0', backend: 'encode-z', bytes: 10, remainingMs: 4000 }]],
+    ['belong to a removed backend server', [{ handle: 'encode-z/0', backend: 'encode-z', bytes: 10, remainingMs: 4000 }]],
     ['have expired', [{ handle: 'encode-a/9', backend: 'encode-a', bytes: 10, remainingMs: 0 }]],
     ['are unknown to the backend server', [{ handle: 'encode-a/9', backend: 'encode-a', bytes: 10, remainingMs: 4000 }]],
-  ])('runs a stage again whose results were handed over and %s', async (_name, results) => {
+  ])('runs a stage again if results that were handed over %s', async (_name, results) => {
     const { stageCoordinator, service } = createCoordinator([{ id: 'encode-a' }, { id: 'rerank-a', service: 'rerank' }])
     const prepared = stageCoordinator.prepare(createStageRequest({ stages: TWO_STAGES, progress: [{ stage: 0, results }] }), NEVER)
     await vi.advanceTimersByTimeAsync(2000)
@@ -84,7 +84,7 @@
     expect(service.calls.filter(call => call.backendId === 'encode-a')).toHaveLength(1)
   })
 
-  test('keeps inputs until their reader\'s call ends while another coordinator may be at work', async () => {
+  test('keeps inputs until their reader\'s call ends while another coordinator may be active', async () => {
     const { stageCoordinator, service } = createCoordinator([{ id: 'encode-a' }, { id: 'rerank-a', service: 'rerank' }])
     stageCoordinator.expectOtherCoordinator()
     const prepared = stageCoordinator.prepare(createStageRequest({ stages: TWO_STAGES }), NEVER)
