--- a/packages/gateway/src/process/stages/admission-accuracy.ts
+++ b/packages/gateway/src/process/stages/admission-accuracy.ts
@@ -23,7 +23,7 @@
 export class AdmissionAccuracy {
   private readonly factors = new Map<string, { factor: number, updatedAt: number }>()
   /** Expected time of the stages in milliseconds, by id of the admitted request. */
-  private readonly expected = new Map<string, number>()
+  private readonly expectedMsByRequest = new Map<string, number>()
 
   /** Correction factor for the expected time of a request's stages; 1 if there is no sample. */
   factorFor(request: PreparationRequest, now: number): number {
@@ -33,7 +33,7 @@
 
   /** Records the expected time of an admitted request's stages, before correction. */
   recordAdmission({ requestId }: PreparationRequest, stagesMs: number): void {
-    this.expected.set(requestId, stagesMs)
+    this.expectedMsByRequest.set(requestId, stagesMs)
   }
 
   /**
@@ -42,8 +42,8 @@
    * queues.
    */
   recordEnd(request: PreparationRequest, tookMs: number | undefined, now: number): number | undefined {
-    const expectedMs = this.expected.get(request.requestId)
-    this.expected.delete(request.requestId)
+    const expectedMs = this.expectedMsByRequest.get(request.requestId)
+    this.expectedMsByRequest.delete(request.requestId)
     if (expectedMs !== undefined && expectedMs > 0 && tookMs !== undefined)
       this.updateFactor(request, expectedMs, tookMs, now)
     return expectedMs
--- a/packages/gateway/src/process/stages/backend/result-memory.ts
+++ b/packages/gateway/src/process/stages/backend/result-memory.ts
@@ -26,7 +26,7 @@
 /** Key of the entry for all results that this process did not request. */
 const FOREIGN_RESULTS = 'foreign results'
 /** Key of the entry for bytes that were counted as free but were not available. */
-const UNACCOUNTED_BYTES = 'unaccounted results'
+const UNACCOUNTED_BYTES = 'unaccounted bytes'
 
 interface HeldResult {
   bytes: number
--- a/packages/gateway/src/process/stages/backend/stage-backend.ts
+++ b/packages/gateway/src/process/stages/backend/stage-backend.ts
@@ -17,7 +17,7 @@
 const SPEED_EWMA_WEIGHT = 0.4
 /** Bounds of measured over configured time, so that one outlier does not dominate the average. */
 const MAX_SLOWDOWN = 20
-/** See MAX_SLOWNESS. */
+/** See MAX_SLOWDOWN. */
 const MIN_SLOWDOWN = 0.5
 
 const MILLISECONDS_PER_SECOND = 1000
--- a/packages/gateway/src/process/stages/engine-assignment.ts
+++ b/packages/gateway/src/process/stages/engine-assignment.ts
@@ -33,7 +33,7 @@
 const INITIAL_MS_PER_TOKEN = 0.026
 /** Bounds of the measured time per token over INITIAL_MS_PER_TOKEN, so that one outlier does not dominate the average. */
 const MAX_SLOWDOWN = 20
-/** See MAX_SLOWNESS. */
+/** See MAX_SLOWDOWN. */
 const MIN_SLOWDOWN = 0.5
 /** Weight of the newest long request in the measured time per token. Half of it detects a slowed engine late. */
 const SPEED_EWMA_WEIGHT = 0.2
--- a/packages/gateway/src/process/stages/pool/early-free.ts
+++ b/packages/gateway/src/process/stages/pool/early-free.ts
@@ -40,8 +40,8 @@
 }
 
 /** Milliseconds after the start of a call at which its inputs count as fetched; undefined for the end of the call. */
-export function inputsFetchedAfterMs({ inputBytes, bandwidthMbps, mayQueueBehindOther: mayWaitForOther }: FetchInput): number | undefined {
-  if (mayWaitForOther || inputBytes === 0 || bandwidthMbps <= 0)
+export function inputsFetchedAfterMs({ inputBytes, bandwidthMbps, mayQueueBehindOther }: FetchInput): number | undefined {
+  if (mayQueueBehindOther || inputBytes === 0 || bandwidthMbps <= 0)
     return undefined
   const transferMs = inputBytes * BITS_PER_BYTE / (bandwidthMbps * BITS_PER_MS_AT_ONE_MBPS)
   return transferMs * FETCH_TIME_FACTOR + FETCH_MARGIN_MS
--- a/packages/gateway/src/process/stages/stage-admission.ts
+++ b/packages/gateway/src/process/stages/stage-admission.ts
@@ -95,7 +95,7 @@
     isAdmitted: finishMs <= Math.min(allowedMs, request.deadlineMs),
     finishMs,
     stagesMs,
-    retryAfterMs: retryAfterDelay(finishMs, request.targetMs),
+    retryAfterMs: retryDelayMs(finishMs, request.targetMs),
   }
 }
 
@@ -104,7 +104,7 @@
   return Number.isFinite(stagesMs) ? unqueuedMs + (stagesMs - unqueuedMs) * correctionFactor : stagesMs
 }
 
-function retryAfterDelay(finishMs: number, targetMs: number): number {
+function retryDelayMs(finishMs: number, targetMs: number): number {
   if (!Number.isFinite(finishMs))
     return NO_BACKEND_RETRY_MS
   return Math.max(MIN_RETRY_MS, finishMs - targetMs * RETRY_TARGET_SHARE)
--- a/test/gateway/stage-rules.test.ts
+++ b/test/gateway/stage-rules.test.ts
@@ -142,13 +142,13 @@
   })
 
   test('consumes the retry budget only if the decision depends on it', () => {
-    const takeBudget = vi.fn(() => false)
-    expect(decideItemRetry(ItemFailure.Error, 1, takeBudget)).toEqual({ isRetried: false, failure: ItemFailure.Error })
-    expect(takeBudget).toHaveBeenCalledTimes(1)
-    decideItemRetry(ItemFailure.Late, 1, takeBudget)
-    decideItemRetry(StageCallEnd.NotSent, 1, takeBudget)
-    decideItemRetry(ItemFailure.Error, 3, takeBudget)
-    expect(takeBudget).toHaveBeenCalledTimes(1)
+    const consumeBudget = vi.fn(() => false)
+    expect(decideItemRetry(ItemFailure.Error, 1, consumeBudget)).toEqual({ isRetried: false, failure: ItemFailure.Error })
+    expect(consumeBudget).toHaveBeenCalledTimes(1)
+    decideItemRetry(ItemFailure.Late, 1, consumeBudget)
+    decideItemRetry(StageCallEnd.NotSent, 1, consumeBudget)
+    decideItemRetry(ItemFailure.Error, 3, consumeBudget)
+    expect(consumeBudget).toHaveBeenCalledTimes(1)
   })
 })
 
