--- a/packages/gateway/src/process/backend-list.ts
+++ b/packages/gateway/src/process/backend-list.ts
@@ -57,17 +57,17 @@
     return { revision: this.currentRevision, entries: [...this.entries.values()], lapsing: this.registry.lapsing }
   }
 
-  noteSourceAnswered(): void {
+  handleSourceResponse(): void {
     this.registry.recordListRead()
   }
 
-  noteSourceFailed(): void {
+  handleSourceFailure(): void {
     this.sourceUnavailable = true
   }
 
-  noteSourceReturned(outage: SourceOutage): void {
+  handleSourceRecovery(outage: SourceOutage): void {
     this.sourceUnavailable = false
-    this.registry.noteSourceReturned(outage)
+    this.registry.handleSourceRecovery(outage)
   }
 
   /** Applies a whole list from the source; ignored if peers have already sent a newer one. */
--- a/packages/gateway/src/process/backend-registry.ts
+++ b/packages/gateway/src/process/backend-registry.ts
@@ -96,7 +96,7 @@
   }
 
   /** The source responds again after an outage, during which entries may have expired. */
-  noteSourceReturned(outage: SourceOutage): void {
+  handleSourceRecovery(outage: SourceOutage): void {
     this.lastOutage = outage
     this.graceUntil = performance.now() + decideLapseGrace(outage)
   }
--- a/packages/gateway/src/process/membership/members.ts
+++ b/packages/gateway/src/process/membership/members.ts
@@ -121,7 +121,7 @@
   }
 
   /** All others send heartbeats to the first member, and hear from it what it has read. */
-  get isTold(): boolean {
+  get receivesPeerUpdates(): boolean {
     return !this.isCoordinator
   }
 
--- a/packages/gateway/src/process/platform-adapter.ts
+++ b/packages/gateway/src/process/platform-adapter.ts
@@ -18,7 +18,7 @@
 /** Cluster state that affects this gateway's reads of the store. */
 export interface PeerView {
   /** Whether peers send this gateway the changes that its own source misses. */
-  readonly isTold: boolean
+  readonly receivesPeerUpdates: boolean
   /** Number of listed gateways, including this one. */
   readonly count: number
 }
@@ -63,11 +63,11 @@
   /** Revision of the list, as known from the source or from peers. */
   readonly revision: number
   /** The source responded; called before the changes are delivered. */
-  noteSourceAnswered: () => void
+  handleSourceResponse: () => void
   /** The source does not respond; called on the first failure. */
-  noteSourceFailed: () => void
+  handleSourceFailure: () => void
   /** The source responds again after an outage, during which entries may have expired. */
-  noteSourceReturned: (outage: SourceOutage) => void
+  handleSourceRecovery: (outage: SourceOutage) => void
   /** Delivers the whole list. */
   replaceAll: (list: ListedBackends) => void
   /** Delivers an entry that was added or changed. */
@@ -137,5 +137,5 @@
   backendCodec: BackendCodec
   stageClient: (connections: BackendConnections) => StageClient
   /** Aborts pending reads of the platform and starts them again on new connections, because the old connections may be dead. */
-  readAnew: () => void
+  restartReads: () => void
 }
--- a/packages/gateway/src/process/read-wait.ts
+++ b/packages/gateway/src/process/read-wait.ts
@@ -87,8 +87,8 @@
 const MAX_PAUSE_FRACTION = 0.5
 
 /** Milliseconds to pause after a read of the backend server list that returned changes, so that further changes are read in one batch. */
-export function restAfterChangesMs({ drainMs }: StoreBounds, peers: PeerView): number {
-  if (!peers.isTold)
+export function pauseAfterChangesMs({ drainMs }: StoreBounds, peers: PeerView): number {
+  if (!peers.receivesPeerUpdates)
     return 0
   const maxPauseMs = Math.max(MIN_PAUSE_MS, drainMs * MAX_PAUSE_FRACTION)
   return Math.min(maxPauseMs, Math.max(MIN_PAUSE_MS, peers.count * PAUSE_PER_GATEWAY_MS))
@@ -104,14 +104,14 @@
 const STARTUP_MS = 10_000
 
 /** Milliseconds to pause after a read of the gateway directory that returned changes; `followedMs` is the time since following began. */
-export function restOfDirectoryMs(gateways: number, followedMs: number): number {
+export function directoryPauseMs(gateways: number, followedMs: number): number {
   const isStarting = followedMs < STARTUP_MS
   return isStarting ? MIN_DIRECTORY_PAUSE_MS : Math.max(MIN_DIRECTORY_PAUSE_MS, gateways * PAUSE_PER_GATEWAY_MS)
 }
 
 /** Milliseconds for which the store may hold a read. */
-export function maxReadWaitMs({ contactMs, configurationMs, drainMs, evacuationMs }: StoreBounds, isToldByPeers: boolean): number {
+export function maxReadWaitMs({ contactMs, configurationMs, drainMs, evacuationMs }: StoreBounds, receivesPeerUpdates: boolean): number {
   const effectDeadlineMs = Math.min(configurationMs, drainMs, evacuationMs)
-  const waitMs = isToldByPeers ? contactMs + effectDeadlineMs : Math.max(contactMs, effectDeadlineMs) - PROPAGATION_MS
+  const waitMs = receivesPeerUpdates ? contactMs + effectDeadlineMs : Math.max(contactMs, effectDeadlineMs) - PROPAGATION_MS
   return Math.max(MIN_READ_WAIT_MS, waitMs - READ_MARGIN_MS - RETRY_AND_READ_MS)
 }
--- a/packages/gateway/src/process/topic-follower.ts
+++ b/packages/gateway/src/process/topic-follower.ts
@@ -37,7 +37,7 @@
   /** Pause after each read that returned records, in milliseconds, so that further records are read in one batch. @default 0 */
   restMs?: number
   /** Position up to which the sink already has the topic from elsewhere. @default none */
-  known?: () => TopicPosition
+  knownPosition?: () => TopicPosition
   /** The store does not respond; called on the first failure. */
   failed?: () => void
   /** The store answered a read; called before the records are delivered. */
@@ -114,7 +114,7 @@
 
   /** Skips records that the sink already has, if its position is in the same era. */
   private skipKnownRecords(position: TopicPosition): void {
-    const known = this.sink.known?.()
+    const known = this.sink.knownPosition?.()
     if (known?.era === position.era)
       position.offset = Math.max(position.offset, known.offset)
   }
--- a/test/gateway/backend-list.test.ts
+++ b/test/gateway/backend-list.test.ts
@@ -82,7 +82,7 @@
   })
 
   test('keeps missing backend servers in use until their entries can have been written again', () => {
-    list.noteSourceReturned({ ...OUTAGE, lastedMs: 0, lostWrites: true })
+    list.handleSourceRecovery({ ...OUTAGE, lastedMs: 0, lostWrites: true })
     list.replaceAll({ revision: nextEra(5), entries: [createEntry('encode-a', nextEra(3))] })
     expect(usedIds()).toEqual(['encode-a', 'encode-b'])
     vi.advanceTimersByTime(2000)
@@ -212,14 +212,14 @@
   })
 
   test('gets no more work right after this process\'s own source recovered', () => {
-    list.noteSourceFailed()
-    list.noteSourceReturned(OUTAGE)
+    list.handleSourceFailure()
+    list.handleSourceRecovery(OUTAGE)
     list.adopt(LIST_WITHOUT_B, PEER)
     expect(usedIds()).toEqual(['encode-a'])
   })
 
   test('stays in use for less than two seconds during an outage of the own source, which the peer\'s may share', () => {
-    list.noteSourceFailed()
+    list.handleSourceFailure()
     list.adopt(LIST_WITHOUT_B, PEER)
     vi.advanceTimersByTime(1400)
     expect(usedIds()).toEqual(['encode-a', 'encode-b'])
@@ -229,7 +229,7 @@
 
   test.each([true, false])('stays in use as long as at the peer (own source unavailable: %s)', (isSourceAway) => {
     if (isSourceAway)
-      list.noteSourceFailed()
+      list.handleSourceFailure()
     list.adopt({ ...LIST_WITHOUT_B, lapsing: [{ id: 'encode-b', remainingMs: 500 }] }, PEER)
     expect(list.current.lapsing).toEqual([{ id: 'encode-b', remainingMs: 500 }])
     vi.advanceTimersByTime(400)
@@ -239,7 +239,7 @@
   })
 
   test('stays in use if its entry is written again in that time', () => {
-    list.noteSourceFailed()
+    list.handleSourceFailure()
     list.adopt(LIST_WITHOUT_B, PEER)
     list.adopt({ revision: 15, entries: [...LIST_WITHOUT_B.entries, createEntry('encode-b', 15)] }, PEER)
     vi.advanceTimersByTime(5000)
--- a/test/gateway/backend-registry.test.ts
+++ b/test/gateway/backend-registry.test.ts
@@ -26,7 +26,7 @@
     ['removed individually', () => registry.unlist('encode-a')],
     ['missing in a whole list', () => registry.replaceAll([])],
   ])('%s right after an outage of the source, stays in use for less than two seconds', (_name, removeEntry) => {
-    registry.noteSourceReturned(OUTAGE)
+    registry.handleSourceRecovery(OUTAGE)
     removeEntry()
     vi.advanceTimersByTime(1800)
     expect(isUsed()).toBe(true)
@@ -39,7 +39,7 @@
     ['whose end was detected late', { mayHaveReturnedMs: 4000 }, 800],
     ['whose end was detected too late', { mayHaveReturnedMs: 5000 }, 0],
   ])('after an outage %s, stays in use only as long as the platform allows', (_name, outage, usedForMs) => {
-    registry.noteSourceReturned({ ...OUTAGE, ...outage })
+    registry.handleSourceRecovery({ ...OUTAGE, ...outage })
     registry.unlist('encode-a')
     vi.advanceTimersByTime(Math.max(0, usedForMs - 50))
     expect(isUsed()).toBe(usedForMs > 0)
@@ -49,7 +49,7 @@
 
   test('stays in use with its learned state if the entry is listed again in that time', () => {
     const backend = registry.find('encode-a')
-    registry.noteSourceReturned(OUTAGE)
+    registry.handleSourceRecovery(OUTAGE)
     registry.unlist('encode-a')
     vi.advanceTimersByTime(1000)
     registry.upsert(RECORD)
@@ -59,14 +59,14 @@
   })
 
   test('gets no more work if another backend server has its address', () => {
-    registry.noteSourceReturned(OUTAGE)
+    registry.handleSourceRecovery(OUTAGE)
     registry.unlist('encode-a')
     registry.remove('encode-a', 'another backend server has its address')
     expect(isUsed()).toBe(false)
   })
 
   test('gets no more work if its entry says that it is draining', () => {
-    registry.noteSourceReturned(OUTAGE)
+    registry.handleSourceRecovery(OUTAGE)
     registry.upsert({ ...RECORD, draining: true })
     expect(isUsed()).toBe(false)
   })
--- a/test/platform/store.test.ts
+++ b/test/platform/store.test.ts
@@ -1,6 +1,6 @@
 import type { KeyedRecord, TopicSink } from '@eidermast/gateway'
 import { wait } from '@eidermast/common'
-import { maxReadWaitMs, READ_MARGIN_MS, restAfterChangesMs, restOfDirectoryMs, TopicFollower, usableAfterReturnMs } from '@eidermast/gateway'
+import { directoryPauseMs, maxReadWaitMs, pauseAfterChangesMs, READ_MARGIN_MS, TopicFollower, usableAfterReturnMs } from '@eidermast/gateway'
 import { encodeRecord, PlatformLog, readRecords, StoreClient } from '@eidermast/platform'
 import { afterEach, beforeEach, describe, expect, test, vi } from 'vitest'
 import { createLog } from '../gateway/support/fakes.js'
@@ -193,22 +193,22 @@
   const BOUNDS = { contactMs: 5000, configurationMs: 4000, drainMs: 4000, evacuationMs: 5000 }
 
   test.each([
-    ['none at the coordinator, which the others hear', BOUNDS, { isTold: false, count: 70 }, 0],
-    ['a second where there are few gateways', BOUNDS, { isTold: true, count: 4 }, 1000],
-    ['longer the more there are', BOUNDS, { isTold: true, count: 50 }, 1500],
-    ['no longer than half of the time in which a leaving must take effect', BOUNDS, { isTold: true, count: 400 }, 2000],
-    ['a second where that time is short', { ...BOUNDS, drainMs: 1000 }, { isTold: true, count: 400 }, 1000],
+    ['none at the coordinator, which the others hear', BOUNDS, { receivesPeerUpdates: false, count: 70 }, 0],
+    ['a second where there are few gateways', BOUNDS, { receivesPeerUpdates: true, count: 4 }, 1000],
+    ['longer the more there are', BOUNDS, { receivesPeerUpdates: true, count: 50 }, 1500],
+    ['no longer than half of the time in which a leaving must take effect', BOUNDS, { receivesPeerUpdates: true, count: 400 }, 2000],
+    ['a second where that time is short', { ...BOUNDS, drainMs: 1000 }, { receivesPeerUpdates: true, count: 400 }, 1000],
   ])('of the list of backend servers is %s', (_name, bounds, peers, restMs) => {
-    expect(restAfterChangesMs(bounds, peers)).toBe(restMs)
+    expect(pauseAfterChangesMs(bounds, peers)).toBe(restMs)
   })
 
   test('keeps the calls of all gateways together in bounds, however many there are', () => {
-    const callsASecond = (gateways: number): number => gateways * 1000 / restOfDirectoryMs(gateways, 60_000)
+    const callsASecond = (gateways: number): number => gateways * 1000 / directoryPauseMs(gateways, 60_000)
     expect([10, 70, 400].map(callsASecond).every(calls => calls < 34)).toBe(true)
   })
 
   test('of the directory is short while a gateway starts, so that those that start together know each other', () => {
-    expect(restOfDirectoryMs(400, 0)).toBe(400)
+    expect(directoryPauseMs(400, 0)).toBe(400)
   })
 })
 
