--- a/packages/gateway/src/process/crashes/crash-board.ts
+++ b/packages/gateway/src/process/crashes/crash-board.ts
@@ -15,7 +15,7 @@
 import type { AnswerReport, CrashReport, CrashReports } from './crash-report.js'
 import type { BackendCrash } from './crash-witness.js'
 import { wait } from '@eidermast/common'
-import { announcePauseMs } from '../store-backoff.js'
+import { announceBackoffMs } from '../store-backoff.js'
 import { CrashHistory } from './crash-history.js'
 import { CrashLog } from './crash-log.js'
 import { isEmptyReport, NO_REPORTS } from './crash-report.js'
@@ -105,13 +105,13 @@
 
   replaceAll(byOwner: ReadonlyMap<string, CrashReports>): void {
     for (const [owner, reports] of byOwner)
-      this.takeReports(owner, reports)
+      this.applyReports(owner, reports)
     this.isRead = true
     this.restore([...byOwner.values()])
     void this.write()
   }
 
-  takeReports(owner: string, reports: CrashReports): void {
+  applyReports(owner: string, reports: CrashReports): void {
     const news = this.learn(reports)
     if (owner === this.parts.name)
       this.addToOwn(news)
@@ -214,7 +214,7 @@
     catch (error) {
       this.isChanged = true
       this.log.writeFailed(error)
-      await wait(announcePauseMs())
+      await wait(announceBackoffMs())
     }
   }
 }
--- a/packages/gateway/src/process/evacuation/evacuation-list.ts
+++ b/packages/gateway/src/process/evacuation/evacuation-list.ts
@@ -54,7 +54,7 @@
     this.takeAll([...orders, ...missing.map(order => ({ ...order, evacuated: false, revision }))], OWN_READS)
   }
 
-  take(order: EvacuationOrder): void {
+  apply(order: EvacuationOrder): void {
     this.takeAll([order], OWN_READS)
   }
 
--- a/packages/gateway/src/process/gateway-log.ts
+++ b/packages/gateway/src/process/gateway-log.ts
@@ -115,12 +115,12 @@
   }
 
   /** A backend server announced that it is leaving, in a response to this process or as reported by a peer. */
-  backendSaidLeaving({ id, service, record: { draining } }: Backend, source: string): void {
+  backendAnnouncedLeaving({ id, service, record: { draining } }: Backend, source: string): void {
     this.log.write('backend-leaving', { backend: id, service, source, listedAsDraining: draining })
   }
 
   /** A backend server rejected a request and asked this process to pause for `restMs` milliseconds. */
-  backendAskedForRest({ id, service }: Backend, restMs: number): void {
+  backendRequestedPause({ id, service }: Backend, restMs: number): void {
     this.log.write('backend-rest', { backend: id, service, restMs: Math.round(restMs) })
   }
 
--- a/packages/gateway/src/process/gateway-share.ts
+++ b/packages/gateway/src/process/gateway-share.ts
@@ -29,7 +29,7 @@
 }
 
 /** Fraction (0 to 1) of a deployment-wide limit for a coordinator that receives heartbeats from `heard` other gateways. */
-export function coordinatorPart(heard: number, listed: number): number {
+export function coordinatorShare(heard: number, listed: number): number {
   return Math.min(1, (heard + 1) / countSharingGateways(listed))
 }
 
--- a/packages/gateway/src/process/gateway.ts
+++ b/packages/gateway/src/process/gateway.ts
@@ -91,7 +91,7 @@
     this.crashBoard = this.createCrashBoard()
     this.members = this.createMembers()
     this.sharedLimits = this.createSharedLimits()
-    const limitTurns = new LimitTurns(backend => this.sharedLimits.ofLimit(backend))
+    const limitTurns = new LimitTurns(backend => this.sharedLimits.rateLimitShare(backend))
     this.intakes = new BackendIntakes(this.registry, platform.backendCodec.readNotice, limitTurns, this.gatewayLog)
     this.connections = this.createConnections()
     this.stageCoordinators = this.createStageCoordinators()
@@ -176,7 +176,7 @@
   private createSharedLimits(): SharedLimits {
     return new SharedLimits({
       members: this.members,
-      heardGateways: () => this.heardPeers.count(performance.now()),
+      heartbeatPeers: () => this.heardPeers.count(performance.now()),
       findService: name => this.configuration.table?.findService(name),
       coldAllowance: this.platform.coldAllowance,
     })
--- a/packages/gateway/src/process/intake/backend-intakes.ts
+++ b/packages/gateway/src/process/intake/backend-intakes.ts
@@ -62,12 +62,12 @@
     }
     if (notice.restMs !== undefined) {
       backend.intake.takeRest(notice.restMs, performance.now())
-      this.log.backendAskedForRest(backend, notice.restMs)
+      this.log.backendRequestedPause(backend, notice.restMs)
     }
   }
 
   private takeLeaving(backend: Backend, source: string): void {
-    this.log.backendSaidLeaving(backend, source)
+    this.log.backendAnnouncedLeaving(backend, source)
     this.registry.noteLeaving(backend)
   }
 
--- a/packages/gateway/src/process/keyed-topic.ts
+++ b/packages/gateway/src/process/keyed-topic.ts
@@ -12,11 +12,11 @@
 }
 
 /** A record with its position in the topic. */
-export interface PlacedRecord extends KeyedRecord, TopicPosition {}
+export interface PositionedRecord extends KeyedRecord, TopicPosition {}
 
 /** The latest record of each key, and the position from which to continue. */
-export interface NewestRecords {
-  records: PlacedRecord[]
+export interface TopicSnapshot {
+  records: PositionedRecord[]
   end: TopicPosition
 }
 
@@ -37,7 +37,7 @@
 
 /** Reads topics. Calls reject if the store does not respond, and with a `HistoryGoneError` if it has deleted the records. */
 export interface TopicReader {
-  newest: (topic: string) => Promise<NewestRecords>
+  readLatest: (topic: string) => Promise<TopicSnapshot>
   /** Reads records from an offset; waits up to `waitMs` milliseconds for the first one. */
   read: (topic: string, offset: number, signal: AbortSignal, waitMs?: number) => Promise<ReadRecords>
 }
--- a/packages/gateway/src/process/platform-adapter.ts
+++ b/packages/gateway/src/process/platform-adapter.ts
@@ -28,7 +28,7 @@
   /** Replaces all orders in force. */
   replaceAll: (orders: EvacuationOrders) => void
   /** Applies one order that was issued or withdrawn. */
-  take: (order: EvacuationOrder) => void
+  apply: (order: EvacuationOrder) => void
 }
 
 /** Receives the operator's records. */
@@ -113,7 +113,7 @@
   /** Delivers the latest reports of all gateways. */
   replaceAll: (byOwner: ReadonlyMap<string, CrashReports>) => void
   /** Delivers the latest reports of one gateway. */
-  takeReports: (owner: string, reports: CrashReports) => void
+  applyReports: (owner: string, reports: CrashReports) => void
 }
 
 /** Shared store of the gateways' reports about requests that end backend servers. */
--- a/packages/gateway/src/process/shared-limits.ts
+++ b/packages/gateway/src/process/shared-limits.ts
@@ -9,14 +9,14 @@
 import type { LimitShare } from '../request/attempts/limit-turns.js'
 import type { Service } from '../version/configuration.js'
 import { coldAllowancePerSecond, COORDINATED_SHARE, OWN_SHARE } from '../request/attempts/cold-pace.js'
-import { coordinatorPart, countSharingGateways, shareOfConnections } from './gateway-share.js'
+import { coordinatorShare, countSharingGateways, shareOfConnections } from './gateway-share.js'
 
 /** Inputs of the shares. */
 export interface SharedLimitsInputs {
   /** Number of listed gateways, and the index of this one among them. */
   members: { readonly count: number, readonly place: number }
   /** Number of gateways that send heartbeats to this one. */
-  heardGateways: () => number
+  heartbeatPeers: () => number
   findService: (name: string) => Service | undefined
   coldAllowance: ColdAllowance
 }
@@ -46,7 +46,7 @@
   }
 
   /** Time slot and share of this gateway in the rate limit of a backend server. */
-  ofLimit({ service }: Backend): LimitShare {
+  rateLimitShare({ service }: Backend): LimitShare {
     const { members, findService } = this.inputs
     const isCoordinated = findService(service)?.stage !== undefined
     const part = isCoordinated ? this.coordinatorShare() : 1 / this.sharingGateways()
@@ -54,7 +54,7 @@
   }
 
   private coordinatorShare(): number {
-    return coordinatorPart(this.inputs.heardGateways(), this.inputs.members.count)
+    return coordinatorShare(this.inputs.heartbeatPeers(), this.inputs.members.count)
   }
 
   private coldRate(service: string, share: number): number | undefined {
--- a/packages/gateway/src/process/store-backoff.ts
+++ b/packages/gateway/src/process/store-backoff.ts
@@ -23,13 +23,13 @@
 const MAX_ANNOUNCE_BACKOFF_MS = 600
 
 /** Backoff in milliseconds after this many consecutive failures. */
-export function retryPauseMs(failures: number): number {
+export function retryBackoffMs(failures: number): number {
   const upperBoundMs = Math.min(MAX_BACKOFF_MS, BASE_BACKOFF_MS * 2 ** failures)
   return randomBetween(upperBoundMs / 2, upperBoundMs)
 }
 
 /** Backoff in milliseconds after a failed announcement. */
-export function announcePauseMs(): number {
+export function announceBackoffMs(): number {
   return randomBetween(MIN_ANNOUNCE_BACKOFF_MS, MAX_ANNOUNCE_BACKOFF_MS)
 }
 
--- a/packages/gateway/src/process/topic-follower.ts
+++ b/packages/gateway/src/process/topic-follower.ts
@@ -13,11 +13,11 @@
  * first.
  */
 import type { TopicPosition } from '../connection/backends/revision.js'
-import type { PlacedRecord, TopicReader } from './keyed-topic.js'
+import type { PositionedRecord, TopicReader } from './keyed-topic.js'
 import type { SourceOutage } from './platform-adapter.js'
 import { formatError, wait } from '@eidermast/common'
 import { HistoryGoneError } from './keyed-topic.js'
-import { retryPauseMs } from './store-backoff.js'
+import { retryBackoffMs } from './store-backoff.js'
 
 /** An outage as observed here, without the platform's bounds. */
 export type StoreOutage = Omit<SourceOutage, 'usableAfterReturnMs'>
@@ -30,8 +30,8 @@
 /** Receives the records of a topic. */
 export interface TopicSink {
   /** Delivers the contents of the topic up to a position; some records may be newer. */
-  snapshot: (records: PlacedRecord[], end: TopicPosition) => void
-  record: (record: PlacedRecord) => void
+  snapshot: (records: PositionedRecord[], end: TopicPosition) => void
+  record: (record: PositionedRecord) => void
   /** Wait of a read in milliseconds; a lost read is detected only after that time. @default the client's */
   waitMs?: number
   /** Pause after each read that returned records, in milliseconds, so that further records are read in one batch. @default 0 */
@@ -91,7 +91,7 @@
         if (signal.aborted)
           return
         this.handleError(error)
-        await wait(retryPauseMs(this.failures))
+        await wait(retryBackoffMs(this.failures))
       }
     }
   }
@@ -121,7 +121,7 @@
 
   private async readLatest(): Promise<void> {
     this.calledAt = performance.now()
-    const { records, end } = await this.store.newest(this.topic)
+    const { records, end } = await this.store.readLatest(this.topic)
     this.reportResponse(end.era)
     this.sink.snapshot(records, end)
     this.latestOffsets = new Map(records.filter(record => record.offset >= end.offset).map(record => [record.key, record.offset]))
@@ -129,7 +129,7 @@
   }
 
   /** Delivers a record unless a newer one with its key was delivered before. */
-  private deliver(record: PlacedRecord): void {
+  private deliver(record: PositionedRecord): void {
     const latest = this.latestOffsets.get(record.key)
     if (latest !== undefined && record.offset >= latest)
       this.latestOffsets.delete(record.key)
--- a/test/gateway/cold-pace.test.ts
+++ b/test/gateway/cold-pace.test.ts
@@ -1,4 +1,4 @@
-import { coldAllowancePerSecond, ColdPace, COORDINATED_SHARE, coordinatorPart, countSharingGateways, OWN_SHARE } from '@eidermast/gateway'
+import { coldAllowancePerSecond, ColdPace, COORDINATED_SHARE, coordinatorShare, countSharingGateways, OWN_SHARE } from '@eidermast/gateway'
 import { describe, expect, test } from 'vitest'
 import { createBackend } from './support/fakes.js'
 import { createRandom } from './support/random.js'
@@ -50,7 +50,7 @@
   const own = Array.from({ length: gateways }, (_, index) =>
     createSender(`gateway-${seed}-${index}`, BOUND * OWN_SHARE / countSharingGateways(gateways), heardAt()))
   const coordinators = groups.map((members, index) =>
-    createSender(`coordinator-${seed}-${index}`, BOUND * COORDINATED_SHARE * coordinatorPart(members - 1, gateways), heardAt()))
+    createSender(`coordinator-${seed}-${index}`, BOUND * COORDINATED_SHARE * coordinatorShare(members - 1, gateways), heardAt()))
   return [...own, ...coordinators]
 }
 
--- a/test/gateway/crash-board.test.ts
+++ b/test/gateway/crash-board.test.ts
@@ -23,7 +23,7 @@
     if (this.isDown)
       throw new Error('the ledger is down')
     this.records.set(owner, reports)
-    this.boards.forEach(board => board.takeReports(owner, reports))
+    this.boards.forEach(board => board.applyReports(owner, reports))
   }
 
   /** Comes back from an older copy. */
--- a/test/gateway/evacuation-list.test.ts
+++ b/test/gateway/evacuation-list.test.ts
@@ -21,20 +21,20 @@
 describe('orders about failure domains', () => {
   test('hold from the first source that brings them', () => {
     list.adopt([evacuate('a', 3)], 'gateway-1')
-    list.take(evacuate('a', 3))
+    list.apply(evacuate('a', 3))
     expect(changes).toEqual([['a']])
   })
 
   test('are not put in force by a gateway that heard first that they were taken back', () => {
     list.adopt([takeBack('a', 5)], 'gateway-1')
-    list.take(evacuate('a', 4))
+    list.apply(evacuate('a', 4))
     expect(list.evacuated.size).toBe(0)
     expect(changes).toEqual([])
   })
 
   test('are taken back by a whole read that does not name them', () => {
-    list.take(evacuate('a', 4))
-    list.take(evacuate('b', 5))
+    list.apply(evacuate('a', 4))
+    list.apply(evacuate('b', 5))
     list.replaceAll({ revision: 9, orders: [evacuate('b', 5)] })
     expect(changes.at(-1)).toEqual(['b'])
   })
@@ -46,10 +46,10 @@
   })
 
   test('stay in force where an older copy lacks them, until it names them again', () => {
-    list.take(evacuate('a', revisionAt({ era: 1, offset: 40 })))
+    list.apply(evacuate('a', revisionAt({ era: 1, offset: 40 })))
     list.replaceAll({ revision: revisionAt({ era: 2, offset: 30 }), orders: [] })
     expect([...list.evacuated]).toEqual(['a'])
-    list.take(takeBack('a', revisionAt({ era: 2, offset: 32 })))
+    list.apply(takeBack('a', revisionAt({ era: 2, offset: 32 })))
     expect(list.evacuated.size).toBe(0)
   })
 
@@ -60,7 +60,7 @@
       const shuffled = orders.map(order => ({ order, key: draws.next().value as number })).sort((left, right) => left.key - right.key)
       const other = createList()
       for (const order of orders)
-        list.take(order)
+        list.apply(order)
       for (const { order } of shuffled)
         other.adopt([order], 'gateway-1')
       const isSame = [...list.evacuated].sort().join() === [...other.evacuated].sort().join()
--- a/test/gateway/limit-turns.test.ts
+++ b/test/gateway/limit-turns.test.ts
@@ -33,8 +33,8 @@
     const skewMs = random() * SKEW_MS
     const backend = createBackend({ id: 'engine-a' })
     backend.intake.limitPerSecond = limit
-    const limits = new SharedLimits({ members: { count: gateways, place }, heardGateways: () => 0, findService: () => undefined, coldAllowance: { overshoot: 1, slack: 0 } })
-    return { turns: new LimitTurns(known => limits.ofLimit(known), () => clock.now, () => clock.now + skewMs), backend }
+    const limits = new SharedLimits({ members: { count: gateways, place }, heartbeatPeers: () => 0, findService: () => undefined, coldAllowance: { overshoot: 1, slack: 0 } })
+    return { turns: new LimitTurns(known => limits.rateLimitShare(known), () => clock.now, () => clock.now + skewMs), backend }
   })
 }
 
--- a/test/gateway/stage-crashes.test.ts
+++ b/test/gateway/stage-crashes.test.ts
@@ -72,7 +72,7 @@
   test('travels alone after two ends', async () => {
     const { board, ended, send, service } = play()
     for (const backend of ['earlier-1', 'earlier-2'])
-      board.takeReports('gateway-b', { crashes: [{ fingerprint: `f-${CAUSE}`, backend, at: Date.now(), gateway: 'gateway-b' }], answers: [] })
+      board.applyReports('gateway-b', { crashes: [{ fingerprint: `f-${CAUSE}`, backend, at: Date.now(), gateway: 'gateway-b' }], answers: [] })
     for (const requestId of TOGETHER)
       void send(requestId)
     await vi.advanceTimersByTimeAsync(PLAY_MS)
@@ -83,7 +83,7 @@
   test('is not sent any more after three, wherever they were seen', async () => {
     const { board, ended, outcomes, send } = play()
     for (const backend of ['earlier-1', 'earlier-2', 'earlier-3'])
-      board.takeReports('gateway-b', { crashes: [{ fingerprint: `f-${CAUSE}`, backend, at: Date.now(), gateway: 'gateway-b' }], answers: [] })
+      board.applyReports('gateway-b', { crashes: [{ fingerprint: `f-${CAUSE}`, backend, at: Date.now(), gateway: 'gateway-b' }], answers: [] })
     await send(CAUSE)
     expect(ended).toEqual([])
     expect(outcomes.get(CAUSE)).toBe(false)
@@ -91,7 +91,7 @@
 
   test('is not spoken for by results of its stages', async () => {
     const { board, send } = play()
-    board.takeReports('gateway-b', { crashes: ['1', '2'].map(backend => ({ fingerprint: 'f-fine', backend, at: Date.now(), gateway: 'gateway-b' })), answers: [] })
+    board.applyReports('gateway-b', { crashes: ['1', '2'].map(backend => ({ fingerprint: 'f-fine', backend, at: Date.now(), gateway: 'gateway-b' })), answers: [] })
     void send('fine')
     await vi.advanceTimersByTimeAsync(PLAY_MS)
     expect(board.crashCount('f-fine')).toBe(2)
--- a/test/platform/store.test.ts
+++ b/test/platform/store.test.ts
@@ -151,7 +151,7 @@
     client = new StoreClient(await line.start())
     store.put(TOPIC, 'config', 'one')
     // Reads that end together leave more than one connection open.
-    await Promise.all([1, 2, 3].map(() => client.newest(TOPIC)))
+    await Promise.all([1, 2, 3].map(() => client.readLatest(TOPIC)))
     line.silenceOpenConnections()
     await expect(client.read(TOPIC, 0, ending.signal, 0)).rejects.toThrow('timeout')
     const calledAt = performance.now()
