--- a/packages/gateway/src/process/gateway-share.ts
+++ b/packages/gateway/src/process/gateway-share.ts
@@ -28,9 +28,9 @@
   return listed + UNLISTED_GATEWAYS
 }
 
-/** Fraction (0 to 1) of a deployment-wide limit for a coordinator that receives heartbeats from `heard` other gateways. */
-export function coordinatorShare(heard: number, listed: number): number {
-  return Math.min(1, (heard + 1) / countSharingGateways(listed))
+/** Fraction (0 to 1) of a deployment-wide limit for a coordinator that receives heartbeats from `heartbeatPeers` other gateways. */
+export function coordinatorShare(heartbeatPeers: number, listed: number): number {
+  return Math.min(1, (heartbeatPeers + 1) / countSharingGateways(listed))
 }
 
 /** Maximum connections of this gateway to one backend server that accepts `limit` from all gateways together. */
--- a/test/gateway/backend-list.test.ts
+++ b/test/gateway/backend-list.test.ts
@@ -68,9 +68,9 @@
 
   test('is corrected again when it is read a second time', () => {
     list.upsert(createEntry('encode-a', 11, { draining: true }))
-    const copy = { revision: nextEra(5), entries: [createEntry('encode-a', nextEra(3)), createEntry('encode-b', nextEra(4))] }
-    list.adopt(copy, PEER)
-    list.replaceAll(copy)
+    const snapshot = { revision: nextEra(5), entries: [createEntry('encode-a', nextEra(3)), createEntry('encode-b', nextEra(4))] }
+    list.adopt(snapshot, PEER)
+    list.replaceAll(snapshot)
     expect(usedIds()).toEqual(['encode-b'])
   })
 
