--- a/packages/gateway/src/process/crashes/crash-tracker.ts
+++ b/packages/gateway/src/process/crashes/crash-tracker.ts
@@ -15,7 +15,7 @@
 import type { BackendCrash } from './crash-detector.js'
 import type { AnswerReport, CrashReport, CrashReports } from './crash-report.js'
 import { wait } from '@eidermast/common'
-import { announcePauseMs } from '../store-backoff.js'
+import { announceBackoffMs } from '../store-backoff.js'
 import { CrashExchange } from './crash-exchange.js'
 import { CrashHistory } from './crash-history.js'
 import { CrashLog } from './crash-log.js'
@@ -110,13 +110,13 @@
 
   replaceAll(byOwner: ReadonlyMap<string, CrashReports>): void {
     for (const [owner, reports] of byOwner)
-      this.takeReports(owner, reports)
+      this.applyReports(owner, reports)
     this.isLedgerRead = true
     this.restoreLostReports([...byOwner.values()])
     void this.write()
   }
 
-  takeReports(owner: string, reports: CrashReports): void {
+  applyReports(owner: string, reports: CrashReports): void {
     const added = this.mergeReports(reports)
     if (owner === this.deps.name)
       this.addToOwnReports(added)
@@ -231,7 +231,7 @@
     catch (error) {
       this.hasUnwrittenChanges = true
       this.log.writeFailed(error)
-      await wait(announcePauseMs())
+      await wait(announceBackoffMs())
     }
   }
 }
--- a/packages/gateway/src/process/evacuation/evacuation-list.ts
+++ b/packages/gateway/src/process/evacuation/evacuation-list.ts
@@ -54,7 +54,7 @@
     this.applyAll([...orders, ...revoked.map(order => ({ ...order, evacuated: false, revision }))], OWN_READ_SOURCE)
   }
 
-  take(order: EvacuationOrder): void {
+  apply(order: EvacuationOrder): void {
     this.applyAll([order], OWN_READ_SOURCE)
   }
 
--- a/packages/gateway/src/process/gateway.ts
+++ b/packages/gateway/src/process/gateway.ts
@@ -74,7 +74,7 @@
   private readonly stageCoordinators: StageCoordinators
   private readonly readiness: Readiness
   private readonly internalServers = new InternalServers()
-  private readonly coordinatorOutages = new CoordinatorOutageWatch(() => this.platform.readAnew())
+  private readonly coordinatorOutages = new CoordinatorOutageWatch(() => this.platform.restartReads())
   private readonly suspensionDetector = new SuspensionDetector(awayMs => this.handleResume(awayMs))
   /** Aborts everything that follows the platform. */
   private readonly shutdown = new AbortController()
@@ -91,7 +91,7 @@
     this.crashTracker = this.createCrashTracker()
     this.members = this.createMembers()
     this.sharedLimits = this.createSharedLimits()
-    const rateLimiter = new SlottedRateLimiter(backend => this.sharedLimits.ofLimit(backend))
+    const rateLimiter = new SlottedRateLimiter(backend => this.sharedLimits.rateLimitShare(backend))
     this.intakes = new BackendIntakes(this.registry, platform.backendCodec.readNotice, rateLimiter, this.gatewayLog)
     this.connections = this.createConnections()
     this.stageCoordinators = this.createStageCoordinators()
@@ -170,13 +170,13 @@
         this.crashTracker.noteCrash(crash)
       },
     })
-    return new CrashTracker({ name, ledger: platform.crashLedger, log, detector, restoresOthers: () => !this.members.isTold })
+    return new CrashTracker({ name, ledger: platform.crashLedger, log, detector, restoresOthers: () => !this.members.receivesPeerUpdates })
   }
 
   private createSharedLimits(): SharedLimits {
     return new SharedLimits({
       members: this.members,
-      heardGateways: () => this.activePeers.count(performance.now()),
+      heartbeatPeers: () => this.activePeers.count(performance.now()),
       findService: name => this.configuration.table?.findService(name),
       coldAllowance: this.platform.coldAllowance,
     })
@@ -190,7 +190,7 @@
   /** The process may have been suspended: its state may be stale, and peers may have made decisions meanwhile. */
   private handleResume(awayMs: number): void {
     this.gatewayLog.woke(awayMs)
-    this.platform.readAnew()
+    this.platform.restartReads()
     this.members.restartDiscovery()
   }
 
--- a/packages/gateway/src/process/membership/members.ts
+++ b/packages/gateway/src/process/membership/members.ts
@@ -124,7 +124,7 @@
   }
 
   /** Whether the coordinator passes on what it has read from the store: all other members send it heartbeats. */
-  get isTold(): boolean {
+  get receivesPeerUpdates(): boolean {
     return !this.isCoordinator
   }
 
--- a/test/gateway/cold-start-limiter.test.ts
+++ b/test/gateway/cold-start-limiter.test.ts
@@ -1,4 +1,4 @@
-import { coldAllowancePerSecond, ColdStartLimiter, COORDINATED_SHARE, coordinatorPart, countSharingGateways, UNCOORDINATED_SHARE } from '@eidermast/gateway'
+import { coldAllowancePerSecond, ColdStartLimiter, COORDINATED_SHARE, coordinatorShare, countSharingGateways, UNCOORDINATED_SHARE } from '@eidermast/gateway'
 import { describe, expect, test } from 'vitest'
 import { createBackend } from './support/fakes.js'
 import { createRandom } from './support/random.js'
@@ -50,7 +50,7 @@
   const own = Array.from({ length: gateways }, (_, index) =>
     createSender(`gateway-${seed}-${index}`, LIMIT * UNCOORDINATED_SHARE / countSharingGateways(gateways), heardAt()))
   const coordinators = groups.map((members, index) =>
-    createSender(`coordinator-${seed}-${index}`, LIMIT * COORDINATED_SHARE * coordinatorPart(members - 1, gateways), heardAt()))
+    createSender(`coordinator-${seed}-${index}`, LIMIT * COORDINATED_SHARE * coordinatorShare(members - 1, gateways), heardAt()))
   return [...own, ...coordinators]
 }
 
--- a/test/gateway/crash-tracker.test.ts
+++ b/test/gateway/crash-tracker.test.ts
@@ -23,7 +23,7 @@
     if (this.isUnavailable)
       throw new Error('the ledger is unavailable')
     this.records.set(owner, reports)
-    this.trackers.forEach(tracker => tracker.takeReports(owner, reports))
+    this.trackers.forEach(tracker => tracker.applyReports(owner, reports))
   }
 
   /** Restores an older copy of the records. */
--- a/test/gateway/evacuation-list.test.ts
+++ b/test/gateway/evacuation-list.test.ts
@@ -21,20 +21,20 @@
 describe('evacuation orders', () => {
   test('apply from the first source that provides them', () => {
     list.applyPeerOrders([evacuate('a', 3)], 'gateway-1')
-    list.take(evacuate('a', 3))
+    list.apply(evacuate('a', 3))
     expect(changes).toEqual([['a']])
   })
 
   test('are not applied by a gateway that first learned of their revocation', () => {
     list.applyPeerOrders([revoke('a', 5)], 'gateway-1')
-    list.take(evacuate('a', 4))
+    list.apply(evacuate('a', 4))
     expect(list.evacuated.size).toBe(0)
     expect(changes).toEqual([])
   })
 
   test('are revoked by a full read that does not contain them', () => {
-    list.take(evacuate('a', 4))
-    list.take(evacuate('b', 5))
+    list.apply(evacuate('a', 4))
+    list.apply(evacuate('b', 5))
     list.replaceAll({ revision: 9, orders: [evacuate('b', 5)] })
     expect(changes.at(-1)).toEqual(['b'])
   })
@@ -46,10 +46,10 @@
   })
 
   test('stay in force if missing from an older copy, until they appear again', () => {
-    list.take(evacuate('a', revisionAt({ era: 1, offset: 40 })))
+    list.apply(evacuate('a', revisionAt({ era: 1, offset: 40 })))
     list.replaceAll({ revision: revisionAt({ era: 2, offset: 30 }), orders: [] })
     expect([...list.evacuated]).toEqual(['a'])
-    list.take(revoke('a', revisionAt({ era: 2, offset: 32 })))
+    list.apply(revoke('a', revisionAt({ era: 2, offset: 32 })))
     expect(list.evacuated.size).toBe(0)
   })
 
@@ -60,7 +60,7 @@
       const shuffled = orders.map(order => ({ order, key: draws.next().value as number })).sort((left, right) => left.key - right.key)
       const other = createList()
       for (const order of orders)
-        list.take(order)
+        list.apply(order)
       for (const { order } of shuffled)
         other.applyPeerOrders([order], 'gateway-1')
       const isSame = [...list.evacuated].sort().join() === [...other.evacuated].sort().join()
--- a/test/gateway/stage-crashes.test.ts
+++ b/test/gateway/stage-crashes.test.ts
@@ -70,7 +70,7 @@
   test('is isolated after two crashes', async () => {
     const { board, crashed, send, service } = createCrashScenario()
     for (const backend of ['earlier-1', 'earlier-2'])
-      board.takeReports('gateway-b', { crashes: [{ fingerprint: `f-${CAUSE}`, backend, at: Date.now(), gateway: 'gateway-b' }], answers: [] })
+      board.applyReports('gateway-b', { crashes: [{ fingerprint: `f-${CAUSE}`, backend, at: Date.now(), gateway: 'gateway-b' }], answers: [] })
     for (const requestId of REQUEST_IDS)
       void send(requestId)
     await vi.advanceTimersByTimeAsync(SCENARIO_MS)
@@ -81,7 +81,7 @@
   test('is not sent after three crashes, whichever gateway observed them', async () => {
     const { board, crashed, outcomes, send } = createCrashScenario()
     for (const backend of ['earlier-1', 'earlier-2', 'earlier-3'])
-      board.takeReports('gateway-b', { crashes: [{ fingerprint: `f-${CAUSE}`, backend, at: Date.now(), gateway: 'gateway-b' }], answers: [] })
+      board.applyReports('gateway-b', { crashes: [{ fingerprint: `f-${CAUSE}`, backend, at: Date.now(), gateway: 'gateway-b' }], answers: [] })
     await send(CAUSE)
     expect(crashed).toEqual([])
     expect(outcomes.get(CAUSE)).toBe(false)
@@ -89,7 +89,7 @@
 
   test('keeps its crash count when its stages produce results', async () => {
     const { board, send } = createCrashScenario()
-    board.takeReports('gateway-b', { crashes: ['1', '2'].map(backend => ({ fingerprint: 'f-fine', backend, at: Date.now(), gateway: 'gateway-b' })), answers: [] })
+    board.applyReports('gateway-b', { crashes: ['1', '2'].map(backend => ({ fingerprint: 'f-fine', backend, at: Date.now(), gateway: 'gateway-b' })), answers: [] })
     void send('fine')
     await vi.advanceTimersByTimeAsync(SCENARIO_MS)
     expect(board.crashCount('f-fine')).toBe(2)
