--- a/packages/daemon/src/process/entry/caller-service.ts
+++ b/packages/daemon/src/process/entry/caller-service.ts
@@ -4,7 +4,7 @@
  */
 import type { RequestAnswer } from '../../connection/answer.js'
 import type { CallerService, FoundOutcome, IssuedTicket, PipelineCall, ServiceCall } from '../../connection/caller-service.js'
-import type { TicketOffice } from '../../request/authority/tickets.js'
+import type { TicketIssuer } from '../../request/authority/tickets.js'
 import type { Membership } from '../membership/membership.js'
 import type { ConfigurationWatch } from './configuration-watch.js'
 import type { LeavingEntry } from './leaving.js'
@@ -15,7 +15,7 @@
 /** Parts of the service. */
 export interface EntryCallerServiceOptions {
   intake: RequestIntake
-  tickets: TicketOffice
+  tickets: TicketIssuer
   search: OutcomeSearch
   watch: ConfigurationWatch
   membership: Membership
--- a/packages/daemon/src/process/entry/request-intake.ts
+++ b/packages/daemon/src/process/entry/request-intake.ts
@@ -10,7 +10,7 @@
 import type { RequestAnswer } from '../../connection/answer.js'
 import type { CallerCall, PipelineCall, ServiceCall } from '../../connection/caller-service.js'
 import type { ForwardedRequest } from '../../connection/messages.js'
-import type { Ticket, TicketOffice } from '../../request/authority/tickets.js'
+import type { Ticket, TicketIssuer } from '../../request/authority/tickets.js'
 import type { IncomingRequest } from '../../request/incoming-request.js'
 import type { RequestPlan } from '../../request/plan.js'
 import type { RequestService } from '../../request/request-service.js'
@@ -18,7 +18,7 @@
 import type { Account } from '../../version/objects.js'
 import { createError, ErrorKind, UNABORTED } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
-import { TicketFault } from '../../request/authority/tickets.js'
+import { TicketError } from '../../request/authority/tickets.js'
 import { planPipeline, planService } from '../../request/plan.js'
 import { ObjectKind } from '../../version/objects.js'
 
@@ -32,7 +32,7 @@
   configuration: Configuration
   pipelines: RequestService
   services: RequestService
-  tickets: TicketOffice
+  tickets: TicketIssuer
 }
 
 /** Takes in the requests of one entry. */
@@ -91,7 +91,7 @@
     const ticket = this.options.tickets.verify(text)
     if (ticket.isOk() && ticket.value.account === account)
       return ticket
-    const expired = ticket.isErr() && ticket.error === TicketFault.Expired
+    const expired = ticket.isErr() && ticket.error === TicketError.Expired
     return Err(expired ? createError(ErrorKind.RequestIdExpired, EXPIRED) : createError(ErrorKind.TicketInvalid, FOREIGN))
   }
 
--- a/packages/daemon/src/process/entry/request-services.ts
+++ b/packages/daemon/src/process/entry/request-services.ts
@@ -15,7 +15,7 @@
 import { ClaimRegistry } from '../../request/authority/claims.js'
 import { NotRunProof } from '../../request/authority/not-run-proof.js'
 import { OutcomeFinder } from '../../request/authority/outcome-finder.js'
-import { TicketOffice } from '../../request/authority/tickets.js'
+import { TicketIssuer } from '../../request/authority/tickets.js'
 import { OutcomeTable } from '../../request/outcomes.js'
 import { RequestRunner } from '../../request/request-runner.js'
 import { RequestService } from '../../request/request-service.js'
@@ -48,7 +48,7 @@
 export interface RequestParts {
   claims: ClaimRegistry
   outcomes: OutcomeTable
-  tickets: TicketOffice
+  tickets: TicketIssuer
   finder: OutcomeFinder
   pipelines: RequestService
   services: RequestService
@@ -60,7 +60,7 @@
   const { entry, process: identity } = settings
   const claims = createClaims(options)
   const outcomes = createOutcomes(entry)
-  const tickets = new TicketOffice({ key: identity.key, incarnation, address, lifetimeMs: entry['ticket-lifetime-ms'] })
+  const tickets = new TicketIssuer({ key: identity.key, incarnation, address, lifetimeMs: entry['ticket-lifetime-ms'] })
   const finder = new OutcomeFinder({ incarnation, claims, outcomes, peers, membership, decisions })
   const shared = { claims, outcomes, tickets, finder }
   return {
@@ -76,7 +76,7 @@
     address,
     batchMs: settings.entry['claim-batch-ms'],
     memoryMs: settings.entry['claim-memory-ms'],
-    doubtMs: settings.platform['log-timeout-ms'],
+    readBackTimeoutMs: settings.platform['log-timeout-ms'],
   })
 }
 
--- a/packages/daemon/src/process/side/side.ts
+++ b/packages/daemon/src/process/side/side.ts
@@ -128,7 +128,7 @@
       intervalMs,
       onReading: () => {
         this.state.logDraining()
-        this.runner.refuseWaitingIfLeaving()
+        this.runner.refuseQueuedIfLeaving()
       },
       onRestart: () => {
         this.orders.forget()
--- a/packages/daemon/src/request/authority/not-run-proof.ts
+++ b/packages/daemon/src/request/authority/not-run-proof.ts
@@ -47,15 +47,15 @@
     const { claims, listedEntries, peers, address } = this.options
     if (claims.find(key) || claims.readAt === undefined || !listedEntries.hasRead)
       return false
-    const unreadMs = Date.now() - claims.readAt + LIST_LAG_MS
-    const others = listedEntries.entryAddressesWithin(unreadMs).filter(other => other !== address)
+    const listWindowMs = Date.now() - claims.readAt + LIST_LAG_MS
+    const others = listedEntries.entryAddressesWithin(listWindowMs).filter(other => other !== address)
     const replies = await Promise.all(others.map(other => peers.askOutcome(other, { account, requestId })))
-    return replies.every(deniesRun) && claims.find(key) === undefined
+    return replies.every(reportsNotRun) && claims.find(key) === undefined
   }
 }
 
 /** Whether an entry answered that it knows of no claim and no run of the request. */
-function deniesRun(reply: OutcomeReply | undefined): boolean {
+function reportsNotRun(reply: OutcomeReply | undefined): boolean {
   if (!reply || reply.claimed)
     return false
   return reply.state === OutcomeState.Unknown || reply.state === OutcomeState.NotRun
--- a/packages/daemon/src/request/authority/outcome-finder.ts
+++ b/packages/daemon/src/request/authority/outcome-finder.ts
@@ -38,7 +38,7 @@
 }
 
 /** A query from another entry for the outcome of a request. */
-export interface PeerQuestion {
+export interface PeerOutcomeQuery {
   account: string
   requestId: string
   /** Digest of the request, which distinguishes a retry from another request with the same id. */
@@ -61,7 +61,7 @@
   }
 
   /** Answers another entry's query for a request that was claimed here. Never runs the request. */
-  async answerForPeer(request: PeerQuestion): Promise<RequestAnswer> {
+  async answerForPeer(request: PeerOutcomeQuery): Promise<RequestAnswer> {
     const { account, requestId, digest, deadlineMs } = request
     const key = createRequestKey(account, requestId)
     const known = this.options.outcomes.find(key)
@@ -70,18 +70,18 @@
     if (known) {
       const answer = await settleWithin(known.answer, deadlineMs, UNABORTED)
       const advice = 'get its outcome with GET /v1/requests/{id}.'
-      return known.finished ?? answer ?? unknownOutcome(`The request is still running or its answer is no longer stored; ${advice}`)
+      return known.finished ?? answer ?? createUnknownOutcome(`The request is still running or its answer is no longer stored; ${advice}`)
     }
     const holder = this.options.claims.find(key)
     if (holder && this.options.claims.isAbandoned(holder)) {
       const message = 'An earlier claim of this request is being released; retry after the indicated delay.'
       return Err(createError(ErrorKind.LogUnavailable, message))
     }
-    return unknownOutcome('The entry that accepted this request no longer knows its outcome; check its effects before sending another.')
+    return createUnknownOutcome('The entry that accepted this request no longer knows its outcome; check its effects before sending another.')
   }
 
   /** Queries the process incarnation that holds the claim, then the sides of the last stage. */
-  async askHolder(incoming: IncomingRequest, requestId: string, holder: Claim): Promise<RequestAnswer> {
+  async queryHolder(incoming: IncomingRequest, requestId: string, holder: Claim): Promise<RequestAnswer> {
     const { account, plan, body } = incoming
     const deadlineMs = remainingMs(incoming)
     if (holder.incarnation === this.options.incarnation)
@@ -92,24 +92,24 @@
     if (state === ForwardState.Answered)
       return parseAnswer(answer)
     const advice = 'check its effects before sending another.'
-    return await this.findResult(incoming, requestId) ?? unknownOutcome(`Another entry accepted this request and cannot be reached; ${advice}`)
+    return await this.findResult(incoming, requestId) ?? createUnknownOutcome(`Another entry accepted this request and cannot be reached; ${advice}`)
   }
 
   /** Forwards a request to the process incarnation that issued its ticket. */
   async forward(incoming: IncomingRequest, requestId: string, ticket: Ticket): Promise<RequestAnswer> {
-    const { state, answer } = await this.options.peers.forward(ticket.address, ticket.incarnation, createForwarded(incoming, requestId))
+    const { state, answer } = await this.options.peers.forward(ticket.address, ticket.incarnation, createForwardedRequest(incoming, requestId))
     this.log.forwarded(requestId, ticket.address, state)
     if (state === ForwardState.Answered)
       return parseAnswer(answer)
     const advice = 'check the effects of the request before sending another.'
-    return await this.findResult(incoming, requestId) ?? unknownOutcome(`The entry that issued this ticket is unavailable; ${advice}`)
+    return await this.findResult(incoming, requestId) ?? createUnknownOutcome(`The entry that issued this ticket is unavailable; ${advice}`)
   }
 
   /** Looks up the result of the last stage at the sides, regardless of which entry called the stage. */
   private async findResult(incoming: IncomingRequest, requestId: string): Promise<RequestAnswer | undefined> {
     const last = incoming.plan.stages.at(-1)!
     const backends = this.options.membership.list().filter(({ backend }) => backend.service === last.service)
-    const results = await Promise.all(backends.map(backend => askSide(backend, incoming, requestId, last)))
+    const results = await Promise.all(backends.map(backend => querySide(backend, incoming, requestId, last)))
     const found = results.find(result => result !== undefined)
     if (!found)
       return undefined
@@ -120,7 +120,7 @@
   }
 }
 
-async function askSide(
+async function querySide(
   backend: LinkedBackend,
   incoming: IncomingRequest,
   requestId: string,
@@ -131,7 +131,7 @@
   return reply?.kind === StageReplyKind.Done ? { backendName: backend.backendName, reply } : undefined
 }
 
-function createForwarded(incoming: IncomingRequest, requestId: string): ForwardedRequest {
+function createForwardedRequest(incoming: IncomingRequest, requestId: string): ForwardedRequest {
   const { account, plan, body, ticketText } = incoming
   const [{ service, serviceRequest }] = plan.stages
   return {
@@ -147,6 +147,6 @@
   }
 }
 
-function unknownOutcome(message: string): RequestAnswer {
+function createUnknownOutcome(message: string): RequestAnswer {
   return Err(createError(ErrorKind.OutcomeUnknown, message))
 }
--- a/packages/daemon/src/request/authority/run-authority.ts
+++ b/packages/daemon/src/request/authority/run-authority.ts
@@ -49,10 +49,10 @@
 export type Authority = { granted: true } | { granted: false, answer: RequestAnswer, state: OutcomeState }
 
 /** Tolerated clock skew of callers. A lower value rejects callers with less accurate clocks; a higher one keeps claims longer. */
-const CLOCK_AHEAD_MS = 60_000
+const MAX_CLOCK_SKEW_MS = 60_000
 
 /** Claim result in logs and metrics if the request ended before the log answered. */
-const REQUEST_OVER = 'over'
+const REQUEST_ENDED = 'over'
 
 /** Decides which requests this entry may run. */
 export class RunAuthority {
@@ -63,16 +63,16 @@
    * if it can proceed. The latter is returned synchronously, so that no other copy
    * of the request can pass the check before this one is recorded.
    */
-  refuseEarly(incoming: IncomingRequest, requestId: string): Promise<RequestAnswer> | undefined {
+  rejectEarly(incoming: IncomingRequest, requestId: string): Promise<RequestAnswer> | undefined {
     if (!needsClaim(incoming))
       return undefined
-    const idFault = this.checkRequestIdTime(requestId)
-    if (idFault)
-      return Promise.resolve(Err(idFault))
+    const idError = this.checkRequestIdTime(requestId)
+    if (idError)
+      return Promise.resolve(Err(idError))
     const holder = this.options.claims.find(createRequestKey(incoming.account, requestId))
     if (holder)
-      return this.options.finder.askHolder(incoming, requestId, holder)
-    return this.options.claims.current ? undefined : this.answerNotRun(incoming, requestId, createLogError())
+      return this.options.finder.queryHolder(incoming, requestId, holder)
+    return this.options.claims.current ? undefined : this.answerNotRun(incoming, requestId, createLogUnavailableError())
   }
 
   /** Claims a request if necessary. Fails immediately if the log cannot determine the holder. */
@@ -82,7 +82,7 @@
     const { claims, finder, log, metrics } = this.options
     const attempt = claims.claim(incoming.account, requestId)
     const result = await settleWithin(attempt.result, remainingMs(incoming), incoming.callerGone)
-    const end = result?.kind ?? REQUEST_OVER
+    const end = result?.kind ?? REQUEST_ENDED
     log.claimed(incoming, requestId, end)
     metrics.recordClaim(end)
     if (!result)
@@ -90,8 +90,8 @@
     if (result?.kind === ClaimResultKind.Won)
       return { granted: true }
     if (result?.kind === ClaimResultKind.Lost)
-      return { granted: false, state: OutcomeState.Unknown, answer: await finder.askHolder(incoming, requestId, result.winner) }
-    return { granted: false, state: OutcomeState.NotRun, answer: await this.answerNotRun(incoming, requestId, createLogError()) }
+      return { granted: false, state: OutcomeState.Unknown, answer: await finder.queryHolder(incoming, requestId, result.winner) }
+    return { granted: false, state: OutcomeState.NotRun, answer: await this.answerNotRun(incoming, requestId, createLogUnavailableError()) }
   }
 
   /** Returns the error of a request that did not run if that can be proven, or else its actual or unknown outcome. */
@@ -100,21 +100,21 @@
     if (!needsClaim(incoming))
       return Err(error)
     const key = createRequestKey(incoming.account, requestId)
-    const logVouches = error.kind !== ErrorKind.LogUnavailable && await this.logIsRead(incoming)
+    const isConfirmedByLog = error.kind !== ErrorKind.LogUnavailable && await this.readLogToEnd(incoming)
     const holder = claims.find(key)
     if (holder)
-      return finder.askHolder(incoming, requestId, holder)
-    if (logVouches || await proof.holds(incoming.account, requestId, key))
+      return finder.queryHolder(incoming, requestId, holder)
+    if (isConfirmedByLog || await proof.holds(incoming.account, requestId, key))
       return Err(error)
-    const holderSince = claims.find(key)
-    if (holderSince)
-      return finder.askHolder(incoming, requestId, holderSince)
+    const newHolder = claims.find(key)
+    if (newHolder)
+      return finder.queryHolder(incoming, requestId, newHolder)
     const message = 'The log is unavailable and another entry may have run this request; get its outcome with GET /v1/requests/{id}.'
     return Err(createError(ErrorKind.LogUnavailable, message, { ran: Ran.Unknown }))
   }
 
   /** Reads the log to its end; returns whether that succeeded within the deadline of the request. */
-  private async logIsRead(incoming: IncomingRequest): Promise<boolean> {
+  private async readLogToEnd(incoming: IncomingRequest): Promise<boolean> {
     const { claims } = this.options
     return claims.current && await settleWithin(claims.catchUp(), remainingMs(incoming), incoming.callerGone) === true
   }
@@ -134,13 +134,13 @@
       const message = 'This request id is too old to determine whether the request ran; check its effects, then generate a new id.'
       return createError(ErrorKind.RequestIdExpired, message)
     }
-    if (age < -CLOCK_AHEAD_MS)
+    if (age < -MAX_CLOCK_SKEW_MS)
       return createError(ErrorKind.InvalidRequest, 'The timestamp in this request id is in the future; correct the clock and generate a new UUIDv7.')
     return undefined
   }
 }
 
-function createLogError(): RequestError {
+function createLogUnavailableError(): RequestError {
   const advice = 'retry after the indicated delay, or use a ticket from POST /v1/tickets.'
   return createError(ErrorKind.LogUnavailable, `The log required for unrepeatable requests is unavailable; ${advice}`)
 }
--- a/packages/daemon/src/request/authority/tickets.ts
+++ b/packages/daemon/src/request/authority/tickets.ts
@@ -39,7 +39,7 @@
 export type Ticket = z.infer<typeof ticketSchema>
 
 /** Options of a ticket issuer. */
-export interface TicketOfficeOptions {
+export interface TicketIssuerOptions {
   /** Secret shared by all entries. */
   key: string
   /** Incarnation of this process. */
@@ -51,17 +51,17 @@
 }
 
 /** Reason why a ticket is invalid. */
-export enum TicketFault {
+export enum TicketError {
   Malformed = 'malformed',
   Forged = 'forged',
   Expired = 'expired',
 }
 
 /** Issues and verifies tickets. */
-export class TicketOffice {
+export class TicketIssuer {
   private readonly signingKey: Buffer
 
-  constructor(private readonly options: TicketOfficeOptions, private readonly now: () => number = Date.now) {
+  constructor(private readonly options: TicketIssuerOptions, private readonly now: () => number = Date.now) {
     this.signingKey = createHmac('sha256', options.key).update('eidermast ticket').digest()
   }
 
@@ -74,16 +74,16 @@
   }
 
   /** Verifies the format, signature and expiry time of a ticket. */
-  verify(text: string): Result<Ticket, TicketFault> {
+  verify(text: string): Result<Ticket, TicketError> {
     const [payload, signature, ...rest] = text.split('.')
     if (!payload || !signature || rest.length > 0)
-      return Err(TicketFault.Malformed)
+      return Err(TicketError.Malformed)
     if (!equalSecrets(signature, this.sign(payload)))
-      return Err(TicketFault.Forged)
+      return Err(TicketError.Forged)
     const content = ticketSchema.safeParse(parseJson(Buffer.from(payload, 'base64url').toString()))
     if (!content.success)
-      return Err(TicketFault.Malformed)
-    return content.data.expiresAt < this.now() ? Err(TicketFault.Expired) : Ok(content.data)
+      return Err(TicketError.Malformed)
+    return content.data.expiresAt < this.now() ? Err(TicketError.Expired) : Ok(content.data)
   }
 
   private sign(payload: string): string {
--- a/packages/daemon/src/request/request-service.ts
+++ b/packages/daemon/src/request/request-service.ts
@@ -79,7 +79,7 @@
     const known = this.options.outcomes.find(createRequestKey(incoming.account, requestId))
     if (known)
       return this.join(incoming, requestId, known)
-    return this.authority.refuseEarly(incoming, requestId) ?? this.admitAndRun(incoming, requestId)
+    return this.authority.rejectEarly(incoming, requestId) ?? this.admitAndRun(incoming, requestId)
   }
 
   /** Answers a duplicate with the answer of the first request, within the deadline of the duplicate. */
--- a/packages/daemon/src/request/side/backend-reply.ts
+++ b/packages/daemon/src/request/side/backend-reply.ts
@@ -19,7 +19,7 @@
 export type ReplyBase = Pick<StageReply, 'identity' | 'offset' | 'load'>
 
 /** A finished call to the backend server. */
-export interface EndedCall {
+export interface FinishedCall {
   result: BackendResult
   cancelled: boolean
   /** Time in the queue. */
@@ -31,15 +31,15 @@
 }
 
 /** Creates the reply for a finished call. */
-export function createBackendReply(base: ReplyBase, ended: EndedCall): StageReply {
-  const { result, queueMs, serviceMs, retryAfterMs } = ended
+export function createBackendReply(base: ReplyBase, call: FinishedCall): StageReply {
+  const { result, queueMs, serviceMs, retryAfterMs } = call
   if (result.outcome === BackendOutcome.Done) {
     const { output, status, contentType, tokens } = result
     return { ...base, kind: StageReplyKind.Done, output, status, contentType, tokens, queueMs, serviceMs }
   }
   if (result.outcome === BackendOutcome.Refused)
     return { ...base, kind: StageReplyKind.Refused, reason: RefusalReason.BackendRefused, retryAfterMs }
-  const reason = failureReason(result.outcome, ended.cancelled)
+  const reason = failureReason(result.outcome, call.cancelled)
   return { ...base, kind: StageReplyKind.Failed, reason, message: result.message, serviceMs }
 }
 
--- a/packages/daemon/src/request/side/backend-run.ts
+++ b/packages/daemon/src/request/side/backend-run.ts
@@ -61,7 +61,7 @@
 }
 
 /** Estimated memory of a finished run in bytes. */
-export function sizeOf(run: BackendRun): number {
+export function estimateRunBytes(run: BackendRun): number {
   const output = run.finished?.kind === StageReplyKind.Done ? textBytes(run.finished.output) : 0
   return run.call.input.length + output
 }
--- a/packages/daemon/src/request/side/stage-queue.ts
+++ b/packages/daemon/src/request/side/stage-queue.ts
@@ -24,7 +24,7 @@
 import { Priority } from '../../version/objects.js'
 
 /** A call that waits for a slot. */
-export interface WaitingCall {
+export interface QueuedCall {
   call: StageCall
   /** Arrival time (monotonic, in milliseconds). */
   arrivedAt: number
@@ -35,7 +35,7 @@
 }
 
 /** State of the backend server when a call is offered to the queue. */
-export interface ServerView {
+export interface ServerState {
   /** Current monotonic time in milliseconds. */
   now: number
   /** Calls running on the backend server. */
@@ -55,25 +55,25 @@
 export interface StageQueue {
   readonly size: number
   /** Adds a call to the queue, or returns the reason why it is refused. */
-  offer: (waiting: WaitingCall, server: ServerView) => RefusalReason | undefined
+  offer: (waiting: QueuedCall, server: ServerState) => RefusalReason | undefined
   /** Removes and returns the next call to run and the calls ahead of it that can no longer finish in time. */
-  take: (now: number) => { next?: WaitingCall, late: WaitingCall[] }
+  take: (now: number) => { next?: QueuedCall, late: QueuedCall[] }
   /** Removes a call; returns whether it was queued. */
-  remove: (waiting: WaitingCall) => boolean
+  remove: (waiting: QueuedCall) => boolean
   countByPriority: () => QueuedByPriority
 }
 
 /** Rank of each priority; lower ranks run first. */
-const RANK: Record<Priority, number> = { [Priority.High]: 0, [Priority.Normal]: 1, [Priority.Low]: 2 }
+const PRIORITY_RANK: Record<Priority, number> = { [Priority.High]: 0, [Priority.Normal]: 1, [Priority.Low]: 2 }
 
-function countByPriority(waiting: readonly WaitingCall[]): QueuedByPriority {
+function countByPriority(waiting: readonly QueuedCall[]): QueuedByPriority {
   const counts = { [Priority.High]: 0, [Priority.Normal]: 0, [Priority.Low]: 0 }
   for (const { call } of waiting)
     counts[call.priority]++
   return counts
 }
 
-function removeFrom(list: WaitingCall[], waiting: WaitingCall): boolean {
+function removeFrom(list: QueuedCall[], waiting: QueuedCall): boolean {
   const index = list.indexOf(waiting)
   if (index < 0)
     return false
@@ -83,22 +83,22 @@
 
 /** Unbounded FIFO queue that ignores deadlines (setting `queue = fifo`), a baseline for comparison. */
 export class FifoQueue implements StageQueue {
-  private readonly waiting: WaitingCall[] = []
+  private readonly waiting: QueuedCall[] = []
 
   get size(): number {
     return this.waiting.length
   }
 
-  offer(waiting: WaitingCall): RefusalReason | undefined {
+  offer(waiting: QueuedCall): RefusalReason | undefined {
     this.waiting.push(waiting)
     return undefined
   }
 
-  take(): { next?: WaitingCall, late: WaitingCall[] } {
+  take(): { next?: QueuedCall, late: QueuedCall[] } {
     return { next: this.waiting.shift(), late: [] }
   }
 
-  remove(waiting: WaitingCall): boolean {
+  remove(waiting: QueuedCall): boolean {
     return removeFrom(this.waiting, waiting)
   }
 
@@ -108,7 +108,7 @@
 }
 
 /** Expected remaining fraction of a running call: half on average, because calls arrive at a random point of its run. */
-const UNFINISHED_SHARE = 0.5
+const REMAINING_FRACTION = 0.5
 
 /** Limits of a deadline queue. */
 export interface DeadlineQueueOptions {
@@ -120,7 +120,7 @@
 
 /** Orders calls by priority, then by earliest deadline, and immediately refuses calls that cannot finish in time. */
 export class DeadlineQueue implements StageQueue {
-  private readonly waiting: WaitingCall[] = []
+  private readonly waiting: QueuedCall[] = []
   private bytes = 0
 
   constructor(private readonly options: DeadlineQueueOptions) {}
@@ -129,7 +129,7 @@
     return this.waiting.length
   }
 
-  offer(waiting: WaitingCall, server: ServerView): RefusalReason | undefined {
+  offer(waiting: QueuedCall, server: ServerState): RefusalReason | undefined {
     const free = server.running < server.slots
     if (!free && this.waiting.length >= this.options.limit)
       return RefusalReason.Full
@@ -142,8 +142,8 @@
     return undefined
   }
 
-  take(now: number): { next?: WaitingCall, late: WaitingCall[] } {
-    const late: WaitingCall[] = []
+  take(now: number): { next?: QueuedCall, late: QueuedCall[] } {
+    const late: QueuedCall[] = []
     for (;;) {
       const next = this.waiting.shift()
       if (!next)
@@ -155,7 +155,7 @@
     }
   }
 
-  remove(waiting: WaitingCall): boolean {
+  remove(waiting: QueuedCall): boolean {
     const removed = removeFrom(this.waiting, waiting)
     if (removed)
       this.bytes -= waiting.call.input.length
@@ -167,23 +167,23 @@
   }
 
   /** Expected milliseconds until a slot is free, given the work ahead of the call. */
-  private expectedWait(waiting: WaitingCall, server: ServerView): number {
+  private expectedWait(waiting: QueuedCall, server: ServerState): number {
     if (server.running < server.slots && this.waiting.length === 0)
       return 0
-    const before = this.waiting.filter(other => goesBefore(other, waiting))
+    const before = this.waiting.filter(other => runsBefore(other, waiting))
     const work = before.reduce((sum, other) => sum + other.expectedServiceMs, 0)
-    const runningWork = waiting.expectedServiceMs * server.running * UNFINISHED_SHARE
+    const runningWork = waiting.expectedServiceMs * server.running * REMAINING_FRACTION
     return (work + runningWork) / server.slots
   }
 
-  private insert(waiting: WaitingCall): void {
-    const index = this.waiting.findIndex(other => !goesBefore(other, waiting))
+  private insert(waiting: QueuedCall): void {
+    const index = this.waiting.findIndex(other => !runsBefore(other, waiting))
     this.waiting.splice(index < 0 ? this.waiting.length : index, 0, waiting)
     this.bytes += waiting.call.input.length
   }
 }
 
-function goesBefore(left: WaitingCall, right: WaitingCall): boolean {
-  const rank = RANK[left.call.priority] - RANK[right.call.priority]
+function runsBefore(left: QueuedCall, right: QueuedCall): boolean {
+  const rank = PRIORITY_RANK[left.call.priority] - PRIORITY_RANK[right.call.priority]
   return rank !== 0 ? rank < 0 : left.finishBy <= right.finishBy
 }
--- a/packages/daemon/src/request/side/stage-runner.ts
+++ b/packages/daemon/src/request/side/stage-runner.ts
@@ -28,7 +28,7 @@
 import type { StageMetrics } from '../request-metrics.js'
 import type { ReplyBase } from './backend-reply.js'
 import type { BackendRun } from './backend-run.js'
-import type { StageQueue, WaitingCall } from './stage-queue.js'
+import type { QueuedCall, StageQueue } from './stage-queue.js'
 import type { StageTable } from './stage-table.js'
 import { BackendOutcome } from '../../connection/backend-client.js'
 import { FailureReason, RefusalReason, stageKey, StageReplyKind } from '../../connection/messages.js'
@@ -64,7 +64,7 @@
 
 /** Runs stage calls at one side. */
 export class StageRunner {
-  private readonly pending = new Map<WaitingCall, BackendRun>()
+  private readonly pending = new Map<QueuedCall, BackendRun>()
   private readonly times = new ServiceTimes()
   private running = 0
 
@@ -95,10 +95,10 @@
     const existing = table.find(key)
     if (existing)
       return this.join(existing, onToken)
-    const spent = table.spentKey(key)
-    if (spent?.started)
-      return this.createDroppedReply(call)
-    const refusal = spent ? RefusalReason.Cancelled : side.refusal(call)
+    const tombstone = table.findTombstone(key)
+    if (tombstone?.started)
+      return this.createEvictedReply(call)
+    const refusal = tombstone ? RefusalReason.Cancelled : side.refusal(call)
     return refusal ? this.refuse(call, refusal) : this.enqueue(call, onToken)
   }
 
@@ -107,26 +107,26 @@
     const { table } = this.options
     const run = table.find(key)
     if (!run) {
-      const spent = table.spentKey(key)
-      if (!spent)
-        table.forbid(key)
-      return { started: spent?.started ?? false }
+      const tombstone = table.findTombstone(key)
+      if (!tombstone)
+        table.addTombstone(key)
+      return { started: tombstone?.started ?? false }
     }
     run.cancelled = true
     if (run.started) {
       run.abort.abort()
       return { started: true }
     }
-    this.refuseWaiting(run, RefusalReason.Cancelled)
+    this.refuseQueued(run, RefusalReason.Cancelled)
     return { started: false }
   }
 
   /** Refuses all queued calls if the backend server is leaving, so that entries call another one. */
-  refuseWaitingIfLeaving(): void {
+  refuseQueuedIfLeaving(): void {
     if (!this.options.side.backendLeaving)
       return
     for (const run of [...this.pending.values()])
-      this.refuseWaiting(run, RefusalReason.Draining)
+      this.refuseQueued(run, RefusalReason.Draining)
   }
 
   private join(run: BackendRun, onToken?: LinkTokenListener): Promise<StageReply> {
@@ -140,11 +140,11 @@
     const { queue, slots, table } = this.options
     const now = performance.now()
     const expectedServiceMs = this.times.expectedMs(call)
-    const waiting: WaitingCall = { call, arrivedAt: now, finishBy: now + call.budgetMs, expectedServiceMs }
+    const waiting: QueuedCall = { call, arrivedAt: now, finishBy: now + call.budgetMs, expectedServiceMs }
     const refusal = queue.offer(waiting, { now, running: this.running, slots })
     if (refusal)
       return Promise.resolve(this.refuse(call, refusal))
-    const run = table.open(call)
+    const run = table.add(call)
     addTokenListener(run, onToken)
     this.pending.set(waiting, run)
     this.startNext()
@@ -153,11 +153,11 @@
 
   /** Starts queued calls while slots are free. */
   private startNext(): void {
-    this.refuseWaitingIfLeaving()
+    this.refuseQueuedIfLeaving()
     while (this.running < this.options.slots) {
       const { next, late } = this.options.queue.take(performance.now())
       for (const waiting of late)
-        this.refuseWaiting(this.pending.get(waiting)!, RefusalReason.Late)
+        this.refuseQueued(this.pending.get(waiting)!, RefusalReason.Late)
       if (!next)
         return
       const run = this.pending.get(next)!
@@ -166,7 +166,7 @@
     }
   }
 
-  private async execute(run: BackendRun, waiting: WaitingCall): Promise<void> {
+  private async execute(run: BackendRun, waiting: QueuedCall): Promise<void> {
     const { metrics, table } = this.options
     this.running++
     run.started = true
@@ -208,16 +208,16 @@
     metrics.recordRefusal(reason)
     // A copy of the call that is still in transit must not run after this refusal.
     if (reason !== RefusalReason.OtherIncarnation)
-      table.forbid(stageKey(call.identity))
+      table.addTombstone(stageKey(call.identity))
     return { ...this.replyBase(call), kind: StageReplyKind.Refused, reason, retryAfterMs }
   }
 
-  private createDroppedReply(call: StageCall): StageReply {
+  private createEvictedReply(call: StageCall): StageReply {
     const message = 'the result of this call is no longer available'
     return { ...this.replyBase(call), kind: StageReplyKind.Failed, reason: FailureReason.Cancelled, message, serviceMs: 0 }
   }
 
-  private refuseWaiting(run: BackendRun, reason: RefusalReason): void {
+  private refuseQueued(run: BackendRun, reason: RefusalReason): void {
     for (const [waiting, pending] of this.pending) {
       if (pending !== run)
         continue
--- a/packages/daemon/src/request/side/stage-table.ts
+++ b/packages/daemon/src/request/side/stage-table.ts
@@ -15,8 +15,8 @@
 import type { ResultQuestion, StageCall, StageReply } from '../../connection/messages.js'
 import type { BackendRun } from './backend-run.js'
 import { StageReplyKind } from '../../connection/messages.js'
-import { carriesBody } from '../stages/stage-input.js'
-import { createRun, sizeOf } from './backend-run.js'
+import { matchesBody } from '../stages/stage-input.js'
+import { createRun, estimateRunBytes } from './backend-run.js'
 
 /** Limits of the table. */
 export interface StageTableOptions {
@@ -29,7 +29,7 @@
 }
 
 /** Marks a key that must never run (again). */
-interface SpentKey {
+interface Tombstone {
   /** Creation time in milliseconds. */
   at: number
   /** Whether the backend server may have been called for this key. */
@@ -44,7 +44,7 @@
   private readonly runs = new Map<string, BackendRun>()
   /** Finish time of each finished run in milliseconds, in order of finishing. */
   private readonly finished = new Map<string, number>()
-  private readonly spent = new Map<string, SpentKey>()
+  private readonly tombstones = new Map<string, Tombstone>()
   private bytes = 0
 
   constructor(
@@ -63,22 +63,22 @@
   }
 
   /** Returns the tombstone of a key whose call was cancelled or refused before it ran, or evicted after it finished. */
-  spentKey(key: string): SpentKey | undefined {
-    return this.spent.get(key)
+  findTombstone(key: string): Tombstone | undefined {
+    return this.tombstones.get(key)
   }
 
   /** Finds the result of a finished stage of a request, regardless of which entry called the stage. */
   findFinished(question: ResultQuestion): StageReply | undefined {
     for (const key of this.finished.keys()) {
       const run = this.runs.get(key)!
-      if (run.finished?.kind === StageReplyKind.Done && answersQuestion(run.call, question))
+      if (run.finished?.kind === StageReplyKind.Done && matchesQuery(run.call, question))
         return run.finished
     }
     return undefined
   }
 
   /** Adds a run for a call that is not in the table. */
-  open(call: StageCall): BackendRun {
+  add(call: StageCall): BackendRun {
     const run = createRun(call)
     this.runs.set(run.key, run)
     return run
@@ -92,7 +92,7 @@
     run.settle(reply)
     run.listeners.clear()
     this.finished.set(run.key, this.now())
-    this.bytes += sizeOf(run)
+    this.bytes += estimateRunBytes(run)
     this.evict()
   }
 
@@ -103,9 +103,9 @@
   }
 
   /** Adds a tombstone for a key that has no run, so that the call is refused if it arrives later. */
-  forbid(key: string): void {
-    if (!this.runs.has(key) && !this.spent.has(key))
-      this.spent.set(key, { at: this.now(), started: false })
+  addTombstone(key: string): void {
+    if (!this.runs.has(key) && !this.tombstones.has(key))
+      this.tombstones.set(key, { at: this.now(), started: false })
     this.evict()
   }
 
@@ -113,8 +113,8 @@
     const run = this.runs.get(key)!
     this.runs.delete(key)
     this.finished.delete(key)
-    this.bytes -= sizeOf(run)
-    this.spent.set(key, { at: this.now(), started: run.started })
+    this.bytes -= estimateRunBytes(run)
+    this.tombstones.set(key, { at: this.now(), started: run.started })
   }
 
   private evict(): void {
@@ -126,16 +126,16 @@
       this.drop(key)
     }
     let steps = 0
-    for (const [key, spent] of this.spent) {
-      if (spent.at >= oldest || ++steps > MAX_EVICTION_STEPS)
+    for (const [key, tombstone] of this.tombstones) {
+      if (tombstone.at >= oldest || ++steps > MAX_EVICTION_STEPS)
         break
-      this.spent.delete(key)
+      this.tombstones.delete(key)
     }
   }
 }
 
-function answersQuestion(call: StageCall, question: ResultQuestion): boolean {
+function matchesQuery(call: StageCall, question: ResultQuestion): boolean {
   const { requestId, account, stage } = call.identity
   const sameStage = requestId === question.requestId && account === question.account && stage === question.stage
-  return sameStage && carriesBody(call, question.body)
+  return sameStage && matchesBody(call, question.body)
 }
--- a/packages/daemon/src/request/stages/choice.ts
+++ b/packages/daemon/src/request/stages/choice.ts
@@ -75,19 +75,19 @@
  * Fraction of the service time assumed to be saved by a warm prefix cache. A lower value
  * gives up a warm server sooner, a higher one queues behind it for longer.
  */
-const PREFIX_SAVING = 0.3
+const WARM_CACHE_SAVING = 0.3
 /** Round-trip time to another failure domain. Only breaks ties between equally loaded servers. */
-const CROSS_DOMAIN_MS = 1
+const CROSS_DOMAIN_RTT_MS = 1
 /** Service time assumed until a load report includes a completed call. */
-const UNKNOWN_SERVICE_MS = 10
+const DEFAULT_SERVICE_MS = 10
 
 /** Selects the earliest predicted finish among two random candidates and the one most likely to have a warm cache. */
 export class PredictedChoice implements ChoicePolicy {
   constructor(private readonly random: RandomSource = Math.random) {}
 
   choose<Candidate extends ChoiceCandidate>(candidates: readonly Candidate[], context: ChoiceContext): Candidate {
-    const warm = preferByHash(candidates, context.prefixKey)
-    const sampled = [warm, this.draw(candidates), this.draw(candidates)]
+    const warm = selectByRendezvousHash(candidates, context.prefixKey)
+    const sampled = [warm, this.pickRandom(candidates), this.pickRandom(candidates)]
     let best = warm
     let bestMs = Number.POSITIVE_INFINITY
     for (const candidate of sampled) {
@@ -100,33 +100,33 @@
     return best
   }
 
-  private draw<Candidate>(candidates: readonly Candidate[]): Candidate {
+  private pickRandom<Candidate>(candidates: readonly Candidate[]): Candidate {
     return candidates[Math.floor(this.random() * candidates.length)]
   }
 }
 
 /** Predicted milliseconds until a call that is sent now finishes. */
 export function predictFinishMs(candidate: ChoiceCandidate, context: ChoiceContext, warm: boolean): number {
-  const serviceMs = candidate.load?.meanServiceMs || UNKNOWN_SERVICE_MS
-  const ownMs = warm ? serviceMs * (1 - PREFIX_SAVING) : serviceMs
-  const crossMs = candidate.failureDomain === context.failureDomain ? 0 : CROSS_DOMAIN_MS
-  return predictWaitMs(candidate, context.priority) + ownMs + crossMs
+  const serviceMs = candidate.load?.meanServiceMs || DEFAULT_SERVICE_MS
+  const effectiveServiceMs = warm ? serviceMs * (1 - WARM_CACHE_SAVING) : serviceMs
+  const crossDomainMs = candidate.failureDomain === context.failureDomain ? 0 : CROSS_DOMAIN_RTT_MS
+  return predictWaitMs(candidate, context.priority) + effectiveServiceMs + crossDomainMs
 }
 
 /** Predicted milliseconds until a call gets a slot. */
 export function predictWaitMs(candidate: ChoiceCandidate, priority: Priority): number {
   const { load } = candidate
   if (!load)
-    return candidate.outstanding * UNKNOWN_SERVICE_MS
-  const reported = load.running + countAhead(load, priority) + candidate.sentSinceReport
+    return candidate.outstanding * DEFAULT_SERVICE_MS
+  const reported = load.running + countQueuedAhead(load, priority) + candidate.sentSinceReport
   const ahead = Math.max(reported, candidate.outstanding)
   if (ahead < load.slots)
     return 0
-  return ((ahead - load.slots + 1) / load.slots) * (load.meanServiceMs || UNKNOWN_SERVICE_MS)
+  return ((ahead - load.slots + 1) / load.slots) * (load.meanServiceMs || DEFAULT_SERVICE_MS)
 }
 
 /** Number of queued calls that run before a new call of the given priority. */
-function countAhead(load: Load, priority: Priority): number {
+function countQueuedAhead(load: Load, priority: Priority): number {
   const { queued } = load
   switch (priority) {
     case Priority.High:
@@ -139,7 +139,7 @@
 }
 
 /** Selects a candidate by rendezvous hashing, so that few keys move when candidates are added or removed. */
-export function preferByHash<Candidate extends { backendName: string }>(candidates: readonly Candidate[], key: string): Candidate {
+export function selectByRendezvousHash<Candidate extends { backendName: string }>(candidates: readonly Candidate[], key: string): Candidate {
   const rank = (candidate: Candidate): number => rendezvousHash(candidate.backendName, key)
   return candidates.reduce((best, candidate) => rank(candidate) > rank(best) ? candidate : best)
 }
--- a/packages/daemon/src/request/stages/retry.ts
+++ b/packages/daemon/src/request/stages/retry.ts
@@ -6,7 +6,7 @@
  * services) since it started.
  *
  * The `budget` policy is a token bucket: each started stage adds
- * RETRIES_PER_CALL tokens, up to MAX_SAVED_RETRIES, and a retry takes one token.
+ * RETRY_TOKENS_PER_STAGE tokens, up to MAX_RETRY_TOKENS, and a retry takes one token.
  * A stage makes at most MAX_BUDGET_ATTEMPTS calls. With a fixed number of
  * attempts per stage, a failing pool would receive a multiple of its normal load
  * when it is least able to handle it.
@@ -14,15 +14,15 @@
  * Log events: `failed`, then `choose` if a retry is allowed. Metric:
  * `eidermast_retries_total`.
  *
- * State: the token balance, in memory. It starts at START_RETRIES after a restart.
+ * State: the token balance, in memory. It starts at INITIAL_RETRY_TOKENS after a restart.
  */
 
 /** Retry policy. */
 export interface RetryPolicy {
   /** Records the first call of a stage. */
-  recordCall: () => void
+  recordFirstCall: () => void
   /** Consumes a retry and returns true if one is allowed after `attempt` calls. */
-  take: (attempt: number) => boolean
+  tryAcquire: (attempt: number) => boolean
 }
 
 /** Calls per stage, including the first. Half as many allow no retry; twice as many load a failing pool six times over. */
@@ -30,34 +30,34 @@
 
 /** Fixed number of calls per stage (setting `retry = fixed`), a baseline for comparison. */
 export class FixedRetry implements RetryPolicy {
-  recordCall(): void {}
+  recordFirstCall(): void {}
 
-  take(attempt: number): boolean {
+  tryAcquire(attempt: number): boolean {
     return attempt < MAX_FIXED_ATTEMPTS
   }
 }
 
 /** Tokens per started stage. Half as many fail requests when 10% of calls fail; twice as many add up to 40% load. */
-const RETRIES_PER_CALL = 0.2
+const RETRY_TOKENS_PER_STAGE = 0.2
 /** Initial tokens, so that a new entry can retry at once. Affects only about its first 50 calls. */
-const START_RETRIES = 10
+const INITIAL_RETRY_TOKENS = 10
 /** Maximum tokens. Fewer cover shorter bursts of failures; more allow longer bursts of additional load. */
-const MAX_SAVED_RETRIES = 50
+const MAX_RETRY_TOKENS = 50
 /** Calls per stage, including the first. Half as many leave a single retry; twice as many rarely fit into a deadline. */
 const MAX_BUDGET_ATTEMPTS = 5
 
 /** Limits retries to a fraction of recent calls to avoid overloading a failing pool. */
 export class BudgetRetry implements RetryPolicy {
-  private balance = START_RETRIES
+  private tokenBalance = INITIAL_RETRY_TOKENS
 
-  recordCall(): void {
-    this.balance = Math.min(MAX_SAVED_RETRIES, this.balance + RETRIES_PER_CALL)
+  recordFirstCall(): void {
+    this.tokenBalance = Math.min(MAX_RETRY_TOKENS, this.tokenBalance + RETRY_TOKENS_PER_STAGE)
   }
 
-  take(attempt: number): boolean {
-    if (attempt >= MAX_BUDGET_ATTEMPTS || this.balance < 1)
+  tryAcquire(attempt: number): boolean {
+    if (attempt >= MAX_BUDGET_ATTEMPTS || this.tokenBalance < 1)
       return false
-    this.balance--
+    this.tokenBalance--
     return true
   }
 }
--- a/packages/daemon/src/request/stages/stage-attempt.ts
+++ b/packages/daemon/src/request/stages/stage-attempt.ts
@@ -18,8 +18,8 @@
 import { wait } from '@eidermast/common'
 import { LinkOutcome } from '../../connection/link-call.js'
 import { answersCall } from '../../connection/messages.js'
-import { isOtherIncarnation } from './call-end.js'
-import { isOver } from './stage-task.js'
+import { isOtherIncarnation } from './call-result.js'
+import { hasEnded } from './stage-task.js'
 
 /** One call of a stage. */
 export interface StageAttempt {
@@ -35,12 +35,12 @@
  * Delay before a call whose reply was lost is sent again. A shorter delay sends more calls to
  * a side that is restarting; doubling it adds up to 50 ms to a call that recovers.
  */
-const ASK_AGAIN_MS = 50
+const RESEND_DELAY_MS = 50
 
 /** Sends a call and records in the request's progress what may have run. */
 export async function sendAttempt(task: StageTask, attempt: StageAttempt): Promise<LinkResult> {
   task.progress.pending = true
-  const result = task.unrepeatable ? await sendUntilKnown(task, attempt) : await sendOnce(task, attempt)
+  const result = task.unrepeatable ? await sendWithResend(task, attempt) : await sendOnce(task, attempt)
   task.progress.pending = false
   if (result.outcome === LinkOutcome.Lost)
     task.progress.inDoubt = true
@@ -48,14 +48,14 @@
 }
 
 /** Sends a call and resends it to the same process incarnation while its reply is lost. */
-async function sendUntilKnown(task: StageTask, attempt: StageAttempt): Promise<LinkResult> {
+async function sendWithResend(task: StageTask, attempt: StageAttempt): Promise<LinkResult> {
   let result = await sendOnce(task, attempt)
   if (result.outcome !== LinkOutcome.Lost)
     return result
   for (;;) {
-    await wait(ASK_AGAIN_MS, task.signal)
+    await wait(RESEND_DELAY_MS, task.signal)
     const { incarnation } = attempt.backend.link
-    if (isOver(task) || incarnation !== attempt.call.identity.sideIncarnation)
+    if (hasEnded(task) || incarnation !== attempt.call.identity.sideIncarnation)
       return lost('the reply was lost and the call cannot be sent again')
     attempt.call.budgetMs = task.budgetMs()
     result = await sendOnce(task, attempt)
@@ -77,10 +77,10 @@
   task.signal.addEventListener('abort', onAbort)
   const result = await Promise.race([link.call(attempt.call, task.onToken), cancelled])
   task.signal.removeEventListener('abort', onAbort)
-  return answersAnother(attempt.call, result) ? lost('the reply belongs to another call') : result
+  return isReplyToOtherCall(attempt.call, result) ? lost('the reply belongs to another call') : result
 }
 
-function answersAnother(call: StageCall, result: LinkResult): boolean {
+function isReplyToOtherCall(call: StageCall, result: LinkResult): boolean {
   if (result.outcome !== LinkOutcome.Replied || isOtherIncarnation(result))
     return false
   return !answersCall(call.identity, result.reply.identity)
--- a/packages/daemon/src/request/stages/stage-caller.ts
+++ b/packages/daemon/src/request/stages/stage-caller.ts
@@ -26,10 +26,10 @@
 import { Err, Ok } from 'ts-results-es'
 import { LinkOutcome } from '../../connection/link-call.js'
 import { StageReplyKind } from '../../connection/messages.js'
-import { describeCause, isProvablyNotRun } from './call-end.js'
+import { describeCause, isProvablyNotRun } from './call-result.js'
 import { sendAttempt } from './stage-attempt.js'
 import { createDeadlineError, createNoBackendError, decideOnFailure, FailureStep } from './stage-failure.js'
-import { describeProgress, isOver } from './stage-task.js'
+import { describeProgress, hasEnded } from './stage-task.js'
 import { TriedBackends } from './tried-backends.js'
 
 /** Dependencies of a stage caller. */
@@ -54,21 +54,21 @@
   async run(task: StageTask): Promise<Result<StageSuccess, RequestError>> {
     const startedAt = performance.now()
     const tried = new TriedBackends()
-    let newestRefusal: RefusedReply | undefined
-    this.options.retry.recordCall()
+    let latestRefusal: RefusedReply | undefined
+    this.options.retry.recordFirstCall()
     for (let number = 1; ; number++) {
-      if (isOver(task))
+      if (hasEnded(task))
         return Err(createDeadlineError(describeProgress(task.progress)))
       const backend = this.choose(task, tried, number)
       if (!backend)
-        return Err(createNoBackendError(task.stage.name, newestRefusal, describeProgress(task.progress)))
+        return Err(createNoBackendError(task.stage.name, latestRefusal, describeProgress(task.progress)))
       const attempt = this.createAttempt(task, backend, number)
       const result = await sendAttempt(task, attempt)
       if (result.outcome === LinkOutcome.Replied && result.reply.kind === StageReplyKind.Done)
-        return Ok(this.takeSuccess(task, attempt, result.reply, startedAt))
-      newestRefusal = findRefusal(result) ?? newestRefusal
+        return Ok(this.handleSuccess(task, attempt, result.reply, startedAt))
+      latestRefusal = findRefusal(result) ?? latestRefusal
       tried.add(backend, result)
-      const decision = this.takeFailure(task, attempt, result)
+      const decision = this.handleFailure(task, attempt, result)
       if (decision.step === FailureStep.Fail)
         return Err(decision.error)
     }
@@ -120,7 +120,7 @@
     return { backend, call, number, startedAt: performance.now() }
   }
 
-  private takeSuccess(task: StageTask, attempt: StageAttempt, reply: DoneReply, startedAt: number): StageSuccess {
+  private handleSuccess(task: StageTask, attempt: StageAttempt, reply: DoneReply, startedAt: number): StageSuccess {
     const { backendName, link } = attempt.backend
     const stage = task.stage.name
     const { queueMs, serviceMs } = reply
@@ -134,30 +134,30 @@
     return { reply, report: { stage, backend: backendName, milliseconds, cost, attempts: attempt.number } }
   }
 
-  private takeFailure(task: StageTask, attempt: StageAttempt, result: LinkResult): FailureDecision {
+  private handleFailure(task: StageTask, attempt: StageAttempt, result: LinkResult): FailureDecision {
     const stage = task.stage.name
     const cause = describeCause(result)
     const failed = { stage, attempt: attempt.number, backend: attempt.backend.backendName, cause }
     this.options.decisions.record('failed', task.requestId, failed)
     if (result.outcome === LinkOutcome.Replied && result.reply.kind === StageReplyKind.Failed)
-      this.recordWaste(task, attempt, result.reply)
+      this.recordWastedCost(task, attempt, result.reply)
     if (!isProvablyNotRun(result))
-      this.recordEjectionSign(task, attempt)
+      this.reportToEjection(task, attempt)
     const decision = decideOnFailure({
       stageName: stage,
       attempt: attempt.number,
       result,
       unrepeatable: task.unrepeatable,
       streamed: task.onToken !== undefined,
-      over: isOver(task),
+      ended: hasEnded(task),
       ran: describeProgress(task.progress),
     }, this.options.retry)
-    if (decision.step === FailureStep.CallAgain)
+    if (decision.step === FailureStep.Retry)
       this.options.metrics.recordRetry(stage, cause)
     return decision
   }
 
-  private recordEjectionSign(task: StageTask, attempt: StageAttempt): void {
+  private reportToEjection(task: StageTask, attempt: StageAttempt): void {
     const { backendName } = attempt.backend
     // A call that was cancelled with its request says nothing about the backend server unless it had run far too long.
     if (task.signal.aborted)
@@ -166,7 +166,7 @@
       this.options.ejection.recordFailure(backendName)
   }
 
-  private recordWaste(task: StageTask, attempt: StageAttempt, reply: FailedReply): void {
+  private recordWastedCost(task: StageTask, attempt: StageAttempt, reply: FailedReply): void {
     task.progress.started = true
     attempt.backend.link.acknowledge(attempt.call)
     this.options.metrics.recordCost(task.stage.name, stageCost(task.stage, reply.serviceMs), true)
--- a/packages/daemon/src/request/stages/stage-failure.ts
+++ b/packages/daemon/src/request/stages/stage-failure.ts
@@ -26,7 +26,7 @@
 import { createError, ErrorKind, Ran } from '@eidermast/common'
 import { LinkOutcome } from '../../connection/link-call.js'
 import { RefusalReason, StageReplyKind } from '../../connection/messages.js'
-import { describeCause, isProvablyNotRun } from './call-end.js'
+import { describeCause, isProvablyNotRun } from './call-result.js'
 
 /** A failed stage call. */
 export interface FailedCall {
@@ -38,19 +38,19 @@
   /** Whether the tokens of the stage are streamed to the caller. */
   streamed: boolean
   /** Whether the request has ended or has no time left. */
-  over: boolean
+  ended: boolean
   /** What is known about work that ran, including this call. */
   ran: Ran
 }
 
 /** Next step after a failed call. */
 export enum FailureStep {
-  CallAgain = 'call-again',
+  Retry = 'call-again',
   Fail = 'fail',
 }
 
 /** Next step after a failed call, with the error if the request fails. */
-export type FailureDecision = { step: FailureStep.CallAgain } | { step: FailureStep.Fail, error: RequestError }
+export type FailureDecision = { step: FailureStep.Retry } | { step: FailureStep.Fail, error: RequestError }
 
 /** Decides the next step after a failed call. Consults the retry policy last, because asking it consumes a retry. */
 export function decideOnFailure(failed: FailedCall, retry: RetryPolicy): FailureDecision {
@@ -61,11 +61,11 @@
     const message = `Stage ${failed.stageName} failed during streaming; send the request again.`
     return fail(createError(ErrorKind.StageFailed, message, { ran: failed.ran }))
   }
-  if (failed.over)
+  if (failed.ended)
     return fail(createDeadlineError(failed.ran))
-  if (!retry.take(failed.attempt))
-    return fail(createRetriesUsedError(failed))
-  return { step: FailureStep.CallAgain }
+  if (!retry.tryAcquire(failed.attempt))
+    return fail(createRetriesExhaustedError(failed))
+  return { step: FailureStep.Retry }
 }
 
 /** Creates the error of a request that ran out of time. */
@@ -97,7 +97,7 @@
   return createError(ErrorKind.OutcomeUnknown, `The reply from stage ${stageName} was lost, and ${advice}`, { ran: Ran.Unknown })
 }
 
-function createRetriesUsedError({ stageName, result, ran }: FailedCall): RequestError {
+function createRetriesExhaustedError({ stageName, result, ran }: FailedCall): RequestError {
   if (result.outcome === LinkOutcome.Replied && result.reply.kind === StageReplyKind.Refused)
     return createNoBackendError(stageName, result.reply, ran)
   return createError(ErrorKind.StageFailed, `Stage ${stageName} failed (${describeCause(result)}); send the request again.`, { ran })
--- a/packages/daemon/src/request/stages/stage-input.ts
+++ b/packages/daemon/src/request/stages/stage-input.ts
@@ -14,7 +14,7 @@
 }
 
 /** Whether a stage call belongs to a request with the given body. */
-export function carriesBody(call: StageCall, body: string): boolean {
+export function matchesBody(call: StageCall, body: string): boolean {
   if (call.serviceRequest)
     return call.input === body
   return stageInputSchema.safeParse(parseJson(call.input)).data?.input === body
--- a/packages/daemon/src/request/stages/stage-task.ts
+++ b/packages/daemon/src/request/stages/stage-task.ts
@@ -47,7 +47,7 @@
 }
 
 /** Whether the request has ended or the stage has no time left, so that it must not be called again. */
-export function isOver(task: StageTask): boolean {
+export function hasEnded(task: StageTask): boolean {
   return task.signal.aborted || task.budgetMs() <= 0
 }
 
--- a/packages/daemon/src/request/stages/tried-backends.ts
+++ b/packages/daemon/src/request/stages/tried-backends.ts
@@ -15,7 +15,7 @@
  */
 import type { LinkResult } from '../../connection/link-call.js'
 import type { LinkedBackend } from './linked-backends.js'
-import { isProvablyNotRun } from './call-end.js'
+import { isProvablyNotRun } from './call-result.js'
 
 /** Tracks the backend servers on which a stage has been tried. */
 export class TriedBackends {
--- a/test/request/authority/claims.test.ts
+++ b/test/request/authority/claims.test.ts
@@ -64,7 +64,7 @@
 const SHORT_DOUBT_MS = 1
 
 function createRegistry(log: LogClient, doubtMs = 600_000): ClaimRegistry {
-  return new ClaimRegistry(log, { incarnation: uuidv7(), address: '127.0.0.1:1', batchMs: 0, memoryMs: 600_000, doubtMs })
+  return new ClaimRegistry(log, { incarnation: uuidv7(), address: '127.0.0.1:1', batchMs: 0, memoryMs: 600_000, readBackTimeoutMs: doubtMs })
 }
 
 /** Waits until the log holds a number of records. */
--- a/test/request/authority/run-authority.test.ts
+++ b/test/request/authority/run-authority.test.ts
@@ -50,11 +50,11 @@
   log = new SwitchedLog()
   requestId = uuidv7()
   othersDeny = false
-  const claims = new ClaimRegistry(log, { incarnation: uuidv7(), address: '127.0.0.1:1', batchMs: 0, memoryMs: 600_000, doubtMs: 1 })
+  const claims = new ClaimRegistry(log, { incarnation: uuidv7(), address: '127.0.0.1:1', batchMs: 0, memoryMs: 600_000, readBackTimeoutMs: 1 })
   claims.apply(log.page(0))
   authority = new RunAuthority({
     claims,
-    finder: { askHolder: async () => Err(ASKED) },
+    finder: { queryHolder: async () => Err(ASKED) },
     proof: { holds: async () => othersDeny },
     claimMemoryMs: 600_000,
     log: { claimed: vi.fn() },
--- a/test/request/side/stage-runner.test.ts
+++ b/test/request/side/stage-runner.test.ts
@@ -129,7 +129,7 @@
   })
 
   test.each([
-    ['at once', (bench: SideBench) => bench.runner.refuseWaitingIfLeaving()],
+    ['at once', (bench: SideBench) => bench.runner.refuseQueuedIfLeaving()],
     ['at their turn at the latest', (bench: SideBench) => bench.endOldest(BackendOutcome.Done)],
   ])('that wait are refused %s when the backend server begins to leave, and the running one ends', async (_name, next) => {
     const bench = new SideBench()
--- a/test/request/stages/choice.test.ts
+++ b/test/request/stages/choice.test.ts
@@ -1,5 +1,5 @@
 import type { ChoiceCandidate, ChoiceContext, Load } from '@eidermast/daemon'
-import { PredictedChoice, predictFinishMs, predictWaitMs, preferByHash, Priority, RoundRobinChoice } from '@eidermast/daemon'
+import { PredictedChoice, predictFinishMs, predictWaitMs, Priority, RoundRobinChoice, selectByRendezvousHash } from '@eidermast/daemon'
 import { describe, expect, test } from 'vitest'
 import { createLoad } from '../../support/fixtures.js'
 
@@ -36,11 +36,11 @@
   const candidates = ['a', 'b', 'c', 'd'].map(backendName => createCandidate({ backendName }))
 
   test('takes the likeliest warm cache while nobody waits', () => {
-    expect(new PredictedChoice(() => 0).choose(candidates, CONTEXT)).toBe(preferByHash(candidates, CONTEXT.prefixKey))
+    expect(new PredictedChoice(() => 0).choose(candidates, CONTEXT)).toBe(selectByRendezvousHash(candidates, CONTEXT.prefixKey))
   })
 
   test('prefers a cold cache to a warm one whose queue is long', () => {
-    const warm = preferByHash(candidates, CONTEXT.prefixKey)
+    const warm = selectByRendezvousHash(candidates, CONTEXT.prefixKey)
     const load = createBusyLoad({ high: 9, normal: 0, low: 0 })
     const busy = candidates.map(candidate => candidate === warm ? { ...candidate, load } : candidate)
     const cold = busy.findIndex(candidate => candidate.backendName !== warm.backendName)
@@ -51,9 +51,9 @@
     const keys = Array.from({ length: 200 }, (_, index) => `key ${index}`)
     const without = candidates.filter(candidate => candidate.backendName !== 'b')
     for (const key of keys) {
-      const before = preferByHash(candidates, key)
+      const before = selectByRendezvousHash(candidates, key)
       if (before.backendName !== 'b')
-        expect(preferByHash(without, key)).toBe(before)
+        expect(selectByRendezvousHash(without, key)).toBe(before)
     }
   })
 
--- a/test/request/stages/retry.test.ts
+++ b/test/request/stages/retry.test.ts
@@ -4,13 +4,13 @@
 describe('retries', () => {
   test('are a share of recent calls', () => {
     const retry = new BudgetRetry()
-    while (retry.take(1));
+    while (retry.tryAcquire(1));
     for (let index = 0; index < 11; index++)
-      retry.recordCall()
-    expect([retry.take(1), retry.take(1), retry.take(1)]).toEqual([true, true, false])
+      retry.recordFirstCall()
+    expect([retry.tryAcquire(1), retry.tryAcquire(1), retry.tryAcquire(1)]).toEqual([true, true, false])
   })
 
   test('are a fixed number in the baseline', () => {
-    expect([1, 2, 3].map(attempt => new FixedRetry().take(attempt))).toEqual([true, true, false])
+    expect([1, 2, 3].map(attempt => new FixedRetry().tryAcquire(attempt))).toEqual([true, true, false])
   })
 })
--- a/test/request/stages/stage-failure.test.ts
+++ b/test/request/stages/stage-failure.test.ts
@@ -37,7 +37,7 @@
     result: LOST,
     unrepeatable: false,
     streamed: false,
-    over: false,
+    ended: false,
     ran: Ran.None,
     ...change,
   }
@@ -53,14 +53,14 @@
     ['whose reply was lost, of a repeatable request', { result: LOST }],
     ['that failed, of a repeatable request', { result: FAILED, ran: Ran.Part }],
   ])('is made again: one %s', (_name, change) => {
-    expect(decide(change)).toEqual({ step: FailureStep.CallAgain })
+    expect(decide(change)).toEqual({ step: FailureStep.Retry })
   })
 
   test.each<[string, Partial<FailedCall>, ErrorKind, Ran]>([
     ['an unrepeatable one whose reply was lost', { unrepeatable: true, ran: Ran.Unknown }, ErrorKind.OutcomeUnknown, Ran.Unknown],
     ['an unrepeatable one that failed', { result: FAILED, unrepeatable: true, ran: Ran.Part }, ErrorKind.StageFailed, Ran.Part],
     ['a streamed one whose reply was lost', { streamed: true, ran: Ran.Unknown }, ErrorKind.StageFailed, Ran.Unknown],
-    ['one whose time is over', { over: true, ran: Ran.Unknown }, ErrorKind.DeadlineExceeded, Ran.Unknown],
+    ['one whose time is over', { ended: true, ran: Ran.Unknown }, ErrorKind.DeadlineExceeded, Ran.Unknown],
     ['the last one permitted', { attempt: LAST_ATTEMPT, result: FAILED, ran: Ran.Part }, ErrorKind.StageFailed, Ran.Part],
     ['the last one permitted, refused as full', LAST_REFUSED_AS_FULL, ErrorKind.DeadlineUnreachable, Ran.None],
     ['the last one permitted, refused by a leaving server', LAST_REFUSED_AS_LEAVING, ErrorKind.NoBackend, Ran.None],
@@ -70,9 +70,9 @@
 
   test('asks the retry policy nothing where the call may not be made again anyway', () => {
     const taken: number[] = []
-    const retry = { recordCall: () => {}, take: (attempt: number) => taken.push(attempt) > 0 }
+    const retry = { recordFirstCall: () => {}, tryAcquire: (attempt: number) => taken.push(attempt) > 0 }
     decide({ unrepeatable: true, ran: Ran.Unknown }, retry)
-    decide({ result: NOT_SENT, over: true }, retry)
+    decide({ result: NOT_SENT, ended: true }, retry)
     expect(taken).toEqual([])
   })
 })
