--- a/packages/daemon/src/process/entry/request-intake.ts
+++ b/packages/daemon/src/process/entry/request-intake.ts
@@ -83,7 +83,7 @@
       plan: ticket.value ? { ...plan, unrepeatable: true } : plan,
       body: call.body,
       arrivedAt: call.arrivedAt,
-      callerGone: call.callerGone,
+      callerSignal: call.callerGone,
     })
   }
 
@@ -110,7 +110,7 @@
       body: request.body,
       arrivedAt: performance.now(),
       // The caller's connection ends at the other entry; the deadline bounds the run.
-      callerGone: UNABORTED,
+      callerSignal: UNABORTED,
     }
   }
 
--- a/packages/daemon/src/request/account-load.ts
+++ b/packages/daemon/src/request/account-load.ts
@@ -19,12 +19,12 @@
   }
 
   /** Number of requests in flight of one account. */
-  of(account: string): number {
+  inFlightOf(account: string): number {
     return this.accounts.get(account)?.inFlight ?? 0
   }
 
   /** Returns the account's fraction of the total weight of active accounts, including itself. */
-  shareWith(account: string, share: number): number {
+  relativeShare(account: string, share: number): number {
     let sum = share
     for (const [name, active] of this.accounts) {
       if (name !== account)
--- a/packages/daemon/src/request/admission.ts
+++ b/packages/daemon/src/request/admission.ts
@@ -12,9 +12,9 @@
  * The `deadline` policy sheds a request if the limit on requests in flight is
  * reached, if a stage has no backend server, or if the expected time exceeds the
  * deadline: a request that will miss its deadline takes capacity from one that
- * would not. If the expected queueing time exceeds CONGESTED_SHARE of the deadline,
+ * would not. If the expected queueing time exceeds CONGESTION_THRESHOLD of the deadline,
  * it also sheds requests of accounts that exceed their fair share, which is scaled
- * by SHARE_SLACK and at least MIN_ACCOUNT_IN_FLIGHT. Shares are only enforced under
+ * by SHARE_TOLERANCE and at least MIN_ACCOUNT_IN_FLIGHT. Shares are only enforced under
  * congestion so that a single busy account can use otherwise idle capacity.
  *
  * Log events: `admit`, `shed`.
@@ -26,7 +26,7 @@
 import { predictWaitMs } from './stages/choice.js'
 
 /** Inputs of an admission decision. */
-export interface AdmissionView {
+export interface AdmissionInput {
   /** Requests in flight at this entry for this kind of work. */
   inFlight: number
   /** Maximum number of requests in flight. */
@@ -44,40 +44,40 @@
 }
 
 /** Estimates the duration of a plan from the latest load reports. The queueing time covers the stages before the first one without a backend server. */
-export function estimatePlan(plan: RequestPlan, backends: LinkedBackends): Pick<AdmissionView, 'expectedMs' | 'expectedWaitMs'> {
+export function estimateDuration(plan: RequestPlan, backends: LinkedBackends): Pick<AdmissionInput, 'expectedMs' | 'expectedWaitMs'> {
   let serviceMs = 0
   let waitMs = 0
   for (const stage of plan.stages) {
     const candidates = backends.candidates(stage)
     if (candidates.length === 0)
       return { expectedMs: undefined, expectedWaitMs: waitMs }
-    waitMs += meanOf(candidates.map(candidate => predictWaitMs(candidate, plan.priority)))
-    serviceMs += meanOf(candidates.map(candidate => candidate.load?.meanServiceMs ?? 0))
+    waitMs += mean(candidates.map(candidate => predictWaitMs(candidate, plan.priority)))
+    serviceMs += mean(candidates.map(candidate => candidate.load?.meanServiceMs ?? 0))
   }
   return { expectedMs: serviceMs + waitMs, expectedWaitMs: waitMs }
 }
 
-function meanOf(values: readonly number[]): number {
+function mean(values: readonly number[]): number {
   return values.reduce((sum, value) => sum + value, 0) / values.length
 }
 
 /** Admission policy. */
 export interface AdmissionPolicy {
   /** Returns the error with which a request is shed, or undefined if it is admitted. */
-  decide: (view: AdmissionView) => RequestError | undefined
+  decide: (input: AdmissionInput) => RequestError | undefined
 }
 
-function refuseOverLimit(view: AdmissionView): RequestError | undefined {
-  if (view.inFlight < view.inFlightLimit)
+function checkInFlightLimit(input: AdmissionInput): RequestError | undefined {
+  if (input.inFlight < input.inFlightLimit)
     return undefined
   const message = 'This entry has reached its limit of requests in flight; retry after the indicated delay.'
-  return createError(ErrorKind.Overloaded, message, { retryAfterMs: view.expectedWaitMs })
+  return createError(ErrorKind.Overloaded, message, { retryAfterMs: input.expectedWaitMs })
 }
 
 /** Admits everything up to the limit of requests in flight (setting `admission = all`), a baseline for comparison. */
 export class AdmitAll implements AdmissionPolicy {
-  decide(view: AdmissionView): RequestError | undefined {
-    return refuseOverLimit(view)
+  decide(input: AdmissionInput): RequestError | undefined {
+    return checkInFlightLimit(input)
   }
 }
 
@@ -85,33 +85,33 @@
  * Fraction of the deadline spent queueing above which shares are enforced. Half of it would enforce
  * them before any request is late, twice only after many are.
  */
-const CONGESTED_SHARE = 0.3
+const CONGESTION_THRESHOLD = 0.3
 /** Tolerance factor for shares. Half of it would shed accounts within their share; twice would let one account take everything. */
-const SHARE_SLACK = 1.25
+const SHARE_TOLERANCE = 1.25
 /** Half of it would shed small accounts for two concurrent requests; twice would favour many small accounts. */
 const MIN_ACCOUNT_IN_FLIGHT = 4
 
 /** Sheds requests that cannot meet their deadline and, under congestion, requests of accounts that exceed their share. */
 export class DeadlineAdmission implements AdmissionPolicy {
-  decide(view: AdmissionView): RequestError | undefined {
-    const overLimit = refuseOverLimit(view)
+  decide(input: AdmissionInput): RequestError | undefined {
+    const overLimit = checkInFlightLimit(input)
     if (overLimit)
       return overLimit
-    if (view.expectedMs === undefined)
+    if (input.expectedMs === undefined)
       return createError(ErrorKind.NoBackend, 'No backend server is available for one of the stages; retry after the indicated delay.')
-    if (view.expectedMs > view.deadlineMs) {
+    if (input.expectedMs > input.deadlineMs) {
       const message = 'The deadline cannot be met at the current load; retry after the indicated delay or set a longer deadline.'
-      return createError(ErrorKind.DeadlineUnreachable, message, { retryAfterMs: Math.max(view.expectedMs - view.deadlineMs, 1) })
+      return createError(ErrorKind.DeadlineUnreachable, message, { retryAfterMs: Math.max(input.expectedMs - input.deadlineMs, 1) })
     }
-    if (!exceedsShare(view))
+    if (!exceedsShare(input))
       return undefined
     const message = 'The client account has more requests in flight than its share; retry after the indicated delay.'
-    return createError(ErrorKind.AccountOverShare, message, { retryAfterMs: view.expectedWaitMs })
+    return createError(ErrorKind.AccountOverShare, message, { retryAfterMs: input.expectedWaitMs })
   }
 }
 
-function exceedsShare(view: AdmissionView): boolean {
-  const congested = view.expectedWaitMs > view.deadlineMs * CONGESTED_SHARE
-  const fairInFlight = Math.max(MIN_ACCOUNT_IN_FLIGHT, (view.inFlight + 1) * view.accountShare * SHARE_SLACK)
-  return congested && view.accountInFlight + 1 > fairInFlight
+function exceedsShare(input: AdmissionInput): boolean {
+  const congested = input.expectedWaitMs > input.deadlineMs * CONGESTION_THRESHOLD
+  const allowedInFlight = Math.max(MIN_ACCOUNT_IN_FLIGHT, (input.inFlight + 1) * input.accountShare * SHARE_TOLERANCE)
+  return congested && input.accountInFlight + 1 > allowedInFlight
 }
--- a/packages/daemon/src/request/authority/outcome-finder.ts
+++ b/packages/daemon/src/request/authority/outcome-finder.ts
@@ -64,13 +64,13 @@
   async answerForPeer(request: PeerOutcomeQuery): Promise<RequestAnswer> {
     const { account, requestId, digest, deadlineMs } = request
     const key = createRequestKey(account, requestId)
-    const known = this.options.outcomes.find(key)
-    if (known && known.digest !== digest)
+    const existing = this.options.outcomes.find(key)
+    if (existing && existing.digest !== digest)
       return Err(createError(ErrorKind.RequestIdReused, 'This request id was already used for a different request; generate a new id.'))
-    if (known) {
-      const answer = await settleWithin(known.answer, deadlineMs, UNABORTED)
+    if (existing) {
+      const answer = await settleWithin(existing.answer, deadlineMs, UNABORTED)
       const advice = 'get its outcome with GET /v1/requests/{id}.'
-      return known.finished ?? answer ?? createUnknownOutcome(`The request is still running or its answer is no longer stored; ${advice}`)
+      return existing.finished ?? answer ?? createUnknownOutcome(`The request is still running or its answer is no longer stored; ${advice}`)
     }
     const holder = this.options.claims.find(key)
     if (holder && this.options.claims.isAbandoned(holder)) {
--- a/packages/daemon/src/request/authority/run-authority.ts
+++ b/packages/daemon/src/request/authority/run-authority.ts
@@ -81,7 +81,7 @@
       return { granted: true }
     const { claims, finder, log, metrics } = this.options
     const attempt = claims.claim(incoming.account, requestId)
-    const result = await settleWithin(attempt.result, remainingMs(incoming), incoming.callerGone)
+    const result = await settleWithin(attempt.result, remainingMs(incoming), incoming.callerSignal)
     const end = result?.kind ?? REQUEST_ENDED
     log.claimed(incoming, requestId, end)
     metrics.recordClaim(end)
@@ -116,7 +116,7 @@
   /** Reads the log to its end; returns whether that succeeded within the deadline of the request. */
   private async readLogToEnd(incoming: IncomingRequest): Promise<boolean> {
     const { claims } = this.options
-    return claims.current && await settleWithin(claims.catchUp(), remainingMs(incoming), incoming.callerGone) === true
+    return claims.current && await settleWithin(claims.catchUp(), remainingMs(incoming), incoming.callerSignal) === true
   }
 
   /** Releases a claim that is won after its request ended: nothing was dispatched and nothing will be. */
--- a/packages/daemon/src/request/incoming-request.ts
+++ b/packages/daemon/src/request/incoming-request.ts
@@ -22,7 +22,7 @@
   /** Arrival time (monotonic, in milliseconds). */
   arrivedAt: number
   /** Aborted when the caller disconnects. */
-  callerGone: AbortSignal
+  callerSignal: AbortSignal
   onToken?: LinkTokenListener
 }
 
--- a/packages/daemon/src/request/outcomes.ts
+++ b/packages/daemon/src/request/outcomes.ts
@@ -25,7 +25,7 @@
   /** Resolves with the final answer. */
   answer: Promise<RequestAnswer>
   /** Resolves `answer`. */
-  settle: (answer: RequestAnswer) => void
+  resolve: (answer: RequestAnswer) => void
   /** The answer, once the request has finished and until the answer is evicted. */
   finished?: RequestAnswer
   state: OutcomeState
@@ -77,12 +77,12 @@
   }
 
   /** Adds a request that starts. */
-  open(key: string, digest: string, unrepeatable: boolean): Outcome {
-    let settle!: (answer: RequestAnswer) => void
+  add(key: string, digest: string, unrepeatable: boolean): Outcome {
+    let resolveAnswer!: (answer: RequestAnswer) => void
     const answer = new Promise<RequestAnswer>((resolve) => {
-      settle = resolve
+      resolveAnswer = resolve
     })
-    const outcome: Outcome = { key, digest, unrepeatable, answer, settle, state: OutcomeState.Running, bytes: 0 }
+    const outcome: Outcome = { key, digest, unrepeatable, answer, resolve: resolveAnswer, state: OutcomeState.Running, bytes: 0 }
     this.outcomes.set(key, outcome)
     return outcome
   }
@@ -93,7 +93,7 @@
     outcome.state = state
     outcome.finishedAt = this.now()
     outcome.bytes = textBytes(formatAnswer(answer)) + ANSWER_OVERHEAD_BYTES
-    outcome.settle(answer)
+    outcome.resolve(answer)
     this.bytes += outcome.bytes
     const finished = outcome.unrepeatable ? this.unrepeatable : this.repeatable
     finished.set(outcome.key, outcome)
@@ -101,7 +101,7 @@
   }
 
   /** Removes a request that was not run here, may be tried again, or is evicted. */
-  forget(outcome: Outcome): void {
+  remove(outcome: Outcome): void {
     if (this.outcomes.get(outcome.key) !== outcome)
       return
     this.outcomes.delete(outcome.key)
@@ -116,18 +116,18 @@
       const overLimit = this.repeatable.size > this.options.entries || this.bytes > this.options.bytes
       if (!overLimit && now - outcome.finishedAt! <= this.options.lifetimeMs)
         break
-      this.forget(outcome)
+      this.remove(outcome)
     }
     for (const outcome of this.unrepeatable.values()) {
       if (now - outcome.finishedAt! <= this.options.unrepeatableLifetimeMs)
         break
-      this.forget(outcome)
+      this.remove(outcome)
     }
-    this.dropUnrepeatableAnswers()
+    this.evictUnrepeatableAnswers()
   }
 
   /** Evicts answers of unrepeatable requests over the size limit; their keys are kept. */
-  private dropUnrepeatableAnswers(): void {
+  private evictUnrepeatableAnswers(): void {
     if (this.bytes <= this.options.bytes)
       return
     for (const outcome of this.unrepeatable.values()) {
--- a/packages/daemon/src/request/plan.ts
+++ b/packages/daemon/src/request/plan.ts
@@ -46,7 +46,7 @@
 }
 
 /** Options of a request set by the caller. */
-export interface PlanRequest {
+export interface PlanOptions {
   /** Milliseconds from arrival, if the caller set a deadline. */
   deadlineMs?: number
   unrepeatable: boolean
@@ -55,13 +55,13 @@
 /** Name of the only stage of a plain service in logs, metrics and stage identities. */
 const SERVICE_STAGE = 'call'
 /** Default deadline for plain services. A lower value fails calls to slow services; a higher one delays callers of a dead one. */
-const SERVICE_DEADLINE_MS = 1000
+const DEFAULT_SERVICE_DEADLINE_MS = 1000
 
 /** Idempotent methods (RFC 9110, section 9.2.2). */
-const REPEATABLE_METHODS = new Set(['GET', 'HEAD', 'PUT', 'DELETE', 'OPTIONS'])
+const IDEMPOTENT_METHODS = new Set(['GET', 'HEAD', 'PUT', 'DELETE', 'OPTIONS'])
 
 /** Plans a pipeline request. */
-export function planPipeline(name: string, template: Template, account: Account, request: PlanRequest): RequestPlan {
+export function planPipeline(name: string, template: Template, account: Account, request: PlanOptions): RequestPlan {
   return {
     target: name,
     stages: template.stages.map(stage => planStage(stage, account)),
@@ -83,13 +83,13 @@
 }
 
 /** Plans a plain service call: a single stage with high priority, so that it never queues behind model work. */
-export function planService(name: string, serviceRequest: ServiceRequest, account: Account, request: PlanRequest): RequestPlan {
+export function planService(name: string, serviceRequest: ServiceRequest, account: Account, request: PlanOptions): RequestPlan {
   const stage: PlannedStage = { name: SERVICE_STAGE, service: name, costPerCall: 0, costPerMillisecond: 0, maxTokens: 1, serviceRequest }
   return {
     target: name,
     stages: [stage],
-    deadlineMs: request.deadlineMs ?? SERVICE_DEADLINE_MS,
+    deadlineMs: request.deadlineMs ?? DEFAULT_SERVICE_DEADLINE_MS,
     priority: Priority.High,
-    unrepeatable: request.unrepeatable || account.unrepeatable.includes(name) || !REPEATABLE_METHODS.has(serviceRequest.method),
+    unrepeatable: request.unrepeatable || account.unrepeatable.includes(name) || !IDEMPOTENT_METHODS.has(serviceRequest.method),
   }
 }
--- a/packages/daemon/src/request/request-log.ts
+++ b/packages/daemon/src/request/request-log.ts
@@ -6,7 +6,7 @@
 import type { RequestAnswer } from '../connection/answer.js'
 import type { ForwardState } from '../connection/entry-peers.js'
 import type { OutcomeState } from '../connection/messages.js'
-import type { AdmissionView } from './admission.js'
+import type { AdmissionInput } from './admission.js'
 import type { DecisionRecorder } from './decision-recorder.js'
 import type { IncomingRequest } from './incoming-request.js'
 import type { RequestEnd } from './request-metrics.js'
@@ -21,15 +21,15 @@
   }
 
   /** Event `admit`, or `shed` with the error kind. */
-  decidedAdmission(incoming: IncomingRequest, requestId: string, view: AdmissionView, refusal: RequestError | undefined): void {
+  decidedAdmission(incoming: IncomingRequest, requestId: string, input: AdmissionInput, refusal: RequestError | undefined): void {
     this.recorder.record(refusal ? 'shed' : 'admit', requestId, {
       account: incoming.account,
       target: incoming.plan.target,
       kind: refusal?.kind,
-      inFlight: view.inFlight,
-      accountInFlight: view.accountInFlight,
-      expectedMs: view.expectedMs,
-      deadlineMs: view.deadlineMs,
+      inFlight: input.inFlight,
+      accountInFlight: input.accountInFlight,
+      expectedMs: input.expectedMs,
+      deadlineMs: input.deadlineMs,
     })
   }
 
--- a/packages/daemon/src/request/request-runner.ts
+++ b/packages/daemon/src/request/request-runner.ts
@@ -34,7 +34,7 @@
  * Characters at the start of the input that identify its prompt prefix. Fewer would group prompts
  * with different prefixes; more would separate prompts that share one.
  */
-const PREFIX_LENGTH = 64
+const PREFIX_KEY_LENGTH = 64
 
 /** Runs requests at one entry. */
 export class RequestRunner {
@@ -44,15 +44,15 @@
 
   /** Runs a request. Returns immediately when its deadline passes or its caller disconnects. */
   async run(request: IncomingRequest, requestId: string): Promise<RequestAnswer> {
-    const over = new AbortController()
-    const end = (): void => over.abort()
+    const controller = new AbortController()
+    const end = (): void => controller.abort()
     const timer = setTimeout(end, Math.max(0, remainingMs(request)))
-    request.callerGone.addEventListener('abort', end)
-    if (request.callerGone.aborted)
+    request.callerSignal.addEventListener('abort', end)
+    if (request.callerSignal.aborted)
       end()
-    const answer = await this.runStages(request, requestId, over.signal)
+    const answer = await this.runStages(request, requestId, controller.signal)
     clearTimeout(timer)
-    request.callerGone.removeEventListener('abort', end)
+    request.callerSignal.removeEventListener('abort', end)
     return answer
   }
 
@@ -66,7 +66,7 @@
       const result = await this.options.stageCaller.run(task)
       if (result.isErr()) {
         this.recordCost(stages, true)
-        return Err(request.callerGone.aborted ? createCancelledError(progress) : result.error)
+        return Err(request.callerSignal.aborted ? createCancelledError(progress) : result.error)
       }
       const { reply, report } = result.value
       this.times.of(timesKey(plan.target, stage)).add(report.milliseconds)
@@ -92,7 +92,7 @@
       stage,
       input: stage.serviceRequest ? body : formatStageInput(body, previous),
       priority: plan.priority,
-      prefixKey: `${account}/${plan.target}/${body.slice(0, PREFIX_LENGTH)}`,
+      prefixKey: `${account}/${plan.target}/${body.slice(0, PREFIX_KEY_LENGTH)}`,
       unrepeatable: plan.unrepeatable,
       budgetMs: () => this.options.stageBudget.budgetMs(remainingMs(request), this.reservedFor(plan.target, later)),
       // Only the tokens of the last stage are part of the answer.
--- a/packages/daemon/src/request/request-service.ts
+++ b/packages/daemon/src/request/request-service.ts
@@ -10,7 +10,7 @@
  */
 import type { RequestError } from '@eidermast/common'
 import type { RequestAnswer } from '../connection/answer.js'
-import type { AdmissionPolicy, AdmissionView } from './admission.js'
+import type { AdmissionInput, AdmissionPolicy } from './admission.js'
 import type { ClaimRegistry } from './authority/claims.js'
 import type { NotRunProof } from './authority/not-run-proof.js'
 import type { OutcomeFinder } from './authority/outcome-finder.js'
@@ -25,7 +25,7 @@
 import { createRequestId, createRequestKey, digestRequest } from '../connection/identity.js'
 import { OutcomeState } from '../connection/messages.js'
 import { AccountLoad } from './account-load.js'
-import { estimatePlan } from './admission.js'
+import { estimateDuration } from './admission.js'
 import { RunAuthority } from './authority/run-authority.js'
 import { remainingMs } from './incoming-request.js'
 import { RequestLog } from './request-log.js'
@@ -76,23 +76,23 @@
     const { ticket } = incoming
     if (ticket && ticket.incarnation !== this.options.incarnation)
       return this.options.finder.forward(incoming, requestId, ticket)
-    const known = this.options.outcomes.find(createRequestKey(incoming.account, requestId))
-    if (known)
-      return this.join(incoming, requestId, known)
+    const existing = this.options.outcomes.find(createRequestKey(incoming.account, requestId))
+    if (existing)
+      return this.join(incoming, requestId, existing)
     return this.authority.rejectEarly(incoming, requestId) ?? this.admitAndRun(incoming, requestId)
   }
 
   /** Answers a duplicate with the answer of the first request, within the deadline of the duplicate. */
-  private async join(incoming: IncomingRequest, requestId: string, known: Outcome): Promise<RequestAnswer> {
-    this.log.repeated(requestId, known.state)
-    if (known.digest !== digestRequest(incoming.plan.target, incoming.body))
+  private async join(incoming: IncomingRequest, requestId: string, existing: Outcome): Promise<RequestAnswer> {
+    this.log.repeated(requestId, existing.state)
+    if (existing.digest !== digestRequest(incoming.plan.target, incoming.body))
       return Err(createError(ErrorKind.RequestIdReused, 'This request id was already used for a different request; generate a new id.'))
-    if (known.state !== OutcomeState.Running)
-      return known.finished ?? Err(createForgottenError())
-    const answer = await waitForAnswer(known.answer, incoming)
-    const firstCallerGone = answer.isErr() && answer.error.kind === ErrorKind.Cancelled
+    if (existing.state !== OutcomeState.Running)
+      return existing.finished ?? Err(createAnswerEvictedError())
+    const answer = await waitForAnswer(existing.answer, incoming)
+    const firstCallerDisconnected = answer.isErr() && answer.error.kind === ErrorKind.Cancelled
     // The run ended because the first caller disconnected; this caller still needs an answer.
-    return firstCallerGone && !incoming.callerGone.aborted ? this.route(incoming, requestId) : answer
+    return firstCallerDisconnected && !incoming.callerSignal.aborted ? this.route(incoming, requestId) : answer
   }
 
   private async admitAndRun(incoming: IncomingRequest, requestId: string): Promise<RequestAnswer> {
@@ -101,7 +101,7 @@
       return this.authority.answerNotRun(incoming, requestId, shed)
     const { account, share, plan, body } = incoming
     const { outcomes, metrics } = this.options
-    const outcome = outcomes.open(createRequestKey(account, requestId), digestRequest(plan.target, body), plan.unrepeatable)
+    const outcome = outcomes.add(createRequestKey(account, requestId), digestRequest(plan.target, body), plan.unrepeatable)
     this.load.add(account, share)
     metrics.setInFlight(this.load.total)
     try {
@@ -120,17 +120,17 @@
 
   private admit(incoming: IncomingRequest, requestId: string): RequestError | undefined {
     const { plan, account, share } = incoming
-    const view: AdmissionView = {
+    const input: AdmissionInput = {
       inFlight: this.load.total,
       inFlightLimit: this.options.inFlightLimit,
-      accountInFlight: this.load.of(account),
-      accountShare: this.load.shareWith(account, share),
+      accountInFlight: this.load.inFlightOf(account),
+      accountShare: this.load.relativeShare(account, share),
       deadlineMs: plan.deadlineMs,
-      ...estimatePlan(plan, this.options.membership),
+      ...estimateDuration(plan, this.options.membership),
     }
-    const cannotRemember = plan.unrepeatable && !this.options.outcomes.hasCapacity
-    const shed = cannotRemember ? createMemoryError() : this.options.admission.decide(view)
-    this.log.decidedAdmission(incoming, requestId, view, shed)
+    const isTableFull = plan.unrepeatable && !this.options.outcomes.hasCapacity
+    const shed = isTableFull ? createOutcomeTableFullError() : this.options.admission.decide(input)
+    this.log.decidedAdmission(incoming, requestId, input, shed)
     return shed
   }
 
@@ -140,24 +140,24 @@
     if (!authority.granted) {
       outcomes.finish(outcome, authority.answer, authority.state)
       // Nothing ran here, so the request id may be sent again.
-      outcomes.forget(outcome)
+      outcomes.remove(outcome)
       return authority.answer
     }
     const { plan } = incoming
     // The only run of an unrepeatable request continues without its caller, which may get the answer later.
-    const callerGone = plan.unrepeatable ? UNABORTED : incoming.callerGone
-    const answer = await runner.run({ ...incoming, callerGone }, requestId)
+    const callerSignal = plan.unrepeatable ? UNABORTED : incoming.callerSignal
+    const answer = await runner.run({ ...incoming, callerSignal }, requestId)
     outcomes.finish(outcome, answer)
     // A failed repeatable request may be sent again with the same id.
     if (answer.isErr() && !plan.unrepeatable)
-      outcomes.forget(outcome)
+      outcomes.remove(outcome)
     return answer
   }
 
   private record(incoming: IncomingRequest, requestId: string, answer: RequestAnswer): void {
     const { plan, arrivedAt } = incoming
     const milliseconds = performance.now() - arrivedAt
-    const end = describeEnd(answer, milliseconds, plan.deadlineMs)
+    const end = classifyEnd(answer, milliseconds, plan.deadlineMs)
     this.options.metrics.recordRequest(plan.target, plan.priority, end, milliseconds)
     if (answer.isErr())
       this.options.metrics.recordError(answer.error.kind, answer.error.ran)
@@ -165,23 +165,23 @@
   }
 }
 
-function describeEnd(answer: RequestAnswer, milliseconds: number, deadlineMs: number): RequestEnd {
+function classifyEnd(answer: RequestAnswer, milliseconds: number, deadlineMs: number): RequestEnd {
   if (answer.isErr())
     return RequestEnd.Error
   return milliseconds <= deadlineMs ? RequestEnd.Attained : RequestEnd.Late
 }
 
-function createForgottenError(): RequestError {
+function createAnswerEvictedError(): RequestError {
   return createError(ErrorKind.OutcomeUnknown, 'This request was already answered and the answer is no longer stored; do not send it again.')
 }
 
-function createMemoryError(): RequestError {
+function createOutcomeTableFullError(): RequestError {
   return createError(ErrorKind.Overloaded, 'This entry has reached its limit of stored unrepeatable requests; retry after the indicated delay.')
 }
 
 /** Waits for the answer of a running request until the deadline of its duplicate. */
 async function waitForAnswer(answer: Promise<RequestAnswer>, incoming: IncomingRequest): Promise<RequestAnswer> {
-  const settled = await settleWithin(answer, remainingMs(incoming), incoming.callerGone)
+  const settled = await settleWithin(answer, remainingMs(incoming), incoming.callerSignal)
   if (settled)
     return settled
   const message = 'The request is still running; get its outcome with GET /v1/requests/{id}.'
--- a/packages/daemon/src/request/side/backend-run.ts
+++ b/packages/daemon/src/request/side/backend-run.ts
@@ -18,7 +18,7 @@
   listeners: Set<LinkTokenListener>
   reply: Promise<StageReply>
   /** Resolves the reply. */
-  settle: (reply: StageReply) => void
+  resolve: (reply: StageReply) => void
   /** The reply, once the call has finished. */
   finished?: StageReply
   /** Cancels the call at the backend server. */
@@ -27,9 +27,9 @@
 
 /** Creates the run of a newly arrived call. */
 export function createRun(call: StageCall): BackendRun {
-  let settle!: (reply: StageReply) => void
+  let resolveReply!: (reply: StageReply) => void
   const reply = new Promise<StageReply>((resolve) => {
-    settle = resolve
+    resolveReply = resolve
   })
   return {
     key: stageKey(call.identity),
@@ -39,7 +39,7 @@
     tokens: [],
     listeners: new Set(),
     reply,
-    settle,
+    resolve: resolveReply,
     abort: new AbortController(),
   }
 }
--- a/packages/daemon/src/request/side/stage-table.ts
+++ b/packages/daemon/src/request/side/stage-table.ts
@@ -89,7 +89,7 @@
     if (run.finished)
       return
     run.finished = reply
-    run.settle(reply)
+    run.resolve(reply)
     run.listeners.clear()
     this.finished.set(run.key, this.now())
     this.bytes += estimateRunBytes(run)
--- a/test/promises/results.test.ts
+++ b/test/promises/results.test.ts
@@ -12,7 +12,7 @@
 const PIPELINE = 'rider-answer'
 const LONG_DEADLINE = { 'eidermast-deadline-ms': '20000' }
 
-/** Requests that an entry takes in at once. */
+/** Maximum number of requests in flight at an entry. */
 const IN_FLIGHT_LIMIT = 100
 
 let system: RunningSystem
@@ -28,7 +28,7 @@
 
 afterAll(() => system.stop())
 
-/** Sends requests all at once, to both entries in turn. */
+/** Sends requests concurrently, alternating between both entries. */
 async function sendMany(count: number, headers: Record<string, string>, pipeline = PIPELINE): Promise<CallerRecord> {
   const record = new CallerRecord()
   const unrepeatable = pipeline === 'departure-alert'
@@ -40,9 +40,9 @@
 }
 
 /**
- * Sends requests until one runs, and returns what waits for its answer. On a busy
- * machine the one backend server that is left may be silent for a while: what is
- * answered then has not run, and must say so.
+ * Sends requests until one runs, and returns a function that waits for its answer.
+ * On a busy machine the only remaining backend server may be unresponsive for a
+ * while. Requests that are answered in that time have not run and must say so.
  */
 async function sendUntilRunning(record: CallerRecord): Promise<() => ReturnType<CallerRecord['send']>> {
   for (;;) {
@@ -60,7 +60,7 @@
   }
 }
 
-/** Sends a streamed request and returns the whole text that came. */
+/** Sends a streamed request and returns all the text received. */
 async function stream(input: string, onText: (text: string) => void = () => {}): Promise<string> {
   const response = await streamPipeline({ entryUrl: system.entryUrls[0], pipeline: PIPELINE, input, headers: LONG_DEADLINE })
   let text = ''
@@ -71,12 +71,12 @@
     }
   }
   catch {
-    // A connection that breaks shows that the answer is not whole.
+    // A broken connection tells the caller that the answer is incomplete.
   }
   return text
 }
 
-/** Streams a request and kills processes at its first token; returns the whole text that came. */
+/** Sends a streamed request, kills processes at its first token and returns all the text received. */
 async function streamAndKill(names: string[]): Promise<string> {
   let ends: Promise<unknown>[] | undefined
   const text = await stream('killed', (sofar) => {
@@ -87,8 +87,8 @@
   return text
 }
 
-describe('a truncated stream is never called whole', () => {
-  test('when the engine ends it in the middle', async () => {
+describe('a truncated stream is never reported as complete', () => {
+  test('if the engine truncates it', async () => {
     await system.setServiceFaults('language-model', { cutStreams: 1 })
     const text = await stream('cut')
     expect(text).toContain('event: token')
@@ -97,7 +97,7 @@
     expect(text).not.toContain('"whole":true')
   })
 
-  test.each([ProcessKind.Side, ProcessKind.Backend])('when its %s is killed in the middle', async (kind) => {
+  test.each([ProcessKind.Side, ProcessKind.Backend])('if its %s is killed while streaming', async (kind) => {
     await system.setServiceFaults('language-model', { slowFactor: 20 })
     const names = system.list(kind).map(({ name }) => name).filter(name => name.startsWith('language-model'))
     const text = await streamAndKill(names)
@@ -105,37 +105,37 @@
     expect(text).not.toContain('"whole":true')
   })
 
-  test('when its entry is killed in the middle', async () => {
+  test('if its entry is killed while streaming', async () => {
     await system.setServiceFaults('language-model', { slowFactor: 20 })
     const text = await streamAndKill(['entry-1'])
     expect(text).not.toContain('"whole":true')
   })
 
-  test('and the run of a repeatable request whose caller goes is stopped', async () => {
+  test('and a running repeatable request is stopped if its caller disconnects', async () => {
     await system.setServiceFaults('language-model', { slowFactor: 200 })
-    const leave = new AbortController()
+    const controller = new AbortController()
     const answered = request(`${system.entryUrls[0]}/v1/pipelines/${PIPELINE}/requests`, {
       method: 'POST',
       headers: { 'eidermast-account': DEFAULT_ACCOUNT, ...LONG_DEADLINE },
       body: JSON.stringify({ input: 'left' }),
-      signal: leave.signal,
+      signal: controller.signal,
     })
-    const busy = async (): Promise<number> => {
+    const countRunning = async (): Promise<number> => {
       const statuses = await Promise.all(['language-model-1', 'language-model-2'].map(name => system.sideStatus(name)))
       return statuses.reduce((sum, status) => sum + Number(status?.detail.find(line => line.subject === 'running')?.text ?? 0), 0)
     }
-    await expect.poll(busy, { timeout: 10_000 }).toBe(1)
-    leave.abort()
+    await expect.poll(countRunning, { timeout: 10_000 }).toBe(1)
+    controller.abort()
     await expect(answered).rejects.toThrow()
-    await expect.poll(busy, { timeout: 3000 }).toBe(0)
+    await expect.poll(countRunning, { timeout: 3000 }).toBe(0)
   })
 })
 
 describe('every caller gets its own answer', () => {
-  test('over shared connections, with uneven backend servers and lost replies', async () => {
+  test('over shared connections, with backend servers of different speeds and lost replies', async () => {
     const backends = system.list(ProcessKind.Backend)
-    const place = (url: string, index: number) => system.setFaults(url, { slowFactor: 1 + index % 4, dropReplies: index % 3 })
-    await Promise.all(backends.map(({ url }, index) => place(url!, index)))
+    const injectFaults = (url: string, index: number) => system.setFaults(url, { slowFactor: 1 + index % 4, dropReplies: index % 3 })
+    await Promise.all(backends.map(({ url }, index) => injectFaults(url!, index)))
     const record = await sendMany(150, LONG_DEADLINE)
     expect(record.violations(system)).toEqual([])
     expect(record.summarize().whole).toBeGreaterThan(140)
@@ -147,16 +147,16 @@
     ['another account', { account: 'other' }],
     ['another stage', { stage: 'other' }],
     ['another attempt', { attempt: 2 }],
-    ['another process life of the entry', { entryIncarnation: uuidv7() }],
-    ['another process life of the side', { sideIncarnation: uuidv7() }],
-  ])('and a reply to %s is not taken', (_name, change) => {
+    ['another process incarnation of the entry', { entryIncarnation: uuidv7() }],
+    ['another process incarnation of the side', { sideIncarnation: uuidv7() }],
+  ])('and a reply to %s is rejected', (_name, change) => {
     expect(answersCall(call, call)).toBe(true)
     expect(answersCall(call, { ...call, ...change })).toBe(false)
   })
 })
 
-describe('"not run" means that nothing ran', () => {
-  async function countSilent(entry: string): Promise<number | undefined> {
+describe('an answer that says "not run" is correct', () => {
+  async function countSilentMembers(entry: string): Promise<number | undefined> {
     const status = await system.entryStatus(entry)
     return status?.detail.filter(line => line.text === MemberState.Silent).length
   }
@@ -165,15 +165,15 @@
     return record.requests.flatMap(sent => sent.answers)
   }
 
-  test.each([PIPELINE, 'departure-alert'])('for what is shed in an overload (%s)', async (pipeline) => {
-    // While the first ones are held at the encoders, the others find the entry at its limit.
+  test.each([PIPELINE, 'departure-alert'])('for requests that are shed under overload (%s)', async (pipeline) => {
+    // The first requests occupy the encoders, so that the others exceed the limit of the entry.
     await system.setServiceFaults('encoder', { slowFactor: 500 })
     const record = await sendMany(IN_FLIGHT_LIMIT * 5, { 'eidermast-deadline-ms': '4000' }, pipeline)
     expect(answersOf(record).some(answer => answer.ran === Ran.None)).toBe(true)
     expect(record.violations(system)).toEqual([])
   })
 
-  test('for calls in flight to frozen sides when the deadline passes, and after they wake', async () => {
+  test('for calls in flight to suspended sides when the deadline passes, and after the sides resume', async () => {
     const encoders = ['encoder-1', 'encoder-2']
     encoders.forEach(name => system.signal(name, 'SIGSTOP'))
     const record = await sendMany(20, { 'eidermast-deadline-ms': '400' })
@@ -183,7 +183,7 @@
     expect(answersOf(record).every(answer => answer.ran !== undefined)).toBe(true)
   })
 
-  test('and a repeatable request whose last backend server is killed while it runs is not answered so', async () => {
+  test('and is not given to a repeatable request whose last backend server is killed while it runs', async () => {
     await system.setServiceFaults('encoder', { slowFactor: 500 })
     await system.end('encoder-2', 'SIGKILL')
     const record = new CallerRecord()
@@ -193,14 +193,14 @@
     expect(record.violations(system)).toEqual([])
   })
 
-  test('for what comes while no backend server is in force, and the answer comes at once with a time to retry', async () => {
+  test('for requests that arrive while no backend server is available, which are answered immediately with a retry delay', async () => {
     const encoders = ['encoder-1', 'encoder-2']
     await Promise.all(encoders.map(name => system.end(name, 'SIGKILL')))
     for (const entry of ['entry-1', 'entry-2'])
-      await expect.poll(() => countSilent(entry), { timeout: 10_000 }).toBe(encoders.length)
+      await expect.poll(() => countSilentMembers(entry), { timeout: 10_000 }).toBe(encoders.length)
     const startedAt = performance.now()
     const record = await sendMany(20, LONG_DEADLINE)
-    expect(performance.now() - startedAt, 'never held towards the deadline').toBeLessThan(10_000)
+    expect(performance.now() - startedAt, 'answered long before the deadline').toBeLessThan(10_000)
     for (const answer of answersOf(record)) {
       expect(answer).toMatchObject({ kind: ErrorKind.NoBackend, ran: Ran.None })
       expect(answer.retryAfterMs).toBeGreaterThan(0)
--- a/test/request/authority/claims.test.ts
+++ b/test/request/authority/claims.test.ts
@@ -8,15 +8,15 @@
 
 enum AppendFault {
   None = 'none',
-  /** Taken, and the acknowledgement is lost. */
+  /** The append succeeds, but its acknowledgement is lost. */
   AcknowledgementLost = 'acknowledgement-lost',
-  /** Not taken, and said so. */
+  /** The append is rejected. */
   Refused = 'refused',
-  /** Neither taken nor refused now; lands when the test says. */
+  /** The append times out and succeeds later, when the test completes it. */
   Delayed = 'delayed',
 }
 
-/** A log whose appends fail as the test says. */
+/** A log with injected append faults. */
 class FaultyLog implements LogClient {
   readonly records: LogRecord[] = []
   readonly delayed: unknown[][] = []
@@ -45,8 +45,8 @@
     return { records: this.records.slice(from), firstOffset: 0, nextOffset: this.records.length }
   }
 
-  /** Lets the oldest delayed append land. */
-  land(): void {
+  /** Completes the oldest delayed append. */
+  completeDelayed(): void {
     const values = this.delayed.shift()
     if (values)
       this.store(values)
@@ -60,31 +60,31 @@
   }
 }
 
-/** Milliseconds after which a claim that is not read back is in doubt, for tests that wait for that. */
-const SHORT_DOUBT_MS = 1
+/** Short read-back time-out, for tests that wait until a claim is in doubt. */
+const SHORT_READ_BACK_TIMEOUT_MS = 1
 
-function createRegistry(log: LogClient, doubtMs = 600_000): ClaimRegistry {
-  return new ClaimRegistry(log, { incarnation: uuidv7(), address: '127.0.0.1:1', batchMs: 0, memoryMs: 600_000, readBackTimeoutMs: doubtMs })
+function createRegistry(log: LogClient, readBackTimeoutMs = 600_000): ClaimRegistry {
+  return new ClaimRegistry(log, { incarnation: uuidv7(), address: '127.0.0.1:1', batchMs: 0, memoryMs: 600_000, readBackTimeoutMs })
 }
 
-/** Waits until the log holds a number of records. */
-async function holds(log: FaultyLog, count: number): Promise<void> {
+/** Waits until the log contains at least the given number of records. */
+async function waitForRecords(log: FaultyLog, count: number): Promise<void> {
   await vi.waitUntil(() => log.records.length >= count, { interval: 1 })
 }
 
 const ACCOUNT = 'medidores-sur'
 
-async function settle(milliseconds: number): Promise<void> {
+async function sleep(milliseconds: number): Promise<void> {
   await new Promise(resolve => setTimeout(resolve, milliseconds))
 }
 
 describe('claims', () => {
-  test('are won by the first in the log\'s order, whoever asked first', async () => {
+  test('are won by the first one in log order, regardless of which entry claimed first', async () => {
     const log = new FaultyLog()
     const [first, second] = [createRegistry(log), createRegistry(log)]
     const requestId = uuidv7()
     const attempts = [first.claim(ACCOUNT, requestId), second.claim(ACCOUNT, requestId)]
-    await holds(log, 2)
+    await waitForRecords(log, 2)
     first.apply(log.page(0))
     second.apply(log.page(0))
     const results = await Promise.all(attempts.map(attempt => attempt.result))
@@ -93,56 +93,56 @@
 
   test('are not won before they are read back', async () => {
     const log = new FaultyLog()
-    const registry = createRegistry(log, SHORT_DOUBT_MS)
+    const registry = createRegistry(log, SHORT_READ_BACK_TIMEOUT_MS)
     const attempt = registry.claim(ACCOUNT, uuidv7())
     expect((await attempt.result).kind).toBe(ClaimResultKind.InDoubt)
   })
 
-  test('are won in spite of a lost acknowledgement once they are read back', async () => {
+  test('are won when they are read back even if the acknowledgement was lost', async () => {
     const log = new FaultyLog()
     log.nextFault = AppendFault.AcknowledgementLost
     const registry = createRegistry(log)
     const attempt = registry.claim(ACCOUNT, uuidv7())
-    await holds(log, 1)
+    await waitForRecords(log, 1)
     registry.apply(log.page(0))
     expect((await attempt.result).kind).toBe(ClaimResultKind.Won)
   })
 
-  test('say at once that the log took nothing', async () => {
+  test('fail immediately if the log rejects them', async () => {
     const log = new FaultyLog()
     log.nextFault = AppendFault.Refused
     expect((await createRegistry(log).claim(ACCOUNT, uuidv7()).result).kind).toBe(ClaimResultKind.Unavailable)
   })
 
-  test('are released when they land after they were in doubt, and another may win then', async () => {
+  test('are released when they appear in the log after they were in doubt, and another entry can win then', async () => {
     const log = new FaultyLog()
     log.nextFault = AppendFault.Delayed
-    const [first, second] = [createRegistry(log, SHORT_DOUBT_MS), createRegistry(log)]
+    const [first, second] = [createRegistry(log, SHORT_READ_BACK_TIMEOUT_MS), createRegistry(log)]
     const requestId = uuidv7()
     expect((await first.claim(ACCOUNT, requestId).result).kind).toBe(ClaimResultKind.InDoubt)
-    log.land()
+    log.completeDelayed()
     first.apply(log.page(0))
-    await holds(log, 2)
+    await waitForRecords(log, 2)
     const attempt = second.claim(ACCOUNT, requestId)
-    await holds(log, 3)
+    await waitForRecords(log, 3)
     second.apply(log.page(0))
     expect((await attempt.result).kind).toBe(ClaimResultKind.Won)
   })
 
-  test('of one process life do not stand in for one another: a release ends only the claim that it names', async () => {
+  test('of the same process incarnation are independent: a release ends only the claim that it names', async () => {
     const log = new FaultyLog()
     log.nextFault = AppendFault.Delayed
-    const registry = createRegistry(log, SHORT_DOUBT_MS)
+    const registry = createRegistry(log, SHORT_READ_BACK_TIMEOUT_MS)
     const requestId = uuidv7()
     await registry.claim(ACCOUNT, requestId).result
-    log.land()
+    log.completeDelayed()
     const again = registry.claim(ACCOUNT, requestId)
-    await holds(log, 2)
+    await waitForRecords(log, 2)
     registry.apply(log.page(0))
     expect((await again.result).kind).toBe(ClaimResultKind.InDoubt)
   })
 
-  test('write many claims with one append', async () => {
+  test('are batched into one append', async () => {
     const log = new FaultyLog()
     const registry = createRegistry(log)
     let appends = 0
@@ -153,23 +153,23 @@
       return append(stream, values)
     }
     const attempts = Array.from({ length: 50 }, () => registry.claim(ACCOUNT, uuidv7()))
-    await holds(log, 50)
+    await waitForRecords(log, 50)
     registry.apply(log.page(0))
     await Promise.all(attempts.map(attempt => attempt.result))
     expect(appends).toBe(1)
   })
 })
 
-describe('any order of claims, faults, landings and readings', () => {
-  enum Step { Claim = 'claim', Land = 'land', Read = 'read', Settle = 'settle' }
+describe('any sequence of claims, faults, delayed appends and reads', () => {
+  enum Step { Claim = 'claim', CompleteDelayed = 'land', Read = 'read', Sleep = 'settle' }
   const stepArbitrary = fc.record({
-    step: fc.constantFrom(Step.Claim, Step.Claim, Step.Land, Step.Read, Step.Read, Step.Settle),
+    step: fc.constantFrom(Step.Claim, Step.Claim, Step.CompleteDelayed, Step.Read, Step.Read, Step.Sleep),
     entry: fc.nat(2),
     request: fc.nat(1),
     fault: fc.constantFrom(...Object.values(AppendFault)),
   })
 
-  test('lets at most one process life win a request', async () => {
+  test('lets at most one process incarnation win a request', async () => {
     await fc.assert(fc.asyncProperty(fc.array(stepArbitrary, { minLength: 4, maxLength: 24 }), async (steps) => {
       const log = new FaultyLog()
       const entries = [0, 1, 2].map(() => ({ registry: createRegistry(log, 3), readTo: 0 }))
@@ -188,24 +188,24 @@
             if (result.kind === ClaimResultKind.Won)
               wins.push(requestIds[request])
           })
-          await settle(1)
+          await sleep(1)
         }
-        else if (step === Step.Land) {
-          log.land()
+        else if (step === Step.CompleteDelayed) {
+          log.completeDelayed()
         }
         else if (step === Step.Read) {
           read(picked)
         }
         else {
-          await settle(4)
+          await sleep(4)
         }
       }
       while (log.delayed.length > 0)
-        log.land()
-      // Reading may bring releases, which are records to read in turn.
+        log.completeDelayed()
+      // Reading a claim may cause a release, which is another record to read.
       while (entries.some(entry => entry.readTo < log.records.length)) {
         entries.forEach(read)
-        await settle(4)
+        await sleep(4)
       }
       expect(wins.length, 'wins').toBe(new Set(wins).size)
       expect(new Set(entries.map(({ registry }) => describeHolders(registry, requestIds))).size, 'all agree').toBe(1)
--- a/test/request/authority/run-authority.test.ts
+++ b/test/request/authority/run-authority.test.ts
@@ -10,8 +10,8 @@
 const SHED = createError(ErrorKind.NoBackend, 'no backend server takes work')
 const ASKED = createError(ErrorKind.OutcomeUnknown, 'the holder was asked')
 
-/** A log that answers or does not. */
-class SwitchedLog implements LogClient {
+/** A log that can be made unavailable. */
+class FakeLog implements LogClient {
   readonly records: LogRecord[] = []
   answers = true
   reads = 0
@@ -31,36 +31,36 @@
     return { records: this.records.slice(from), firstOffset: 0, nextOffset: this.records.length }
   }
 
-  /** Another entry claims a request. */
+  /** Adds a claim of another entry. */
   addClaim(requestId: string): void {
     const value = { record: ClaimRecordKind.Claim, claimId: uuidv7(), account: ACCOUNT, requestId, incarnation: uuidv7(), address: '127.0.0.1:2' }
     this.records.push({ offset: this.records.length, time: 0, value })
   }
 }
 
-let log: SwitchedLog
+let log: FakeLog
 let authority: RunAuthority
 let requestId: string
 let incoming: IncomingRequest
-/** Whether every listed entry denies that it ran the request. */
-let othersDeny: boolean
+/** Whether all listed entries answer that they did not run the request. */
+let othersReportNotRun: boolean
 
-/** An entry that read the claims a moment ago and is asked for a request that it does not know. */
+/** Sets up an entry with a current view of the claims and a request that it does not know. */
 beforeEach(() => {
-  log = new SwitchedLog()
+  log = new FakeLog()
   requestId = uuidv7()
-  othersDeny = false
+  othersReportNotRun = false
   const claims = new ClaimRegistry(log, { incarnation: uuidv7(), address: '127.0.0.1:1', batchMs: 0, memoryMs: 600_000, readBackTimeoutMs: 1 })
   claims.apply(log.page(0))
   authority = new RunAuthority({
     claims,
     finder: { queryHolder: async () => Err(ASKED) },
-    proof: { holds: async () => othersDeny },
+    proof: { holds: async () => othersReportNotRun },
     claimMemoryMs: 600_000,
     log: { claimed: vi.fn() },
     metrics: { recordClaim: vi.fn() },
   } as unknown as ConstructorParameters<typeof RunAuthority>[0])
-  incoming = { account: ACCOUNT, requestId, plan: { unrepeatable: true, deadlineMs: 1000 }, arrivedAt: performance.now(), callerGone: new AbortController().signal } as IncomingRequest
+  incoming = { account: ACCOUNT, requestId, plan: { unrepeatable: true, deadlineMs: 1000 }, arrivedAt: performance.now(), callerSignal: new AbortController().signal } as IncomingRequest
 })
 
 async function answer(): Promise<{ kind: ErrorKind, ran: Ran }> {
@@ -68,26 +68,26 @@
   return { kind, ran }
 }
 
-describe('an unrepeatable request that is shed', () => {
-  test('did not run where the log, read to its end after it came, has no claim of it', async () => {
+describe('a shed unrepeatable request', () => {
+  test('is reported as not run if the log, read to its end after the request arrived, contains no claim of it', async () => {
     expect(await answer()).toEqual({ kind: ErrorKind.NoBackend, ran: Ran.None })
   })
 
-  test('is answered by the entry that claimed it, also if that claim was not read here yet', async () => {
+  test('is answered by the entry that claimed it, even if the claim had not been read here', async () => {
     log.addClaim(requestId)
     expect(await answer()).toEqual({ kind: ErrorKind.OutcomeUnknown, ran: Ran.Unknown })
   })
 
   test.each([
-    ['is of unknown outcome where the log does not answer and not every entry denies a run', false, { kind: ErrorKind.LogUnavailable, ran: Ran.Unknown }],
-    ['did not run where the log does not answer and every entry denies a run', true, { kind: ErrorKind.NoBackend, ran: Ran.None }],
+    ['has an unknown outcome if the log is unavailable and not all entries answer that they did not run it', false, { kind: ErrorKind.LogUnavailable, ran: Ran.Unknown }],
+    ['is reported as not run if the log is unavailable and all entries answer that they did not run it', true, { kind: ErrorKind.NoBackend, ran: Ran.None }],
   ])('%s', async (_name, denied, expected) => {
     log.answers = false
-    othersDeny = denied
+    othersReportNotRun = denied
     expect(await answer()).toEqual(expected)
   })
 
-  test('costs one more read of the log however many are shed at once', async () => {
+  test('shares one additional read of the log with others that are shed at the same time', async () => {
     await Promise.all(Array.from({ length: 50 }, answer))
     expect(log.reads).toBeLessThanOrEqual(2)
   })
--- a/test/request/authority/tickets.test.ts
+++ b/test/request/authority/tickets.test.ts
@@ -9,20 +9,20 @@
 }
 
 describe('tickets', () => {
-  test('name the process life that made them, to any holder of the key', () => {
-    const maker = createIssuer('key')
-    const issued = maker.issue('medidores-sur')
+  test('identify their issuer and can be verified by any holder of the key', () => {
+    const issuer = createIssuer('key')
+    const issued = issuer.issue('medidores-sur')
     const content = { requestId: issued.requestId, account: 'medidores-sur', address: '127.0.0.1:1' }
     expect(createIssuer('key').verify(issued.ticket).unwrap()).toMatchObject(content)
   })
 
   test.each([
-    ['made with another key', (ticket: string) => createIssuer('other').verify(ticket), TicketError.Forged],
-    ['changed', (ticket: string) => createIssuer('key').verify(`x${ticket}`), TicketError.Forged],
-    ['cut', (ticket: string) => createIssuer('key').verify(ticket.split('.')[0]), TicketError.Malformed],
-    ['longer than one signature', (ticket: string) => createIssuer('key').verify(`${ticket}.x`), TicketError.Malformed],
-    ['too old', (ticket: string) => createIssuer('key', () => LIFETIME_MS + 1).verify(ticket), TicketError.Expired],
-  ])('are refused when %s', (_name, verify, fault) => {
+    ['issued with another key', (ticket: string) => createIssuer('other').verify(ticket), TicketError.Forged],
+    ['modified', (ticket: string) => createIssuer('key').verify(`x${ticket}`), TicketError.Forged],
+    ['truncated', (ticket: string) => createIssuer('key').verify(ticket.split('.')[0]), TicketError.Malformed],
+    ['extended by another part', (ticket: string) => createIssuer('key').verify(`${ticket}.x`), TicketError.Malformed],
+    ['expired', (ticket: string) => createIssuer('key', () => LIFETIME_MS + 1).verify(ticket), TicketError.Expired],
+  ])('are rejected when %s', (_name, verify, fault) => {
     const result = verify(createIssuer('key').issue('medidores-sur').ticket)
     expect(result.isErr() && result.error).toBe(fault)
   })
--- a/test/request/outcomes.test.ts
+++ b/test/request/outcomes.test.ts
@@ -2,24 +2,24 @@
 import { Ok } from 'ts-results-es'
 import { describe, expect, test } from 'vitest'
 
-describe('an entry\'s memory of requests', () => {
+describe('the outcome table', () => {
   const answer = Ok({ requestId: 'r', output: 'x'.repeat(100), stages: [] })
   let clock = 0
   const limits = { entries: 3, bytes: 2000, lifetimeMs: 100, unrepeatableLifetimeMs: 1000 }
   const createTable = (): OutcomeTable => new OutcomeTable(limits, () => clock)
 
   function finish(table: OutcomeTable, key: string, unrepeatable: boolean): void {
-    table.finish(table.open(key, 'digest', unrepeatable), answer)
+    table.finish(table.add(key, 'digest', unrepeatable), answer)
   }
 
-  test('is bounded by number for repeatable requests', () => {
+  test('limits the number of repeatable requests', () => {
     const table = createTable()
     for (let index = 0; index < 10; index++)
       finish(table, `repeatable ${index}`, false)
     expect(table.size).toBeLessThanOrEqual(3)
   })
 
-  test('keeps the keys of unrepeatable requests for their whole time, and says when it can take no more', () => {
+  test('keeps the keys of unrepeatable requests for their full lifetime and reports when it is full', () => {
     const table = createTable()
     for (let index = 0; index < 3; index++)
       finish(table, `unrepeatable ${index}`, true)
@@ -30,7 +30,7 @@
     expect(table.size).toBe(0)
   })
 
-  test('drops answers before keys when it has too many bytes', () => {
+  test('evicts answers but not keys of unrepeatable requests over the size limit', () => {
     const table = new OutcomeTable({ entries: 100, bytes: 1500, lifetimeMs: 100, unrepeatableLifetimeMs: 1000 }, () => 0)
     for (let index = 0; index < 5; index++)
       finish(table, `unrepeatable ${index}`, true)
--- a/test/request/side/stage-queue.test.ts
+++ b/test/request/side/stage-queue.test.ts
@@ -9,7 +9,7 @@
     return { call: createStageCall({ priority }), arrivedAt: 0, finishBy, expectedServiceMs }
   }
 
-  test('serves priority first, then the earliest deadline', () => {
+  test('orders calls by priority, then by earliest deadline', () => {
     const queue = new DeadlineQueue({ limit: 10, bytes: 1000 })
     const waiting = [
       createWaiting(Priority.Low, 10),
@@ -22,14 +22,14 @@
     expect(order).toEqual([waiting[3], waiting[1], waiting[2], waiting[0]])
   })
 
-  test('refuses at once what cannot finish in time behind the others', () => {
+  test('immediately refuses a call that cannot finish in time after the calls ahead of it', () => {
     const queue = new DeadlineQueue({ limit: 10, bytes: 1000 })
     queue.offer(createWaiting(Priority.High, 1000, 100), server)
     expect(queue.offer(createWaiting(Priority.Normal, 240, 100), server)).toBe(RefusalReason.Late)
     expect(queue.offer(createWaiting(Priority.Normal, 300, 100), server)).toBeUndefined()
   })
 
-  test('refuses what can no longer finish when its turn comes', () => {
+  test('refuses a call that can no longer finish in time when it reaches the head of the queue', () => {
     const queue = new DeadlineQueue({ limit: 10, bytes: 1000 })
     const late = createWaiting(Priority.High, 300, 100)
     const good = createWaiting(Priority.Low, 1000, 100)
--- a/test/request/side/stage-runner.test.ts
+++ b/test/request/side/stage-runner.test.ts
@@ -18,7 +18,7 @@
 import { describe, expect, test } from 'vitest'
 import { createStageCall, FakeBackend, SIDE_INCARNATION } from '../../support/fixtures.js'
 
-class SideBench {
+class SideHarness {
   readonly backend = new FakeBackend()
   readonly table = new StageTable({ entries: 1000, bytes: 1_000_000, lifetimeMs: 600_000 })
   readonly runner: StageRunner
@@ -50,52 +50,52 @@
     return this.runner.run(call)
   }
 
-  /** Ends the call that has run longest. */
-  endOldest(outcome: BackendOutcome): void {
+  /** Finishes the call that started first. */
+  finishOldest(outcome: BackendOutcome): void {
     this.backend.held.shift()?.end({ outcome })
   }
 }
 
-async function settle(): Promise<void> {
+async function flushTasks(): Promise<void> {
   await new Promise(resolve => setImmediate(resolve))
 }
 
-describe('a side\'s stage calls', () => {
-  test('run once when they come twice, and both get the one reply', async () => {
-    const bench = new SideBench()
+describe('stage calls at a side', () => {
+  test('run once if they are sent twice, and both copies get the same reply', async () => {
+    const bench = new SideHarness()
     const call = createStageCall()
     const replies = [bench.run(call), bench.run(call)]
-    bench.endOldest(BackendOutcome.Done)
+    bench.finishOldest(BackendOutcome.Done)
     const [first, second] = await Promise.all(replies)
     expect(first).toBe(second)
     expect(bench.backend.started).toHaveLength(1)
   })
 
-  test('are replayed when they come again after their end', async () => {
-    const bench = new SideBench()
+  test('get the same reply if they are sent again after they finished', async () => {
+    const bench = new SideHarness()
     const call = createStageCall()
     const reply = bench.run(call)
-    bench.endOldest(BackendOutcome.Done)
+    bench.finishOldest(BackendOutcome.Done)
     expect(await bench.run(call)).toBe(await reply)
     expect(bench.backend.started).toHaveLength(1)
   })
 
-  test('never run again after their result was acknowledged', async () => {
-    const bench = new SideBench()
+  test('do not run again after their result was acknowledged', async () => {
+    const bench = new SideHarness()
     const call = createStageCall()
     const reply = bench.run(call)
-    bench.endOldest(BackendOutcome.Done)
+    bench.finishOldest(BackendOutcome.Done)
     await reply
     bench.table.acknowledge(stageKey(call.identity))
     expect(await bench.run(call)).toMatchObject({ kind: StageReplyKind.Failed, reason: FailureReason.Cancelled })
     expect(bench.backend.started).toHaveLength(1)
   })
 
-  test('are found by their request and its own input, and not by another input under the same id', async () => {
-    const bench = new SideBench()
+  test('are found by their request and its input, but not by another input with the same request id', async () => {
+    const bench = new SideHarness()
     const call = createStageCall({ input: formatStageInput('body', undefined) })
     const answered = bench.run(call)
-    bench.endOldest(BackendOutcome.Done)
+    bench.finishOldest(BackendOutcome.Done)
     const reply = await answered
     const { account, requestId, stage } = call.identity
     expect(bench.table.findFinished({ account, requestId, stage, body: 'body' })).toBe(reply)
@@ -103,23 +103,23 @@
     expect(bench.table.findFinished({ account: 'other', requestId, stage, body: 'body' })).toBeUndefined()
   })
 
-  test('are refused when they were meant for another process life', async () => {
-    const bench = new SideBench()
+  test('are refused if they are addressed to another process incarnation', async () => {
+    const bench = new SideHarness()
     const call = createStageCall()
     call.identity.sideIncarnation = uuidv7()
     expect(await bench.run(call)).toMatchObject({ kind: StageReplyKind.Refused, reason: RefusalReason.OtherIncarnation })
   })
 
-  test('are refused when their cancel comes before them', async () => {
-    const bench = new SideBench()
+  test('are refused if their cancellation arrives first', async () => {
+    const bench = new SideHarness()
     const call = createStageCall()
     expect(bench.runner.cancel(stageKey(call.identity))).toEqual({ started: false })
     expect(await bench.run(call)).toMatchObject({ kind: StageReplyKind.Refused, reason: RefusalReason.Cancelled })
     expect(bench.backend.started).toHaveLength(0)
   })
 
-  test('stay refused when a late copy comes after a refusal', async () => {
-    const bench = new SideBench()
+  test('are refused again if a delayed copy arrives after a refusal', async () => {
+    const bench = new SideHarness()
     const call = createStageCall()
     bench.draining = true
     expect(await bench.run(call)).toMatchObject({ kind: StageReplyKind.Refused, reason: RefusalReason.Draining })
@@ -129,22 +129,22 @@
   })
 
   test.each([
-    ['at once', (bench: SideBench) => bench.runner.refuseQueuedIfLeaving()],
-    ['at their turn at the latest', (bench: SideBench) => bench.endOldest(BackendOutcome.Done)],
-  ])('that wait are refused %s when the backend server begins to leave, and the running one ends', async (_name, next) => {
-    const bench = new SideBench()
+    ['immediately', (bench: SideHarness) => bench.runner.refuseQueuedIfLeaving()],
+    ['when a slot becomes free', (bench: SideHarness) => bench.finishOldest(BackendOutcome.Done)],
+  ])('that are queued are refused %s if the backend server is leaving, and running ones finish', async (_name, next) => {
+    const bench = new SideHarness()
     const running = bench.run(createStageCall())
     const waiting = bench.run(createStageCall())
     bench.backendLeaving = true
     next(bench)
     expect(await waiting).toMatchObject({ kind: StageReplyKind.Refused, reason: RefusalReason.Draining })
-    bench.endOldest(BackendOutcome.Done)
+    bench.finishOldest(BackendOutcome.Done)
     expect(await running).toMatchObject({ kind: StageReplyKind.Done })
     expect(bench.backend.started).toHaveLength(1)
   })
 
-  test('stop at the backend server when they are cancelled while they run', async () => {
-    const bench = new SideBench()
+  test('are aborted at the backend server if they are cancelled while they run', async () => {
+    const bench = new SideHarness()
     const call = createStageCall()
     const reply = bench.run(call)
     expect(bench.runner.cancel(stageKey(call.identity))).toEqual({ started: true })
@@ -156,31 +156,31 @@
     [BackendOutcome.Failed, StageReplyKind.Failed, FailureReason.BackendFailed],
     [BackendOutcome.Lost, StageReplyKind.Failed, FailureReason.BackendLost],
     [BackendOutcome.Truncated, StageReplyKind.Failed, FailureReason.Truncated],
-  ])('report a backend server\'s end %s as %s (%s)', async (outcome, kind, reason) => {
-    const bench = new SideBench()
+  ])('report the backend outcome %s as %s (%s)', async (outcome, kind, reason) => {
+    const bench = new SideHarness()
     const reply = bench.run(createStageCall())
-    bench.endOldest(outcome)
+    bench.finishOldest(outcome)
     expect(await reply).toMatchObject({ kind, reason })
   })
 
-  test('are refused as full beyond the queue\'s limit, and the queue\'s memory stays bounded', async () => {
-    const bench = new SideBench(1, new DeadlineQueue({ limit: 2, bytes: 10_000 }))
+  test('are refused as full over the limit of the queue', async () => {
+    const bench = new SideHarness(1, new DeadlineQueue({ limit: 2, bytes: 10_000 }))
     const calls = Array.from({ length: 4 }, () => createStageCall())
     const replies = calls.map(call => bench.run(call))
     expect(await replies[3]).toMatchObject({ kind: StageReplyKind.Refused, reason: RefusalReason.Full })
     expect(bench.backend.started).toHaveLength(1)
   })
 
-  test('are never refused by the baseline queue', async () => {
-    const bench = new SideBench(1, new FifoQueue())
+  test('are never refused by the FIFO queue', async () => {
+    const bench = new SideHarness(1, new FifoQueue())
     const calls = Array.from({ length: 20 }, () => createStageCall({ budgetMs: 1 }))
     calls.forEach(call => void bench.run(call))
-    await settle()
+    await flushTasks()
     expect(bench.runner.load().queued.normal).toBe(19)
   })
 })
 
-describe('any order of calls, copies, cancels and ends', () => {
+describe('any sequence of calls, copies, cancellations and results', () => {
   enum Step { Call = 'call', Copy = 'copy', Cancel = 'cancel', End = 'end', Acknowledge = 'acknowledge', Drain = 'drain' }
   const stepArbitrary = fc.record({
     step: fc.constantFrom(...Object.values(Step), Step.Call, Step.Copy, Step.End),
@@ -188,9 +188,9 @@
     outcome: fc.constantFrom(BackendOutcome.Done, BackendOutcome.Failed, BackendOutcome.Lost, BackendOutcome.Refused),
   })
 
-  test('runs each call at most once, and none that was refused', async () => {
+  test('runs each call at most once and never runs a refused call', async () => {
     await fc.assert(fc.asyncProperty(fc.array(stepArbitrary, { maxLength: 40 }), async (steps) => {
-      const bench = new SideBench(2)
+      const bench = new SideHarness(2)
       const calls: StageCall[] = []
       const repliedKinds = new Map<string, Set<string>>()
       const refusedByBackend = new Set<string>()
@@ -211,7 +211,7 @@
         else if (step === Step.End) {
           if (outcome === BackendOutcome.Refused && bench.backend.held.length > 0)
             refusedByBackend.add(bench.backend.held[0].call.identity.requestId)
-          bench.endOldest(outcome)
+          bench.finishOldest(outcome)
         }
         else if (picked && step === Step.Copy) {
           send(picked)
@@ -222,14 +222,14 @@
         else if (picked && step === Step.Acknowledge) {
           bench.table.acknowledge(stageKey(picked.identity))
         }
-        await settle()
+        await flushTasks()
       }
       while (bench.backend.held.length > 0) {
-        bench.endOldest(BackendOutcome.Done)
-        await settle()
+        bench.finishOldest(BackendOutcome.Done)
+        await flushTasks()
       }
       expect(new Set(bench.backend.started).size).toBe(bench.backend.started.length)
-      expect(repliedKinds.size, 'every call is answered').toBe(calls.length)
+      expect(repliedKinds.size, 'every call gets a reply').toBe(calls.length)
       for (const [requestId, kinds] of repliedKinds) {
         const ran = bench.backend.started.includes(`${requestId}/1`) && !refusedByBackend.has(requestId)
         if (kinds.has(StageReplyKind.Refused))
--- a/test/request/stages/retry.test.ts
+++ b/test/request/stages/retry.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, test } from 'vitest'
 
 describe('retries', () => {
-  test('are a share of recent calls', () => {
+  test('are limited to a fraction of recent calls', () => {
     const retry = new BudgetRetry()
     while (retry.tryAcquire(1));
     for (let index = 0; index < 11; index++)
@@ -10,7 +10,7 @@
     expect([retry.tryAcquire(1), retry.tryAcquire(1), retry.tryAcquire(1)]).toEqual([true, true, false])
   })
 
-  test('are a fixed number in the baseline', () => {
+  test('are limited to a fixed number with the baseline policy', () => {
     expect([1, 2, 3].map(attempt => new FixedRetry().tryAcquire(attempt))).toEqual([true, true, false])
   })
 })
--- a/test/request/stages/stage-failure.test.ts
+++ b/test/request/stages/stage-failure.test.ts
@@ -25,7 +25,7 @@
   return { outcome: LinkOutcome.Replied, reply: { ...REPLY, kind: StageReplyKind.Refused, reason, retryAfterMs: 70 } }
 }
 
-/** The last call of one stage that the fixed retry policy permits. */
+/** Number of the last attempt that the fixed retry policy allows. */
 const LAST_ATTEMPT = 3
 const LAST_REFUSED_AS_FULL = { attempt: LAST_ATTEMPT, result: refused(RefusalReason.Full) }
 const LAST_REFUSED_AS_LEAVING = { attempt: LAST_ATTEMPT, result: refused(RefusalReason.Draining) }
@@ -44,7 +44,7 @@
   return decideOnFailure(failed, retry)
 }
 
-describe('a stage call that gave no result', () => {
+describe('a failed stage call', () => {
   test.each<[string, Partial<FailedCall>]>([
     ['that was never sent', { result: NOT_SENT }],
     ['that was never sent, of an unrepeatable request', { result: NOT_SENT, unrepeatable: true }],
@@ -52,7 +52,7 @@
     ['that was refused, of a streamed stage', { result: refused(RefusalReason.Full), streamed: true }],
     ['whose reply was lost, of a repeatable request', { result: LOST }],
     ['that failed, of a repeatable request', { result: FAILED, ran: Ran.Part }],
-  ])('is made again: one %s', (_name, change) => {
+  ])('is retried: one %s', (_name, change) => {
     expect(decide(change)).toEqual({ step: FailureStep.Retry })
   })
 
@@ -60,15 +60,15 @@
     ['an unrepeatable one whose reply was lost', { unrepeatable: true, ran: Ran.Unknown }, ErrorKind.OutcomeUnknown, Ran.Unknown],
     ['an unrepeatable one that failed', { result: FAILED, unrepeatable: true, ran: Ran.Part }, ErrorKind.StageFailed, Ran.Part],
     ['a streamed one whose reply was lost', { streamed: true, ran: Ran.Unknown }, ErrorKind.StageFailed, Ran.Unknown],
-    ['one whose time is over', { ended: true, ran: Ran.Unknown }, ErrorKind.DeadlineExceeded, Ran.Unknown],
-    ['the last one permitted', { attempt: LAST_ATTEMPT, result: FAILED, ran: Ran.Part }, ErrorKind.StageFailed, Ran.Part],
-    ['the last one permitted, refused as full', LAST_REFUSED_AS_FULL, ErrorKind.DeadlineUnreachable, Ran.None],
-    ['the last one permitted, refused by a leaving server', LAST_REFUSED_AS_LEAVING, ErrorKind.NoBackend, Ran.None],
+    ['one without time left', { ended: true, ran: Ran.Unknown }, ErrorKind.DeadlineExceeded, Ran.Unknown],
+    ['the last one allowed', { attempt: LAST_ATTEMPT, result: FAILED, ran: Ran.Part }, ErrorKind.StageFailed, Ran.Part],
+    ['the last one allowed, refused as full', LAST_REFUSED_AS_FULL, ErrorKind.DeadlineUnreachable, Ran.None],
+    ['the last one allowed, refused by a leaving server', LAST_REFUSED_AS_LEAVING, ErrorKind.NoBackend, Ran.None],
   ])('fails the request: %s', (_name, change, kind, ran) => {
     expect(decide(change)).toMatchObject({ step: FailureStep.Fail, error: { kind, ran } })
   })
 
-  test('asks the retry policy nothing where the call may not be made again anyway', () => {
+  test('does not consult the retry policy if the call must not be retried anyway', () => {
     const taken: number[] = []
     const retry = { recordFirstCall: () => {}, tryAcquire: (attempt: number) => taken.push(attempt) > 0 }
     decide({ unrepeatable: true, ran: Ran.Unknown }, retry)
