--- a/packages/daemon/src/connection/answer-writer.ts
+++ b/packages/daemon/src/connection/answer-writer.ts
@@ -1,38 +1,36 @@
 /**
- * Writes the one answer to a caller, as JSON or as server-sent events. Owns
- * what is written but not read yet, until the caller has read it or is cut
- * off, so that callers who do not read hold little memory and no request.
+ * Writes the response to a caller, as JSON or as server-sent events. Buffers
+ * data that the caller has not read yet until it is read or the caller is
+ * disconnected, so that slow readers hold little memory and no request.
  */
 import type { RequestError } from '@eidermast/common'
 import type { ServerResponse } from 'node:http'
 import type { RequestAnswer, WholeAnswer } from './answer.js'
 import { ERROR_ANSWERS } from '@eidermast/common'
 
-/** The unit of the header `retry-after` is the second. */
 const MILLISECONDS_PER_SECOND = 1000
 /**
- * Streamed text that may wait for a slow caller, in bytes. Half cuts off
- * callers on slow links sooner, twice lets each slow caller hold twice the
+ * Maximum streamed data buffered for a slow caller. A lower limit disconnects
+ * callers on slow links sooner; a higher one lets each slow caller hold more
  * memory.
  */
 const MAX_WAITING_BYTES = 1_000_000
 
-/** Options of an answer writer. */
 export interface AnswerWriterOptions {
-  /** Milliseconds that a caller may take to read. */
+  /** Time that a caller may take to read written data. */
   writeTimeoutMs: number
-  /** Whether the connection is to be closed after the answer. */
+  /** Whether the connection must be closed after the response. */
   closing: () => boolean
 }
 
-/** Writes answers to one caller's request. */
+/** Writes the response to one caller's request. */
 export class AnswerWriter {
   private streaming = false
   private stallTimer: NodeJS.Timeout | undefined
 
   constructor(private readonly response: ServerResponse, private readonly options: AnswerWriterOptions) {}
 
-  /** Sends one streamed token; the first one begins the event stream. */
+  /** Sends one streamed token; the first one starts the event stream. */
   sendToken(index: number, text: string): void {
     if (this.response.destroyed)
       return
@@ -43,7 +41,7 @@
     this.writeEvent('token', { index, text })
   }
 
-  /** Sends the answer of a pipeline request. */
+  /** Sends the result of a pipeline request. */
   sendAnswer(answer: RequestAnswer): void {
     if (this.streaming)
       return this.endStream(answer)
@@ -52,7 +50,7 @@
     this.sendJson(200, formatWhole(answer.value))
   }
 
-  /** Sends the answer of a plain service as the service gave it. */
+  /** Sends the response of a plain service unchanged. */
   sendServiceAnswer(answer: RequestAnswer): void {
     if (answer.isErr())
       return this.sendError(answer.error)
@@ -60,7 +58,7 @@
     this.send(status, { 'content-type': contentType, 'eidermast-request-id': requestId }, output)
   }
 
-  /** Sends an error; ends the connection with it where the caller may still be sending. */
+  /** Sends an error. `endConnection` closes the connection afterwards, for callers that may still be sending. */
   sendError(error: RequestError, endConnection = false): void {
     const headers: Record<string, string> = endConnection ? { connection: 'close' } : {}
     if (error.retryAfterMs !== undefined)
@@ -102,7 +100,7 @@
     this.watchStall()
   }
 
-  /** Cuts the caller off if what was written is not read in time. */
+  /** Disconnects the caller if it does not read the written data in time. */
   private watchStall(): void {
     if (this.stallTimer)
       return
--- a/packages/daemon/src/connection/answer.ts
+++ b/packages/daemon/src/connection/answer.ts
@@ -1,7 +1,7 @@
 /**
- * The one answer of a request, and its form between entries. Both directions
- * stand here, since two releases of entries talk to each other during a
- * rolling restart.
+ * The final answer to a request and its wire format between entries. Formatting
+ * and parsing are kept together because entries of two releases communicate
+ * during a rolling restart.
  */
 import type { RequestError } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
@@ -9,7 +9,7 @@
 import { Err, Ok } from 'ts-results-es'
 import * as z from 'zod'
 
-const UNKNOWN_FORM = 'Another entry answered in an unknown form; ask for the outcome with GET /v1/requests/{id}.'
+const UNKNOWN_FORM = 'Another entry returned an answer in an unknown format; query the outcome with GET /v1/requests/{id}.'
 
 const stageReportSchema = z.object({
   stage: z.string(),
@@ -23,7 +23,7 @@
   requestId: z.string(),
   output: z.string(),
   stages: z.array(stageReportSchema),
-  /** HTTP status of a plain service's answer. */
+  /** HTTP status of a plain service's response. */
   status: z.int().optional(),
   contentType: z.string().optional(),
 })
@@ -37,21 +37,21 @@
 
 const envelopeSchema = z.union([z.object({ whole: wholeAnswerSchema }), z.object({ error: requestErrorSchema })])
 
-/** Where and how one stage ran. */
+/** Where one stage ran, and its duration, cost and attempts. */
 export type StageReport = z.infer<typeof stageReportSchema>
 
-/** The whole answer of a request. */
+/** The answer to a request that succeeded. */
 export type WholeAnswer = z.infer<typeof wholeAnswerSchema>
 
-/** The one answer of a request. */
+/** The final answer to a request: its result or an error. */
 export type RequestAnswer = Result<WholeAnswer, RequestError>
 
-/** Formats an answer for another entry. */
+/** Serializes an answer for another entry. */
 export function formatAnswer(answer: RequestAnswer): string {
   return JSON.stringify(answer.isOk() ? { whole: answer.value } : { error: answer.error })
 }
 
-/** Reads an answer from another entry. */
+/** Parses an answer received from another entry. */
 export function parseAnswer(text: string): RequestAnswer {
   const parsed = envelopeSchema.safeParse(parseJson(text))
   if (!parsed.success)
@@ -59,13 +59,13 @@
   return 'whole' in parsed.data ? Ok(parsed.data.whole) : Err(parsed.data.error)
 }
 
-/** Parses JSON that came from outside; undefined where the text is none, which no schema accepts. */
+/** Parses untrusted JSON. Returns undefined, which no schema accepts, if the text is not valid JSON. */
 export function parseJson(text: string): unknown {
   try {
     return JSON.parse(text)
   }
   catch {
-    // The reason is not logged: each caller answers with an error that says what form is wanted.
+    // The reason is not logged: each caller responds with an error that describes the expected format.
     return undefined
   }
 }
--- a/packages/daemon/src/connection/backend-answers.ts
+++ b/packages/daemon/src/connection/backend-answers.ts
@@ -1,7 +1,7 @@
 /**
- * Reads what a backend server answers to a run, and classifies how it ended.
- * An error that is thrown here means that the connection was lost or that the
- * answer was not in the protocol's form.
+ * Reads a backend server's response to a run and classifies its outcome. An error
+ * thrown while reading means that the connection was lost or that the response
+ * did not follow the protocol.
  */
 import type { Dispatcher } from 'undici'
 import type { BackendResult } from './backend-client.js'
@@ -16,20 +16,20 @@
   z.object({ done: z.literal(true), output: z.string(), tokens: z.int().min(0) }),
 ])
 
-/** First status by which a plain service says that it failed. */
+/** Lowest status with which a plain service reports a failure. */
 const SERVER_ERROR = 500
-/** Statuses by which a backend server says that it has not started the run. */
+/** Statuses with which a backend server reports that it did not start the run. */
 const NOT_STARTED_STATUSES = new Set([409, 429, 503])
 
-/** Reads the answer to a run without a stream. */
+/** Reads the response to a run without streaming. */
 export async function readRunAnswer(response: Dispatcher.ResponseData): Promise<BackendResult> {
   const answer = runAnswerSchema.safeParse(await response.body.json())
   if (!answer.success)
-    return createFailure(BackendOutcome.Failed, 'the backend server answered in an unknown form')
+    return createFailure(BackendOutcome.Failed, 'the backend server returned a response in an unknown format')
   return { outcome: BackendOutcome.Done, message: '', ...answer.data }
 }
 
-/** Reads tokens line by line; whole only with the end mark and every token it counts. */
+/** Reads tokens line by line. The stream is complete only if its end marker arrives and matches the number of tokens. */
 export async function readTokenStream(response: Dispatcher.ResponseData, onToken: (text: string) => void): Promise<BackendResult> {
   let received = 0
   for await (const line of createInterface({ input: response.body })) {
@@ -40,18 +40,18 @@
       continue
     }
     if (message.tokens !== received)
-      return createFailure(BackendOutcome.Truncated, `the stream held ${received} of ${message.tokens} tokens`)
+      return createFailure(BackendOutcome.Truncated, `the stream contained ${received} of ${message.tokens} tokens`)
     return { outcome: BackendOutcome.Done, output: message.output, tokens: message.tokens, message: '' }
   }
-  return createFailure(BackendOutcome.Truncated, 'the stream ended before its end mark')
+  return createFailure(BackendOutcome.Truncated, 'the stream ended before its end marker')
 }
 
-/** Reads the answer of a plain service, whose statuses below 500 are answers like any other. */
+/** Reads the response of a plain service. Statuses below 500 are passed on to the caller as responses. */
 export async function readServiceAnswer(response: Dispatcher.ResponseData): Promise<BackendResult> {
   const status = response.statusCode
   if (status >= SERVER_ERROR) {
     await response.body.dump()
-    return createFailure(BackendOutcome.Failed, `the service answered with status ${status}`)
+    return createFailure(BackendOutcome.Failed, `the service returned status ${status}`)
   }
   const header = response.headers['content-type']
   const contentType = typeof header === 'string' ? header : undefined
@@ -59,14 +59,14 @@
   return { outcome: BackendOutcome.Done, output, tokens: 0, message: '', status, contentType }
 }
 
-/** What a status other than 200 says of a run. */
+/** Classifies a run that returned a status other than 200. */
 export async function describeStatus(response: Dispatcher.ResponseData): Promise<BackendResult> {
   await response.body.dump()
   const outcome = NOT_STARTED_STATUSES.has(response.statusCode) ? BackendOutcome.Refused : BackendOutcome.Failed
-  return createFailure(outcome, `the backend server answered with status ${response.statusCode}`)
+  return createFailure(outcome, `the backend server returned status ${response.statusCode}`)
 }
 
-/** What an error that was thrown during a call says of the run. */
+/** Classifies a run whose call threw an error. */
 export function describeThrown(error: unknown, signal: AbortSignal): BackendResult {
   const message = error instanceof Error ? error.message : String(error)
   if (signal.aborted)
--- a/packages/daemon/src/connection/body-reader.ts
+++ b/packages/daemon/src/connection/body-reader.ts
@@ -1,6 +1,7 @@
 /**
- * Reads a caller's body within a size and a time, so that a caller that sends
- * too much or stalls holds no memory. Owns the bytes until the body is whole.
+ * Reads a caller's request body within limits on size and time, so that a caller
+ * that sends too much or stalls does not hold memory. Buffers the bytes until the
+ * body is complete.
  */
 import type { RequestError } from '@eidermast/common'
 import type { IncomingMessage } from 'node:http'
@@ -8,10 +9,9 @@
 import { createError, ErrorKind } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
 
-/** Limits of a body. */
 export interface BodyLimits {
   maxBytes: number
-  /** Milliseconds within which the whole body must come. */
+  /** Time within which the complete body must arrive. */
   timeoutMs: number
 }
 
@@ -21,7 +21,7 @@
     const chunks: Buffer[] = []
     let size = 0
     const timer = setTimeout(() => {
-      end(refuse(ErrorKind.BodyStalled, `The body did not come within ${limits.timeoutMs} ms; send the request again.`))
+      end(refuse(ErrorKind.BodyStalled, `The body did not arrive within ${limits.timeoutMs} ms; send the request again.`))
     }, limits.timeoutMs)
     const end = (result: Result<string, RequestError>): void => {
       clearTimeout(timer)
@@ -31,14 +31,14 @@
     const onData = (chunk: Buffer): void => {
       size += chunk.length
       if (size > limits.maxBytes)
-        end(refuse(ErrorKind.BodyTooLarge, `The body is larger than ${limits.maxBytes} bytes; send a smaller one.`))
+        end(refuse(ErrorKind.BodyTooLarge, `The body exceeds the limit of ${limits.maxBytes} bytes; send a smaller one.`))
       else
         chunks.push(chunk)
     }
     request.on('data', onData)
     request.once('end', () => end(decode(Buffer.concat(chunks))))
     request.once('error', () => {
-      end(refuse(ErrorKind.BodyStalled, 'The connection closed before the whole body came; send the request again.'))
+      end(refuse(ErrorKind.BodyStalled, 'The connection closed before the complete body arrived; send the request again.'))
     })
   })
 }
@@ -52,7 +52,7 @@
     return Ok(new TextDecoder('utf-8', { fatal: true }).decode(bytes))
   }
   catch {
-    // The decoder's error names no place in the text; the caller learns what is wrong from the answer.
-    return refuse(ErrorKind.InvalidRequest, 'The body is not UTF-8; encode it as UTF-8.')
+    // The decoder's error contains no position; the error response tells the caller what is wrong.
+    return refuse(ErrorKind.InvalidRequest, 'The body is not valid UTF-8; encode it as UTF-8.')
   }
 }
--- a/packages/daemon/src/connection/caller-headers.ts
+++ b/packages/daemon/src/connection/caller-headers.ts
@@ -1,6 +1,7 @@
 /**
- * A caller's headers, checked. Nothing of them reaches other processes
- * unchecked. Pure: it does not know which accounts exist.
+ * Parses and validates the headers of a caller's request. No unvalidated header
+ * value reaches other processes. Pure: it does not check whether the account
+ * exists.
  */
 import type { RequestError } from '@eidermast/common'
 import type { IncomingHttpHeaders } from 'node:http'
@@ -11,22 +12,22 @@
 import { MAX_DEADLINE_MS } from '../version/objects.js'
 import { isRequestId } from './identity.js'
 
-/** Headers of a caller's request. */
+/** Validated headers of a caller's request. */
 export interface CallerHeaders {
   account: string
   requestId?: string
   deadlineMs?: number
   unrepeatable: boolean
   ticket?: string
-  /** Lower-case hexadecimal SHA-256 of the bearer token, where there is one. */
+  /** Lower-case hexadecimal SHA-256 of the bearer token, if one was sent. */
   tokenHash?: string
-  /** Whether the answer is wanted as server-sent events. */
+  /** Whether the caller requests server-sent events. */
   stream: boolean
 }
 
-/** The names that the configuration allows for objects. */
+/** Matches the object names allowed by the configuration. */
 const ACCOUNT_PATTERN = /^[a-z0-9][\w.-]{0,99}$/i
-/** Characters. Several times what a ticket for the longest account name has. */
+/** In characters. Several times the length of a ticket for the longest account name. */
 const MAX_TICKET_LENGTH = 2000
 
 function readHeader(headers: IncomingHttpHeaders, name: string): string | undefined {
@@ -38,26 +39,26 @@
   return Err(createError(ErrorKind.InvalidRequest, message))
 }
 
-/** Checks the headers of a request. */
+/** Parses and validates the headers of a request. */
 export function parseCallerHeaders(headers: IncomingHttpHeaders): Result<CallerHeaders, RequestError> {
   const account = readHeader(headers, 'eidermast-account')
   if (account === undefined || !ACCOUNT_PATTERN.test(account))
-    return invalid('Send the header Eidermast-Account with the name of your client account.')
+    return invalid('Set the header Eidermast-Account to the name of your client account.')
   const requestId = readHeader(headers, 'eidermast-request-id')
   if (requestId !== undefined && !isRequestId(requestId))
-    return invalid('Eidermast-Request-Id must be a lower-case UUIDv7; leave it out to have one made.')
+    return invalid('Eidermast-Request-Id must be a lower-case UUIDv7; omit it to have one generated.')
   const deadlineText = readHeader(headers, 'eidermast-deadline-ms')
   const deadlineMs = deadlineText === undefined ? undefined : parseDeadline(deadlineText)
   if (Number.isNaN(deadlineMs))
-    return invalid(`Eidermast-Deadline-Ms must be a whole number of milliseconds from 1 to ${MAX_DEADLINE_MS}.`)
+    return invalid(`Eidermast-Deadline-Ms must be an integer number of milliseconds from 1 to ${MAX_DEADLINE_MS}.`)
   const unrepeatable = readHeader(headers, 'eidermast-unrepeatable') ?? 'false'
   if (unrepeatable !== 'true' && unrepeatable !== 'false')
     return invalid('Eidermast-Unrepeatable must be true or false.')
   const ticket = readHeader(headers, 'eidermast-ticket')
   if (ticket !== undefined && ticket.length > MAX_TICKET_LENGTH)
-    return invalid('Eidermast-Ticket is too long; send it as POST /v1/tickets gave it.')
+    return invalid('Eidermast-Ticket is too long; send it as returned by POST /v1/tickets.')
   if (ticket !== undefined && requestId !== undefined)
-    return invalid('Send either Eidermast-Ticket or Eidermast-Request-Id, since a ticket brings its own id.')
+    return invalid('Send either Eidermast-Ticket or Eidermast-Request-Id; a ticket contains its own request id.')
   return Ok({
     account,
     requestId,
--- a/packages/daemon/src/connection/caller-identity.ts
+++ b/packages/daemon/src/connection/caller-identity.ts
@@ -1,15 +1,18 @@
 /**
- * Decides whether a caller's request is looked at before its body is read.
+ * Decides whether a caller's request is accepted, before its body is read.
  *
- * Inputs: whether the process is stopping and knows a configuration (as of
- * now), the request's headers, the client account as configured (as old as
- * this process's configuration).
- * Rule: refuse while stopping, then while the configuration is unknown, then
- * faulty headers, an unknown account, and a token that the account does not
- * list. An account that lists no token takes callers without one.
- * Why in this order: `stopping` and `not-ready` send the caller to another
- * entry, and neither says anything of the account.
- * Log event: none; the error kind is in the answer.
+ * Inputs: whether the process is stopping and whether it has a configuration
+ * (current state); the request's headers; the client account (as of this
+ * process's configuration).
+ *
+ * Checked in this order: the process is stopping, the configuration is unknown,
+ * the headers are invalid, the account is unknown, the account does not list the
+ * token. An account without tokens accepts callers without a token.
+ *
+ * `stopping` and `not-ready` come first because they send the caller to another
+ * entry and reveal nothing about the account.
+ *
+ * Log event: none; the error kind is in the response.
  */
 import type { RequestError } from '@eidermast/common'
 import type { IncomingHttpHeaders } from 'node:http'
@@ -23,16 +26,16 @@
 import { parseCallerHeaders } from './caller-headers.js'
 import { equalSecrets } from './peer-key.js'
 
-/** Finds the caller of a request by its headers; an error says what the caller can do. */
+/** Authenticates the caller of a request by its headers; an error tells the caller how to proceed. */
 export function identifyCaller(
   headers: IncomingHttpHeaders,
   configuration: Configuration,
   service: CallerService,
 ): Result<Caller, RequestError> {
   if (service.isRefusing())
-    return Err(createError(ErrorKind.Stopping, 'This entry is stopping; send the request again, the balancer knows others.'))
+    return Err(createError(ErrorKind.Stopping, 'This entry is stopping; send the request again, and the load balancer will route it to another entry.'))
   if (!service.knowsConfiguration())
-    return Err(createError(ErrorKind.NotReady, 'This entry does not know its configuration yet; come back after the given time.'))
+    return Err(createError(ErrorKind.NotReady, 'This entry has not loaded its configuration yet; retry after the indicated delay.'))
   const parsed = parseCallerHeaders(headers)
   if (parsed.isErr())
     return parsed
@@ -40,7 +43,7 @@
   if (!account)
     return Err(createError(ErrorKind.UnknownAccount, 'The client account is not configured; check Eidermast-Account.'))
   if (!acceptsToken(account.value, parsed.value.tokenHash))
-    return Err(createError(ErrorKind.Unauthenticated, 'The client account asks for a bearer token; send it in Authorization.'))
+    return Err(createError(ErrorKind.Unauthenticated, 'The client account requires a valid bearer token; send it in the Authorization header.'))
   return Ok({ headers: parsed.value, account })
 }
 
--- a/packages/daemon/src/connection/caller-path.ts
+++ b/packages/daemon/src/connection/caller-path.ts
@@ -1,9 +1,9 @@
 /**
- * What a caller asks for, read from the target of its HTTP request. Pure: it
- * knows neither the configuration nor the request's headers.
+ * Parses the target of a caller's HTTP request. Pure: it uses neither the
+ * configuration nor the request's headers.
  */
 
-/** What a path of the callers' interface is for. */
+/** Endpoints of the caller API. */
 export enum CallerPathKind {
   /** `POST /v1/pipelines/NAME/requests`. */
   Pipeline = 'pipeline',
@@ -15,10 +15,10 @@
   Ticket = 'ticket',
 }
 
-/** A path of the callers' interface. */
+/** A parsed path of the caller API. */
 export type CallerPath
   = { kind: CallerPathKind.Pipeline, pipeline: string }
-    /** `path` is what the service receives, with the query. */
+    /** `path` is the path sent to the service, including the query. */
     | { kind: CallerPathKind.Service, service: string, path: string }
     | { kind: CallerPathKind.Outcome, requestId: string }
     | { kind: CallerPathKind.Ticket }
@@ -27,10 +27,10 @@
 const SERVICE_PATH = /^\/v1\/services\/([^/]+)(\/.*)$/
 const REQUEST_PATH = /^\/v1\/requests\/([^/]+)$/
 const TICKET_PATH = '/v1/tickets'
-/** Path segments that could lead a service path to another service. */
+/** Dot segments, with which a service path could reach another service. */
 const DOT_SEGMENT = /(?:^|\/)(?:\.|%2e){1,2}(?:\/|$)/i
 
-/** Reads a request target; undefined where nothing is at its path. Dot segments are not resolved. */
+/** Parses a request target; undefined if no endpoint has its path. Dot segments are not resolved. */
 export function parseCallerPath(target: string): CallerPath | undefined {
   const queryAt = target.indexOf('?')
   const path = queryAt < 0 ? target : target.slice(0, queryAt)
@@ -47,14 +47,14 @@
   return path === TICKET_PATH ? { kind: CallerPathKind.Ticket } : undefined
 }
 
-/** The method that a path wants; undefined where any may come. */
+/** The method that a path requires; undefined if any method is allowed. */
 export function wantedMethod(path: CallerPath): 'GET' | 'POST' | undefined {
   if (path.kind === CallerPathKind.Service)
     return undefined
   return path.kind === CallerPathKind.Outcome ? 'GET' : 'POST'
 }
 
-/** Whether a service path holds segments that an HTTP library might resolve to another service. */
+/** Whether a service path contains segments that an HTTP library could resolve to another service. */
 export function hasDotSegment(path: string): boolean {
   return DOT_SEGMENT.test(path)
 }
--- a/packages/daemon/src/connection/caller-server.ts
+++ b/packages/daemon/src/connection/caller-server.ts
@@ -1,8 +1,8 @@
 /**
- * The callers' interface over HTTP: reads and checks a request, hands it to
- * the entry's `CallerService` and writes the one answer. Owns the callers'
- * connections and nothing that lasts: when the process dies, callers see their
- * connections close and send again.
+ * HTTP server of the caller API: reads and validates a request, passes it to the
+ * entry's `CallerService` and writes the response. Owns the callers' connections
+ * and no persistent state: if the process dies, the connections close and callers
+ * retry.
  */
 import type { RequestError } from '@eidermast/common'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
@@ -25,41 +25,41 @@
 
 const log = createLogger('process')
 
-/** Limits of the callers' interface. */
+/** Limits of the caller API. */
 export interface CallerLimits {
   maxConnections: number
   maxBodyBytes: number
-  /** Milliseconds within which a body must come. */
+  /** Time within which the complete body must arrive. */
   bodyTimeoutMs: number
-  /** Milliseconds that a caller may take to read its answer. */
+  /** Time that a caller may take to read its response. */
   writeTimeoutMs: number
 }
 
-/** Parts of the callers' interface. */
+/** Dependencies of the caller API. */
 export interface CallerServerOptions {
   limits: CallerLimits
   configuration: Configuration
   service: CallerService
-  /** Answers metrics and health; returns whether the path was one of them. */
+  /** Handles metrics and health requests; returns whether the request was one of them. */
   answerOperations: (request: IncomingMessage, response: ServerResponse) => Promise<boolean>
 }
 
 /**
- * Milliseconds within which a request's headers must come. Half would cut off
- * callers on lossy links, twice would let a caller that stalls hold one of the
- * connections for longer.
+ * Time within which a request's headers must arrive. A shorter one would
+ * disconnect callers on lossy links; a longer one would let a stalled caller
+ * occupy one of the limited connections for longer.
  */
 const HEADERS_TIMEOUT_MS = 5000
 /**
- * Milliseconds that an idle connection is kept. Half would cost reconnections
- * of callers that call about once a minute, twice would hold more idle
- * connections against the limit.
+ * Time for which an idle connection is kept. A shorter one would force callers
+ * that call about once a minute to reconnect; a longer one would count more idle
+ * connections towards the limit.
  */
 const KEEP_ALIVE_MS = 60_000
-/** Answer to bytes that are no HTTP request. */
+/** Response to data that is not a valid HTTP request. */
 const BAD_REQUEST = 'HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n'
 
-const NOTHING_THERE = 'There is nothing at this path; see the callers\' interface in the README.'
+const NOTHING_THERE = 'No endpoint exists at this path; see the section on the callers\' interface in the README.'
 
 const pipelineBodySchema = z.strictObject({ input: z.string().min(1) })
 
@@ -79,16 +79,16 @@
   return server
 }
 
-/** One HTTP request and the writer of its answer. */
+/** One HTTP request and the writer of its response. */
 interface Exchange {
   request: IncomingMessage
   response: ServerResponse
   writer: AnswerWriter
-  /** Time of the process clock, in milliseconds. */
+  /** Monotonic time in milliseconds. */
   arrivedAt: number
 }
 
-/** Answers callers' requests. */
+/** Handles callers' requests. */
 class CallerHandler {
   constructor(private readonly options: CallerServerOptions) {}
 
@@ -104,7 +104,7 @@
     }
     catch (error) {
       log('caller-request-failed', { url: request.url, error: formatError(error) })
-      writer.sendError(createError(ErrorKind.Internal, `The entry failed: ${String(error)}`))
+      writer.sendError(createError(ErrorKind.Internal, `Internal error in the entry: ${String(error)}`))
     }
   }
 
@@ -115,7 +115,7 @@
       return reject(exchange, createError(ErrorKind.UnknownPath, NOTHING_THERE))
     const method = wantedMethod(path)
     if (method && request.method !== method)
-      return reject(exchange, createError(ErrorKind.MethodNotAllowed, `Use ${method} at this path.`))
+      return reject(exchange, createError(ErrorKind.MethodNotAllowed, `This path requires the method ${method}.`))
     const caller = identifyCaller(request.headers, this.options.configuration, this.options.service)
     if (caller.isErr())
       return reject(exchange, caller.error)
@@ -149,19 +149,19 @@
   private createPipelineCall(name: string, call: CallerCall, writer: AnswerWriter): Result<PipelineCall, RequestError> {
     const pipeline = this.options.configuration.get(ObjectKind.Template, name)
     if (!pipeline)
-      return Err(createError(ErrorKind.UnknownPipeline, 'No pipeline of this name is published; check the path.'))
+      return Err(createError(ErrorKind.UnknownPipeline, 'No pipeline with this name is published; check the path.'))
     const parsed = pipelineBodySchema.safeParse(parseJson(call.body))
     if (!parsed.success)
-      return Err(createError(ErrorKind.InvalidRequest, 'Send a JSON object with the one field "input", a text that is not empty.'))
+      return Err(createError(ErrorKind.InvalidRequest, 'Send a JSON object whose only field is "input", a non-empty string.'))
     const onToken = (index: number, text: string): void => writer.sendToken(index, text)
     return Ok({ ...call, body: parsed.data.input, pipeline, onToken: call.caller.headers.stream ? onToken : undefined })
   }
 
   private createServiceCall(service: string, path: string, request: IncomingMessage, call: CallerCall): Result<ServiceCall, RequestError> {
     if (!this.options.service.knowsService(service))
-      return Err(createError(ErrorKind.UnknownService, 'No plain service of this name is configured; check the path.'))
+      return Err(createError(ErrorKind.UnknownService, 'No plain service with this name is configured; check the path.'))
     if (hasDotSegment(path))
-      return Err(createError(ErrorKind.InvalidRequest, 'The path of a service call must hold no dot segments.'))
+      return Err(createError(ErrorKind.InvalidRequest, 'The path of a service call must not contain dot segments.'))
     return Ok({ ...call, service, request: { method: request.method ?? 'GET', path } })
   }
 
@@ -179,11 +179,11 @@
       return writer.sendAnswer(outcome.answer)
     if (outcome.state === OutcomeState.Running)
       return writer.sendJson(202, { requestId, state: 'running' })
-    writer.sendError(createError(ErrorKind.UnknownRequest, 'No entry knows the outcome of this request.'))
+    writer.sendError(createError(ErrorKind.UnknownRequest, 'No entry has an outcome for this request.'))
   }
 }
 
-/** A signal that aborts when the caller closes the connection before its answer was written. */
+/** Returns a signal that aborts if the caller disconnects before its response was written. */
 function watchCaller(response: ServerResponse): AbortSignal {
   const gone = new AbortController()
   response.once('close', () => {
@@ -193,7 +193,7 @@
   return gone.signal
 }
 
-/** Refuses a request whose body may still be coming; the connection ends with the answer. */
+/** Rejects a request whose body may not be fully received; in that case the connection is closed after the response. */
 function reject({ request, writer }: Exchange, error: RequestError): void {
   const unread = !request.complete && request.headers['content-length'] !== '0'
   request.resume()
--- a/packages/daemon/src/connection/caller-service.ts
+++ b/packages/daemon/src/connection/caller-service.ts
@@ -1,7 +1,7 @@
 /**
- * What the callers' HTTP server needs of the entry behind it, as an interface:
- * planning, admission and running stand on the floors above and are given to
- * the server at the start.
+ * Interface between the callers' HTTP server and the entry. Planning, admission
+ * and execution of requests belong to higher layers, which are injected into the
+ * server at start-up.
  */
 import type { UsableObject } from '../version/configuration.js'
 import type { Account, Template } from '../version/objects.js'
@@ -10,60 +10,58 @@
 import type { LinkTokenListener } from './link-call.js'
 import type { OutcomeState, ServiceRequest } from './messages.js'
 
-/** A caller whose account is configured and whose token is accepted. */
+/** A caller with a configured account and an accepted token. */
 export interface Caller {
   headers: CallerHeaders
   account: UsableObject<Account>
 }
 
-/** What calls of pipelines and of plain services have in common. */
+/** Fields common to pipeline calls and plain service calls. */
 export interface CallerCall {
   caller: Caller
-  /** The pipeline's input, or the body for the plain service. */
+  /** Input of the pipeline, or request body for the plain service. */
   body: string
-  /** Time of the process clock at which the request's headers came, in milliseconds. */
+  /** Arrival time of the request's headers (monotonic, in milliseconds). */
   arrivedAt: number
-  /** Aborts when the caller closes the connection before its answer was written. */
+  /** Aborts if the caller disconnects before its response was written. */
   callerGone: AbortSignal
 }
 
-/** A call of a pipeline. */
 export interface PipelineCall extends CallerCall {
   pipeline: UsableObject<Template>
-  /** Receives tokens as they come, where the caller wants a stream. */
+  /** Receives tokens as they are produced; set if the caller requests a stream. */
   onToken?: LinkTokenListener
 }
 
-/** A call of a plain service. */
 export interface ServiceCall extends CallerCall {
   service: string
   request: ServiceRequest
 }
 
-/** A ticket as it is given to a caller. */
+/** A ticket issued to a caller. */
 export interface IssuedTicket {
   requestId: string
   ticket: string
-  /** Epoch milliseconds. */
+  /** Expiry in epoch milliseconds. */
   expiresAt: number
 }
 
-/** What the entries know of a request. */
+/** Outcome of a request as known to the entries. */
 export type FoundOutcome
   = { state: OutcomeState.Finished, answer: RequestAnswer }
     | { state: OutcomeState.Running | OutcomeState.Unknown }
 
-/** The entry behind the callers' server. */
+/** Operations that the entry provides to the callers' server. */
 export interface CallerService {
-  /** Whether this process knows a configuration to answer by. */
+  /** Whether this process has loaded a configuration. */
   knowsConfiguration: () => boolean
-  /** Whether the process is stopping and takes no new requests. */
+  /** Whether the process is stopping and accepts no new requests. */
   isRefusing: () => boolean
-  /** Whether a plain service of this name is configured. */
+  /** Whether a plain service with this name is configured. */
   knowsService: (service: string) => boolean
   runPipeline: (call: PipelineCall) => Promise<RequestAnswer>
   runService: (call: ServiceCall) => Promise<RequestAnswer>
   issueTicket: (account: string) => IssuedTicket
-  /** Asks every entry for the outcome of an account's request. */
+  /** Queries all entries for the outcome of an account's request. */
   findOutcome: (account: string, requestId: string) => Promise<FoundOutcome>
 }
--- a/packages/daemon/src/connection/entry-peers.ts
+++ b/packages/daemon/src/connection/entry-peers.ts
@@ -1,8 +1,8 @@
 /**
- * An entry's connections to other entries, opened when first needed and kept
- * until they are lost. Owns them for the life of the process. No heartbeats
- * are sent on them: a frozen entry shows by a question that it does not answer
- * in time.
+ * An entry's connections to other entries, opened on first use and kept until
+ * they are lost. Owns them for the lifetime of the process. No periodic
+ * heartbeats are sent on them: a frozen entry is detected when a query to it
+ * times out.
  */
 import type { Configuration, ConfigurationDifference } from '../version/configuration.js'
 import type { ForwardedRequest, HeartbeatReply, OutcomeQuestion, OutcomeReply } from './messages.js'
@@ -14,7 +14,6 @@
 
 const log = createLogger('membership')
 
-/** Options of the connections to other entries. */
 export interface EntryPeersOptions {
   key: string
   entryName: string
@@ -22,69 +21,69 @@
   configuration: Configuration
 }
 
-/** An open connection and the process life at its far end. */
+/** An open connection and the peer's reply to the first heartbeat, which names its process incarnation. */
 interface KnownPeer {
   connection: PeerConnection<EntryClient>
   heartbeat: HeartbeatReply
 }
 
 /**
- * Milliseconds to connect and, apart from that, to answer the first heartbeat.
- * Half may miss an entry that is busy, twice takes a whole second of a
- * request's deadline where the other entry is frozen.
+ * Timeout for connecting and, separately, for the first heartbeat. A shorter one
+ * can miss a busy entry; twice as long would use a full second of a request's
+ * deadline if the other entry is frozen.
  */
 const HEARTBEAT_TIMEOUT_MS = 500
 /**
- * Milliseconds. With 250 an entry that was busy or paused for that long made
- * callers hear that the outcome is unknown, which they have to look into,
- * where it could say that nothing ran (test/promises/unrepeatable, one entry
- * frozen for 600 ms). Twice as much keeps callers waiting for an entry that is
- * gone.
+ * Timeout of an outcome query. With 250 ms, an entry that was busy or paused for
+ * that long caused callers to receive an unknown outcome, which they have to
+ * investigate, although nothing had run (test/promises/unrepeatable, one entry
+ * frozen for 600 ms). A longer timeout keeps callers waiting for an entry that no
+ * longer exists.
  */
 const OUTCOME_TIMEOUT_MS = 1000
 /**
- * Milliseconds to send a difference of the configuration. Half may be short for
- * all objects over a slow link, twice keeps this entry from asking the next one
- * for longer.
+ * Timeout for receiving a configuration difference. A shorter one can be too
+ * short for all objects over a slow link; a longer one delays the query to the
+ * next entry.
  */
 const DIFFERENCE_TIMEOUT_MS = 5000
 
-/** What came of passing a request on. */
+/** State of a forwarded request. */
 export enum ForwardState {
   Answered = 'answered',
-  /** The process life that was meant is over or cannot be reached. */
+  /** The target process incarnation has ended or cannot be reached. */
   Gone = 'gone',
-  /** It was reached, and its answer was lost. */
+  /** The target was reached, but its answer was lost. */
   Lost = 'lost',
 }
 
-/** The end of passing a request on. */
+/** The result of forwarding a request. */
 export interface ForwardResult {
   state: ForwardState
-  /** The answer as JSON text, where there is one. */
+  /** The answer as JSON text; empty if there is none. */
   answer: string
 }
 
-/** Connections of one entry to others. */
+/** Connections of one entry to other entries. */
 export class EntryPeers {
   private readonly peers = new Map<string, Promise<KnownPeer | undefined>>()
 
   constructor(private readonly options: EntryPeersOptions) {}
 
-  /** Asks an entry what it knows of a request; undefined where it does not answer in time. */
+  /** Queries an entry for the outcome of a request; undefined if it does not reply in time. */
   async askOutcome(address: string, question: OutcomeQuestion): Promise<OutcomeReply | undefined> {
     const answer = await this.ask(address, client => client.outcome.query(question), OUTCOME_TIMEOUT_MS)
     return outcomeReplySchema.safeParse(answer).data
   }
 
-  /** Gets what another entry's configuration holds above an offset; undefined where it does not answer in time. */
+  /** Fetches the objects above an offset of another entry's configuration; undefined if it does not reply in time. */
   async difference(address: string, since: number): Promise<ConfigurationDifference | undefined> {
     const kinds = Object.values(ObjectKind)
     const answer = await this.ask(address, client => client.difference.query({ since, kinds }), DIFFERENCE_TIMEOUT_MS)
     return differenceSchema.safeParse(answer).data as ConfigurationDifference | undefined
   }
 
-  /** Passes a request to the process life that alone may run it, and waits until the request's deadline. */
+  /** Forwards a request to the only process incarnation that may run it, and waits until the request's deadline. */
   async forward(address: string, incarnation: string, request: ForwardedRequest): Promise<ForwardResult> {
     const peer = await this.connect(address)
     if (peer?.heartbeat.incarnation !== incarnation)
@@ -96,13 +95,12 @@
     return { state: ForwardState.Lost, answer: '' }
   }
 
-  /** Closes every connection. */
   close(): void {
     for (const peer of this.peers.values())
       void peer.then(known => known?.connection.close())
   }
 
-  /** The answer as it came; undefined where there is none, after a log line that says why. */
+  /** Returns the unvalidated reply of an entry. Logs the reason and returns undefined if there is none. */
   private async ask(address: string, call: (client: EntryClient) => Promise<unknown>, timeoutMs: number): Promise<unknown> {
     const peer = await this.connect(address)
     if (!peer)
--- a/packages/daemon/src/connection/heartbeat-timing.ts
+++ b/packages/daemon/src/connection/heartbeat-timing.ts
@@ -1,60 +1,61 @@
 /**
- * Decides when an entry sends a heartbeat to a side, when the side counts as
+ * Decides when an entry sends a heartbeat to a side, when the side is considered
  * silent, and when its connection is closed.
  *
- * Inputs: milliseconds since the newest reply of a stage call and since the
- * newest answered heartbeat (clock of this process, as of now), stage results
- * whose receipt is not yet reported, the configuration offsets of both ends
- * (the side's as of the newest heartbeat), heartbeats in a row without an
- * answer.
- * Rule: a heartbeat is due when the link was quiet for one interval, when the
- * newest one is MAX_HEARTBEAT_GAP intervals old, when MIN_ACKNOWLEDGEMENTS
- * wait, or when the side's configuration is older. After SILENT_AFTER_MISSED
- * the side gets no new calls, after MAX_MISSED the connection is closed and
- * opened again. Why not one heartbeat an interval: a reply carries the load as
- * well, and 300 idle sides at two heartbeats a second cost an entry 34.5% of a
- * core. Why not silent after one: on a loaded VM a single late answer took a
- * good side out of work.
+ * Inputs: milliseconds since the last stage reply and since the last answered
+ * heartbeat (clock of this process); the number of stage results whose receipt
+ * has not been acknowledged; the configuration offsets of both ends (the side's
+ * as of the last heartbeat); the number of consecutive missed heartbeats.
+ *
+ * A heartbeat is due if the link was idle for one interval, if the last one is
+ * MAX_HEARTBEAT_GAP intervals old, if MIN_ACKNOWLEDGEMENTS are pending, or if the
+ * side's configuration is older. After SILENT_AFTER_MISSED missed heartbeats the
+ * side gets no new calls; after MAX_MISSED the connection is closed and reopened.
+ *
+ * Busy links skip heartbeats because a stage reply also carries the load, and 300
+ * idle sides at two heartbeats a second cost an entry 34.5% of a core. One missed
+ * heartbeat is not enough for a side to be silent: on a loaded VM a single late
+ * reply removed a healthy side from service.
+ *
  * Log events: `side-silent`, `side-answers`; then `member`.
  */
 
-/** Heartbeats in a row without an answer: a single one is lost too easily. */
+/** Consecutive missed heartbeats; a single one can be late on a loaded VM. */
 const SILENT_AFTER_MISSED = 2
 /**
- * Heartbeats in a row without an answer. Half would close connections of sides
- * that are only slow, and lose the calls on them; twice would leave calls
- * waiting on a frozen side for longer.
+ * Consecutive missed heartbeats. A lower limit would close connections of sides
+ * that are only slow and lose the calls on them; a higher one would let calls
+ * wait longer for a frozen side.
  */
 const MAX_MISSED = 3
 /**
- * Heartbeat intervals that a link with traffic may go without a heartbeat. Half
- * sends more on busy links, twice lets acknowledgements and the side's offset
- * grow older.
+ * Maximum number of intervals between heartbeats on a link with traffic. A lower
+ * value sends more on busy links; a higher one delays acknowledgements and
+ * updates of the side's offset.
  */
 const MAX_HEARTBEAT_GAP = 6
 /**
- * Results received that are worth a heartbeat of their own. Half sends more
- * heartbeats on busy links, twice keeps more results in the side's memory.
+ * Pending acknowledgements that trigger a heartbeat. A lower value sends more
+ * heartbeats on busy links; a higher one keeps more results in the side's memory.
  */
 const MIN_ACKNOWLEDGEMENTS = 500
 
-/** What is known of a link. */
+/** State of a link. */
 export interface HeartbeatSigns {
-  /** Milliseconds since the newest reply of a stage call. */
+  /** Time since the last stage reply. */
   sinceReplyMs: number
-  /** Milliseconds since the newest answered heartbeat. */
+  /** Time since the last answered heartbeat. */
   sinceHeartbeatMs: number
-  /** Interval of the settings, in milliseconds. */
+  /** Heartbeat interval from the settings. */
   intervalMs: number
-  /** Results received whose receipt the side does not know of. */
+  /** Number of received results that have not been acknowledged to the side. */
   acknowledgements: number
   /** Offset of this entry's configuration. */
   offset: number
-  /** Offset of the side's configuration at the newest heartbeat. */
+  /** Offset of the side's configuration at the last answered heartbeat. */
   sideOffset: number
 }
 
-/** Whether a heartbeat is due. */
 export function isHeartbeatDue(signs: HeartbeatSigns): boolean {
   const quiet = signs.sinceReplyMs >= signs.intervalMs
   const overdue = signs.sinceHeartbeatMs >= signs.intervalMs * MAX_HEARTBEAT_GAP
@@ -62,10 +63,10 @@
   return quiet || overdue || manyReceived || signs.sideOffset < signs.offset
 }
 
-/** What missed heartbeats say of a side. */
+/** Health of a side, derived from missed heartbeats. */
 export enum SideHealth {
   Answering = 'answering',
-  /** Too early to say: what was known before holds. */
+  /** Not enough missed heartbeats to decide: the previous state is kept. */
   Unclear = 'unclear',
   /** Gets no new calls. */
   Silent = 'silent',
@@ -73,7 +74,7 @@
   Lost = 'lost',
 }
 
-/** Judges a side by its heartbeats in a row without an answer. */
+/** Classifies a side by its number of consecutive missed heartbeats. */
 export function judgeSide(missed: number): SideHealth {
   if (missed === 0)
     return SideHealth.Answering
--- a/packages/daemon/src/connection/http-backend-client.ts
+++ b/packages/daemon/src/connection/http-backend-client.ts
@@ -1,6 +1,6 @@
 /**
- * A backend server by its published HTTP protocol. Owns the connections to it
- * until `close`. Makes each call once.
+ * Client for a backend server's published HTTP protocol. Owns the connections to
+ * it until `close`. Does not retry calls.
  */
 import type { Result } from 'ts-results-es'
 import type { Dispatcher } from 'undici'
@@ -14,29 +14,29 @@
 import { backendLoadSchema } from './backend-client.js'
 import { callJson } from './json-http.js'
 
-/** Milliseconds. The backend server is on the same VM; half still does, twice finds a frozen VM later. */
+/** The backend server is on the same VM, so half would suffice; a longer timeout detects a frozen VM later. */
 const CONNECT_TIMEOUT_MS = 1000
-/** Milliseconds. Half may miss answers of a busy engine, twice finds a frozen one later. */
+/** A shorter timeout can miss responses of a busy engine; a longer one detects a frozen engine later. */
 const LOAD_TIMEOUT_MS = 1000
-/** Milliseconds to acknowledge an order. Half may repeat orders to a slow engine, twice delays the next try. */
+/** Time to acknowledge an order. A shorter timeout can resend orders to a slow engine; a longer one delays the next attempt. */
 const ORDER_TIMEOUT_MS = 10_000
-/** Connections beside one for each slot: for the load request and for an order. */
+/** Connections in addition to one per slot: one for load requests and one for orders. */
 const EXTRA_CONNECTIONS = 2
 
-/** A backend server over HTTP. */
+/** HTTP client of a backend server. */
 export class HttpBackendClient implements BackendClient {
   private readonly agent: Agent
 
   /**
-   * @param url Base address of the backend server.
-   * @param slots Calls that run at once.
+   * @param url Base URL of the backend server.
+   * @param slots Maximum number of concurrent calls.
    */
   constructor(private readonly url: string, slots: number) {
     this.agent = new Agent({
       connections: slots + EXTRA_CONNECTIONS,
       pipelining: 1,
       connect: { timeout: CONNECT_TIMEOUT_MS },
-      // The signal of each call bounds it.
+      // Each call is limited by its abort signal.
       headersTimeout: 0,
       bodyTimeout: 0,
     })
@@ -59,7 +59,7 @@
     if (answer.isErr())
       return answer
     const load = backendLoadSchema.safeParse(answer.value)
-    return load.success ? Ok(load.data) : Err({ failure: CallFailure.InDoubt, message: `unknown form of a load from ${url}` })
+    return load.success ? Ok(load.data) : Err({ failure: CallFailure.InDoubt, message: `load report in an unknown format from ${url}` })
   }
 
   async order(order: BackendOrderMessage): Promise<Result<void, CallError>> {
--- a/packages/daemon/src/connection/json-http.ts
+++ b/packages/daemon/src/connection/json-http.ts
@@ -1,8 +1,8 @@
 /**
- * Small JSON calls over HTTP, to the platform and to backend servers. A failed
- * call says whether it may have taken effect, since only the caller knows
- * whether making it again does harm. Keeps no state: connections belong to the
- * dispatcher that the call names, or to undici's global one.
+ * JSON calls over HTTP to the platform and to backend servers. The error of a
+ * failed call states whether the call may have taken effect, because only the
+ * caller knows whether a retry is safe. Stateless: connections belong to the
+ * dispatcher of the call, or to undici's global one.
  */
 import type { Result } from 'ts-results-es'
 import type { Dispatcher } from 'undici'
@@ -12,25 +12,24 @@
 import { request } from 'undici'
 import { CallFailure } from '../version/call-error.js'
 
-/** A JSON call. */
 export interface JsonCall {
   method: 'GET' | 'POST'
   url: string
   body?: unknown
-  /** Milliseconds from the call to the last byte of the answer. */
+  /** Time from the call to the last byte of the response. */
   timeoutMs: number
   signal?: AbortSignal
   /**
-   * Connections to use.
+   * Dispatcher whose connections are used.
    * @default undici's global dispatcher
    */
   dispatcher?: Dispatcher
 }
 
-/** Errors of `node:net` and undici that come before a connection stands. */
+/** Errors of `node:net` and undici that occur before a connection is established. */
 const NOT_CONNECTED_CODES = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ENOTFOUND', 'UND_ERR_CONNECT_TIMEOUT'])
 
-/** Calls a JSON endpoint and returns the parsed answer of a 2xx status; undefined where its body is empty. */
+/** Calls a JSON endpoint and returns the parsed body of a 2xx response; undefined if the body is empty. */
 export async function callJson(call: JsonCall): Promise<Result<unknown, CallError>> {
   const { signal, dispose } = createBoundedSignal(call.timeoutMs, call.signal)
   try {
@@ -60,13 +59,13 @@
   return Err({ failure: classifyStatus(status), message: `status ${status} from ${url}`, status })
 }
 
-/** A 4xx or 503 answer says that the call was refused; any other may have acted. */
+/** With status 4xx or 503 the call was refused; with any other it may have taken effect. */
 function classifyStatus(status: number): CallFailure {
   const refused = (status >= 400 && status < 500) || status === 503
   return refused ? CallFailure.NotTaken : CallFailure.InDoubt
 }
 
-/** Whether a call failed before it had a connection, so that nothing was sent. */
+/** Whether a call failed before a connection was established, so that nothing was sent. */
 export function isNotConnected(error: unknown): boolean {
   return error instanceof Error && 'code' in error && NOT_CONNECTED_CODES.has(String(error.code))
 }
--- a/packages/daemon/src/connection/link-call.ts
+++ b/packages/daemon/src/connection/link-call.ts
@@ -1,23 +1,23 @@
 /**
- * One stage call over an open connection to a side, with or without a stream
- * of tokens. Keeps no state. Never makes a call twice: whether a lost one may
- * be made again is decided by the request that made it.
+ * Makes one stage call over an open connection to a side, with or without
+ * streaming. Stateless. Never retries: whether a lost call may be retried is
+ * decided by the request that made it.
  */
 import type { StageCall, StageReply } from './messages.js'
 import type { PeerConnection, SideClient } from './peer-connection.js'
 import { stageReplySchema, streamMessageSchema } from './messages.js'
 import { callPeer, CallState } from './peer-connection.js'
 
-/** How a stage call over a link ended. */
+/** Outcome of a stage call over a link. */
 export enum LinkOutcome {
   Replied = 'replied',
   /** The link was not open: nothing was sent. */
   NotSent = 'not-sent',
-  /** Sent, perhaps received, and no reply. */
+  /** Sent and possibly received, but no reply arrived. */
   Lost = 'lost',
 }
 
-/** The end of a stage call over a link. */
+/** Result of a stage call over a link. */
 export type LinkResult
   = { outcome: LinkOutcome.Replied, reply: StageReply }
     | { outcome: LinkOutcome.NotSent | LinkOutcome.Lost, message: string }
@@ -25,7 +25,7 @@
 /** Receives streamed tokens. */
 export type LinkTokenListener = (index: number, text: string) => void
 
-/** Sends a stage call and waits for its reply or for the end of the connection. */
+/** Sends a stage call and waits until its reply arrives or the connection closes. */
 export async function callStage(
   connection: PeerConnection<SideClient>,
   call: StageCall,
@@ -36,11 +36,11 @@
     return { outcome: LinkOutcome.Lost, message: result.message }
   const reply = stageReplySchema.safeParse(result.value)
   if (!reply.success)
-    return { outcome: LinkOutcome.Lost, message: 'the side replied in an unknown form' }
+    return { outcome: LinkOutcome.Lost, message: 'the side sent a reply in an unknown format' }
   return { outcome: LinkOutcome.Replied, reply: reply.data }
 }
 
-/** Reads a streamed call to its reply. */
+/** Makes a streamed call; resolves with its final reply. */
 function readStream(client: SideClient, call: StageCall, onToken: LinkTokenListener): Promise<unknown> {
   return new Promise((resolve, reject) => {
     const subscription = client.stream.subscribe(call, {
--- a/packages/daemon/src/connection/log-client.ts
+++ b/packages/daemon/src/connection/log-client.ts
@@ -1,7 +1,7 @@
 /**
- * The platform's log over HTTP. Owns its connections until `close`. Makes each
- * call once: whether an append that is in doubt is made again is decided by
- * whoever knows what the record does.
+ * HTTP client of the platform's log. Owns its connections until `close`. Does not
+ * retry: only the caller knows the effect of a record and can decide whether to
+ * repeat an append that is in doubt.
  */
 import type { Result } from 'ts-results-es'
 import type { CallError } from '../version/call-error.js'
@@ -15,24 +15,23 @@
 
 const appendSchema = z.object({ offset: z.int().min(0) })
 
-/** Options of the HTTP log client. */
 export interface HttpLogClientOptions {
   url: string
   /**
-   * Milliseconds until a call times out; a read that the log holds open gets that time on top.
+   * Timeout of a call in milliseconds. For reads that the log holds open, the wait time is added to it.
    * @default 1000
    */
   timeoutMs?: number
 }
 
 /**
- * Milliseconds, for opening a connection and for a call where the options name
- * no time. Half would fail calls at a loaded log, twice would delay the move to
- * a peer's configuration by a second.
+ * Connect timeout, and default timeout of a call. Half would fail calls to a
+ * loaded log; twice as long would delay the fallback to a peer's configuration by
+ * a second.
  */
 const DEFAULT_TIMEOUT_MS = 1000
 
-/** The log over HTTP. */
+/** HTTP client of the log. */
 export class HttpLogClient implements LogClient {
   private readonly agent = new Agent({ connect: { timeout: DEFAULT_TIMEOUT_MS } })
   private readonly timeoutMs: number
@@ -54,7 +53,7 @@
       return answer
     const parsed = appendSchema.safeParse(answer.value)
     if (!parsed.success)
-      return Err({ failure: CallFailure.InDoubt, message: 'the log acknowledged an append in an unknown form' })
+      return Err({ failure: CallFailure.InDoubt, message: 'the log acknowledged an append in an unknown format' })
     return Ok(parsed.data.offset)
   }
 
@@ -71,7 +70,7 @@
       return answer
     const parsed = logPageSchema.safeParse(answer.value)
     if (!parsed.success)
-      return Err({ failure: CallFailure.InDoubt, message: 'the log answered a read in an unknown form' })
+      return Err({ failure: CallFailure.InDoubt, message: 'the log returned records in an unknown format' })
     return Ok(parsed.data)
   }
 
--- a/packages/daemon/src/connection/messages.ts
+++ b/packages/daemon/src/connection/messages.ts
@@ -1,49 +1,49 @@
 /**
- * Messages between the system's processes. Each is checked by its schema where
- * it arrives. Two releases talk to each other during a rolling restart: fields
- * keep their names, and new ones need a default.
+ * Messages between the system's processes, validated by their schemas on receipt.
+ * Two releases communicate during a rolling restart, so fields must keep their
+ * names, and new fields need a default.
  */
 import * as z from 'zod'
 import { ObjectKind, Priority } from '../version/objects.js'
 import { NO_OFFSET, versionedObjectSchema } from '../version/record.js'
 
-/** Largest stage input between processes, in characters. 15 times the largest body that entries accept by default. */
+/** Maximum stage input between processes, in characters: 15 times the largest body that entries accept by default. */
 const MAX_STAGE_INPUT_LENGTH = 4_000_000
 
 /**
- * Stage results that one heartbeat can acknowledge. 20 times what
- * makes a heartbeat due; those beyond it leave the side's memory by their age.
+ * Maximum number of stage results acknowledged by one heartbeat: 20 times the
+ * number that makes a heartbeat due. The side evicts results beyond it by age.
  */
 export const MAX_ACKNOWLEDGEMENTS = 10_000
 
-/** Load of a backend server, as its side reports it. */
+/** Load of a backend server, reported by its side. */
 export const loadSchema = z.object({
   running: z.int().min(0),
-  /** Calls that wait, by priority. */
+  /** Number of queued calls by priority. */
   queued: z.object({
     [Priority.High]: z.int().min(0),
     [Priority.Normal]: z.int().min(0),
     [Priority.Low]: z.int().min(0),
   }),
   slots: z.int().min(1),
-  /** Recent mean service time, in milliseconds; 0 where nothing ran yet. */
+  /** Recent mean service time in milliseconds; 0 if nothing has run yet. */
   meanServiceMs: z.number().min(0),
-  /** Whether the side takes new work. */
+  /** Whether the side is draining and accepts no new work. */
   draining: z.boolean(),
 })
 
-/** First message on a connection, and again at each interval. */
+/** First message on a connection, repeated by entries on their links to sides. */
 export const heartbeatSchema = z.object({
   incarnation: z.uuid(),
   name: z.string(),
   offset: z.int().min(NO_OFFSET),
-  /** Whether the log confirmed the sender's configuration a short while ago. */
+  /** Whether the log recently confirmed the sender's configuration. */
   fresh: z.boolean().default(false),
-  /** Keys of stage calls whose results the sender has taken. */
+  /** Keys of stage calls whose results the sender has received. */
   acknowledged: z.array(z.string()).max(MAX_ACKNOWLEDGEMENTS).default([]),
 })
 
-/** Answer to a heartbeat. */
+/** Reply to a heartbeat. */
 export const heartbeatReplySchema = z.object({
   incarnation: z.uuid(),
   name: z.string(),
@@ -51,14 +51,14 @@
   load: loadSchema.optional(),
 })
 
-/** The identity of one stage call; a reply names the same. */
+/** Identity of one stage call; its reply carries the same identity. */
 export const stageIdentitySchema = z.object({
   entryIncarnation: z.uuid(),
   account: z.string(),
   requestId: z.string(),
   stage: z.string(),
   attempt: z.int().min(1),
-  /** The side process life that the call is meant for. */
+  /** Process incarnation of the side that the call is addressed to. */
   sideIncarnation: z.uuid(),
 })
 
@@ -68,7 +68,7 @@
   path: z.string(),
 })
 
-/** A call of one stage on one backend server. */
+/** A call of one stage to one backend server. */
 export const stageCallSchema = z.object({
   identity: stageIdentitySchema,
   backend: z.string(),
@@ -77,22 +77,22 @@
   version: z.string().optional(),
   adapter: z.string().optional(),
   priority: z.enum(Priority),
-  /** Milliseconds within which the stage must finish, from arrival at the side. */
+  /** Time within which the stage must finish, measured from its arrival at the side. */
   budgetMs: z.number(),
   maxTokens: z.int().min(1),
   input: z.string().max(MAX_STAGE_INPUT_LENGTH),
-  /** Set for plain services. */
+  /** Set for calls to plain services. */
   serviceRequest: serviceRequestSchema.optional(),
-  /** The configuration that the call was made under. */
+  /** Offset of the configuration under which the call was made. */
   offset: z.int().min(NO_OFFSET),
 })
 
-/** How a stage call ended. */
+/** Outcome of a stage call. */
 export enum StageReplyKind {
   Done = 'done',
-  /** Provably not started. */
+  /** The call was provably not started. */
   Refused = 'refused',
-  /** Started, and failed or stopped. */
+  /** The call was started, and failed or was cancelled. */
   Failed = 'failed',
 }
 
@@ -102,16 +102,16 @@
   Late = 'late',
   Draining = 'draining',
   Stale = 'stale',
-  /** The call was meant for another process life or backend server. */
+  /** The call was addressed to another process incarnation or backend server. */
   OtherIncarnation = 'other-incarnation',
   WrongModel = 'wrong-model',
-  /** A path call to a stage's backend server, or a stage call to a plain service. */
+  /** A plain service call to a stage's backend server, or a stage call to a plain service. */
   WrongRole = 'wrong-role',
   BackendRefused = 'backend-refused',
   Cancelled = 'cancelled',
 }
 
-/** Why a started call failed. */
+/** Why a call failed after it was started. */
 export enum FailureReason {
   BackendFailed = 'backend-failed',
   BackendLost = 'backend-lost',
@@ -126,13 +126,13 @@
   load: loadSchema,
 }
 
-/** The one final reply to a stage call. */
+/** The final reply to a stage call. */
 export const stageReplySchema = z.discriminatedUnion('kind', [
   z.object({
     ...replyBase,
     kind: z.literal(StageReplyKind.Done),
     output: z.string(),
-    /** HTTP status of a plain service's answer. */
+    /** HTTP status of a plain service's response. */
     status: z.int().optional(),
     contentType: z.string().optional(),
     tokens: z.int().min(0),
@@ -160,58 +160,58 @@
   z.object({ reply: stageReplySchema }),
 ])
 
-/** A difference of configuration between two processes. */
+/** Configuration objects that one process has and another lacks. */
 export const differenceSchema = z.object({
   offset: z.int().min(NO_OFFSET),
   objects: z.array(versionedObjectSchema),
 })
 
-/** A request for a difference. */
+/** Requests the configuration objects above an offset. */
 export const differenceRequestSchema = z.object({
   since: z.int().min(NO_OFFSET),
   kinds: z.array(z.enum(ObjectKind)),
 })
 
-/** A request passed on to the entry that made its ticket or holds its claim. */
+/** A request forwarded to the entry that issued its ticket or holds its claim. */
 export const forwardedRequestSchema = z.object({
   account: z.string(),
   requestId: z.string(),
-  /** Pipeline name or service call, as in the digest. */
+  /** Pipeline name or service call, as used in the request digest. */
   target: z.string(),
   pipeline: z.string().optional(),
   service: z.string().optional(),
   serviceRequest: serviceRequestSchema.optional(),
   body: z.string(),
   deadlineMs: z.number(),
-  /** The ticket, where the request is to be run under it. */
+  /** The ticket, if the request is to be run under it. */
   ticket: z.string().optional(),
 })
 
-/** What an entry knows of a request. */
+/** State of a request as known to an entry. */
 export enum OutcomeState {
   Unknown = 'unknown',
   Running = 'running',
   Finished = 'finished',
-  /** Ended before anything was dispatched. */
+  /** The request ended before any stage was dispatched. */
   NotRun = 'not-run',
 }
 
-/** Asks an entry for what it knows of a request. */
+/** Queries an entry for the outcome of a request. */
 export const outcomeQuestionSchema = z.object({ account: z.string(), requestId: z.string() })
 
-/** Asks a side for a finished result of a request's stage. */
+/** Queries a side for the finished result of a stage of a request. */
 export const resultQuestionSchema = outcomeQuestionSchema.extend({
   stage: z.string(),
-  /** The caller's input: another request under the same id is not meant. */
+  /** The caller's input; excludes a different request with the same id. */
   body: z.string(),
 })
 
-/** What an entry knows of a request and of the claim stream. */
+/** Reply to an outcome query. */
 export const outcomeReplySchema = z.object({
   state: z.enum(OutcomeState),
   /** The finished answer as JSON text. */
   answer: z.string().optional(),
-  /** Whether the entry has seen a claim of the request. */
+  /** Whether the entry has read a claim of the request from the claim stream. */
   claimed: z.boolean(),
 })
 
@@ -232,18 +232,18 @@
 export type ResultQuestion = z.infer<typeof resultQuestionSchema>
 export type OutcomeReply = z.infer<typeof outcomeReplySchema>
 
-/** What came of a cancel. */
+/** Result of a cancellation. */
 export interface CancelReply {
-  /** Whether the stage had started. */
+  /** Whether the stage had already started. */
   started: boolean
 }
 
-/** The key under which a side knows a stage call. */
+/** The key by which a side identifies a stage call. */
 export function stageKey(identity: StageIdentity): string {
   return [identity.entryIncarnation, identity.account, identity.requestId, identity.stage, identity.attempt].join('/')
 }
 
-/** Whether a reply answers the very call. */
+/** Whether a reply belongs to a call. */
 export function answersCall(call: StageIdentity, reply: StageIdentity): boolean {
   return stageKey(call) === stageKey(reply) && call.sideIncarnation === reply.sideIncarnation
 }
--- a/packages/daemon/src/connection/peer-connection.ts
+++ b/packages/daemon/src/connection/peer-connection.ts
@@ -1,8 +1,8 @@
 /**
- * One life of a connection to a peer: a tRPC client over one WebSocket. A lost
- * connection is never resumed here, since a call that was under way may have
- * been received; whoever made it decides whether to ask again. For the same
- * reason tRPC's own reconnection, which sends pending calls again, is off.
+ * A single connection to a peer: a tRPC client over one WebSocket. A lost
+ * connection is never resumed, because a call in flight may have been received;
+ * its caller decides whether to retry. For the same reason tRPC's automatic
+ * reconnection, which resends pending calls, is disabled.
  */
 import type { TRPCClient } from '@trpc/client'
 import type { Result } from 'ts-results-es'
@@ -14,13 +14,12 @@
 import { formatAuthorization } from './peer-key.js'
 import { MAX_PEER_MESSAGE_BYTES } from './peer-server.js'
 
-/** Options of a peer connection. */
 export interface PeerConnectionOptions {
   /** Address of the peer, as `host:port`. */
   address: string
   key: string
   /**
-   * Milliseconds until opening times out.
+   * Timeout for opening the connection, in milliseconds.
    * @default 1000
    */
   connectTimeoutMs?: number
@@ -37,9 +36,9 @@
 
 /** Why a connection could not be opened. */
 export enum ConnectFailure {
-  /** Nobody listens at the address: the process that did is over. */
+  /** No process listens on the address: the previous one has ended. */
   Refused = 'refused',
-  /** No answer in time, or not the answer of a peer. */
+  /** The connection attempt timed out, or the response was not that of a peer. */
   Failed = 'failed',
 }
 
@@ -47,11 +46,11 @@
 export type EntryClient = TRPCClient<EntryRouter>
 
 /**
- * Milliseconds. Half would fail at a VM that is busy starting, twice delays by
- * a second the moment at which a frozen peer counts as gone.
+ * Half would fail on a VM that is busy starting; twice as long would delay the
+ * detection of a frozen peer by a second.
  */
 const DEFAULT_CONNECT_TIMEOUT_MS = 1000
-/** Milliseconds: the longest that a timer takes, 24 days, longer than a connection without a peer is kept. */
+/** Maximum timer delay, about 24 days: longer than a connection without a peer is kept. */
 const NEVER_MS = 2 ** 31 - 1
 
 /** Opens a connection to a side. */
@@ -78,9 +77,9 @@
   return Ok({ client, closed: life.closed, isOpen: () => life.isOpen, close: () => life.close() })
 }
 
-/** From the attempt to open one WebSocket to its end. */
+/** Lifecycle of one WebSocket, from the connection attempt until it is closed. */
 class ConnectionLife {
-  /** Whether the connection opened, or why not. */
+  /** Resolves when the connection is open or the attempt has failed. */
   readonly opened: Promise<Result<void, ConnectFailure>>
   isOpen = false
   private readonly closing = new AbortController()
@@ -124,12 +123,12 @@
     this.isOpen = false
     this.reportOpened(Err(failure))
     this.closing.abort()
-    // It rejects where the socket never opened or is closed already: there is nothing left to close.
+    // Rejects if the socket never opened or is already closed: there is nothing left to close.
     void this.socketClient.close().catch(() => {})
   }
 }
 
-/** Creates the WebSocket class that shows the key when it connects. */
+/** Creates a WebSocket class that sends the key when it connects. */
 function createSocketClass(options: PeerConnectionOptions) {
   return class PeerSocket extends WebSocket {
     constructor(url: string) {
@@ -147,17 +146,17 @@
   return formatError(event).includes('ECONNREFUSED') ? ConnectFailure.Refused : ConnectFailure.Failed
 }
 
-/** How a call over a connection ended. */
+/** Outcome of a call over a connection. */
 export enum CallState {
   Answered = 'answered',
-  /** The connection was lost, or the wait was over, after the call may have been sent. */
+  /** The connection was lost, the call timed out or it returned an error. The call may have been sent. */
   Lost = 'lost',
 }
 
-/** The end of a call over a connection. */
+/** Result of a call over a connection. */
 export type CallResult<Value> = { state: CallState.Answered, value: Value } | { state: CallState.Lost, message: string }
 
-/** Makes one call and stops waiting when the connection is lost or the time is over. */
+/** Makes one call and stops waiting if the connection is lost or the timeout expires. */
 export function callPeer<Client, Value>(
   connection: PeerConnection<Client>,
   call: (client: Client) => Promise<Value>,
@@ -171,7 +170,7 @@
       resolve(result)
     }
     const lose = (message: string): void => settle({ state: CallState.Lost, message })
-    // A listener that is removed, since a promise would hold every call until the connection ends.
+    // The listener is removed afterwards; a promise would retain every call until the connection closes.
     const onClosed = (): void => lose('the connection was lost')
     if (connection.closed.aborted)
       return lose('the connection was lost')
--- a/packages/daemon/src/connection/peer-router.ts
+++ b/packages/daemon/src/connection/peer-router.ts
@@ -1,8 +1,8 @@
 /**
- * Procedures between the system's processes, by tRPC. Their names and fields are
- * on the wire between two releases and stay: a heartbeat is `greet` there.
- * Inputs are checked by their schemas before a service sees them. Keeps no
- * state.
+ * tRPC procedures between the system's processes. Their names and fields are part
+ * of the wire format between two releases and must not change; the heartbeat
+ * procedure is named `greet`. Inputs are validated by their schemas before a
+ * service receives them. Stateless.
  */
 import type { LogFields } from '@eidermast/common'
 import type { ConfigurationDifference } from '../version/configuration.js'
@@ -33,16 +33,16 @@
 
 const trpc = initTRPC.create()
 
-/** A process's answer to an operator who asks for its status. */
+/** Status of a process, as reported to operators. */
 export interface ProcessStatus {
   name: string
   role: string
   incarnation: string
   pid: number
   failureDomain: string
-  /** Offset of the configuration that it holds. */
+  /** Offset of its configuration. */
   offset: number
-  /** Whether it should get work. */
+  /** Whether it should receive work. */
   ready: boolean
   detail: StatusDetail[]
 }
@@ -53,28 +53,28 @@
   text: string
 }
 
-/** One decision about a request, as a process remembers it for `eidermast explain`. */
+/** One decision about a request, recorded by a process for `eidermast explain`. */
 export interface Decision {
   /** Epoch milliseconds. */
   at: number
-  /** Name of the process that decided. */
+  /** Name of the process that made the decision. */
   by: string
   event: string
   requestId: string
   fields: LogFields
 }
 
-/** What every process answers to its peers. */
+/** Operations that every process provides to its peers. */
 export interface PeerService {
   heartbeat: (heartbeat: Heartbeat) => HeartbeatReply
   difference: (request: DifferenceRequest) => ConfigurationDifference
-  /** Applies a difference; returns the offset now held. */
+  /** Applies a difference; returns the resulting offset. */
   offer: (difference: ConfigurationDifference) => number
   status: () => ProcessStatus
   explain: (requestId: string) => Decision[]
 }
 
-/** What a side answers. */
+/** Operations of a side. */
 export interface SideService extends PeerService {
   run: (call: StageCall) => Promise<StageReply>
   stream: (call: StageCall, signal?: AbortSignal) => AsyncIterable<StreamMessage>
@@ -82,9 +82,9 @@
   findResult: (question: ResultQuestion) => StageReply | undefined
 }
 
-/** What an entry answers. */
+/** Operations of an entry. */
 export interface EntryService extends PeerService {
-  /** Runs a request under its ticket, or joins it where it is claimed here. Returns the answer as JSON text. */
+  /** Runs a request under its ticket, or joins it if this entry holds its claim. Returns the answer as JSON text. */
   forward: (request: ForwardedRequest) => Promise<string>
   outcome: (question: OutcomeQuestion) => OutcomeReply
 }
@@ -99,7 +99,6 @@
   }
 }
 
-/** Creates the procedures of a side. */
 export function createSideRouter(service: SideService) {
   return trpc.router({
     ...createCommonProcedures(service),
@@ -112,7 +111,6 @@
   })
 }
 
-/** Creates the procedures of an entry. */
 export function createEntryRouter(service: EntryService) {
   return trpc.router({
     ...createCommonProcedures(service),
--- a/packages/daemon/src/connection/peer-server.ts
+++ b/packages/daemon/src/connection/peer-server.ts
@@ -1,8 +1,8 @@
 /**
- * The port between the system's processes: one tRPC WebSocket for each peer,
- * and metrics and health over plain HTTP. Owns the listening socket and the
- * peers' connections; peers see them close when the process dies, and connect
- * again to its successor.
+ * Server for the system's other processes: one tRPC WebSocket per peer, and
+ * metrics and health over plain HTTP. Owns the listening socket and the peers'
+ * connections. If the process dies, they close, and peers reconnect to its
+ * successor.
  */
 import type { AnyTRPCRouter } from '@trpc/server'
 import type { IncomingMessage, RequestListener, Server } from 'node:http'
@@ -14,21 +14,21 @@
 import { isAuthorized } from './peer-key.js'
 
 /**
- * Largest message between processes, in bytes. It holds the longest stage input
- * (4 million characters, at most 4 bytes each) four times over; half still
- * does, twice lets a faulty peer take more memory.
+ * Maximum message size between processes: four times the largest stage input (4
+ * million characters of at most 4 bytes). Half would still suffice; a higher
+ * limit lets a faulty peer use more memory.
  */
 export const MAX_PEER_MESSAGE_BYTES = 64_000_000
 
-/** Answer to a connection that does not show the key. */
+/** Response to a connection without the key. */
 const UNAUTHORIZED = 'HTTP/1.1 401 Unauthorized\r\nConnection: close\r\nContent-Length: 0\r\n\r\n'
 
-/** Where and for whom a peer server listens. */
+/** Address and key of a peer server. */
 export interface PeerServerAddress {
-  /** The key that peers must show. */
+  /** Key required from peers. */
   key: string
   host: string
-  /** Port; 0 takes a free one. */
+  /** Port; 0 selects a free one. */
   port: number
 }
 
@@ -39,27 +39,27 @@
   private constructor(
     private readonly server: Server,
     private readonly key: string,
-    /** Where it listens, as `host:port`. */
+    /** Listening address, as `host:port`. */
     readonly address: string,
   ) {}
 
   /**
-   * Starts listening; `serve` has to follow at once. They are two steps since parts that answer peers need the
-   * address. Rejects where the port cannot be listened on.
+   * Starts listening; `serve` must be called immediately afterwards. The steps are separate because the services
+   * behind the router need the address. Rejects if the port is not available.
    */
   static async listen({ key, host, port }: PeerServerAddress): Promise<PeerServer> {
     const server = createServer()
     return new PeerServer(server, key, await listen(server, host, port))
   }
 
-  /** Answers peers by the router, and plain HTTP, such as metrics, by the listener. */
+  /** Serves peers with the router, and plain HTTP requests, such as metrics, with the listener. */
   serve(router: AnyTRPCRouter, onRequest: RequestListener): void {
     applyWSSHandler({ wss: this.sockets, router })
     this.server.on('request', onRequest)
     this.server.on('upgrade', (request, socket, head) => this.upgrade(request, socket, head))
   }
 
-  /** Closes every connection and stops listening. */
+  /** Closes all connections and stops listening. */
   async close(): Promise<void> {
     for (const client of this.sockets.clients)
       client.close()
@@ -76,7 +76,7 @@
   }
 }
 
-/** Listens and returns the address as `host:port`. Rejects where the port cannot be listened on. */
+/** Starts listening and returns the address as `host:port`. Rejects if the port is not available. */
 export async function listen(server: Server, host: string, port: number): Promise<string> {
   await new Promise<void>((resolve, reject) => {
     server.once('error', reject)
--- a/packages/daemon/src/connection/reconnect-delay.ts
+++ b/packages/daemon/src/connection/reconnect-delay.ts
@@ -1,39 +1,42 @@
 /**
- * Decides how long a link waits before it connects again.
+ * Decides how long a link waits before it reconnects.
  *
- * Inputs: failed attempts in a row; a random number.
- * Rule: MIN_RECONNECT_MS, doubled after each attempt up to MAX_RECONNECT_MS,
- * times a random factor from MIN_JITTER to MIN_JITTER + 1.
- * Why random: after a restart of a side or of the network, all entries would
- * connect at the same moments.
- * Log event: none; `side-answers` says when the link stands again.
+ * Inputs: the number of consecutive failed attempts; a random number.
+ *
+ * Exponential backoff with jitter: MIN_RECONNECT_MS, doubled after each attempt up
+ * to MAX_RECONNECT_MS, times a random factor from MIN_JITTER to MIN_JITTER + 1.
+ * Without jitter, all entries would reconnect at the same moments after a restart
+ * of a side or of the network.
+ *
+ * Log event: none; `side-answers` shows when the link is established again.
  */
 
 /**
- * Milliseconds. Half connects twice as often to a side that restarts, twice
- * leaves a restarted side without work for 0.2 s more.
+ * Half would double the attempts to connect to a restarting side; twice as long
+ * would leave a restarted side without work for another 0.2 s.
  */
 const MIN_RECONNECT_MS = 200
 /**
- * Milliseconds. Half connects twice as often to sides that are gone, twice
- * leaves one that was out for long without work for 2 s more.
+ * Half would double the attempts to connect to sides that no longer exist; twice
+ * as long would leave a side that returns after a long outage without work for
+ * another 2 s.
  */
 const MAX_RECONNECT_MS = 2000
-/** Factor of the shortest wait; the longest is one more. Any spread of this order does. */
+/** Lowest jitter factor; the highest is one more. The exact spread is not critical. */
 const MIN_JITTER = 0.5
 
-/** The wait before the next attempt of one link. */
+/** Backoff of one link. */
 export class ReconnectDelay {
   private delayMs = MIN_RECONNECT_MS
 
   constructor(private readonly random: () => number = Math.random) {}
 
-  /** An attempt succeeded: the next wait is a short one. */
+  /** Resets the delay after a successful attempt. */
   reset(): void {
     this.delayMs = MIN_RECONNECT_MS
   }
 
-  /** Milliseconds to wait now. */
+  /** Returns the delay before the next attempt, in milliseconds, and increases the following one. */
   next(): number {
     const waitMs = this.delayMs * (MIN_JITTER + this.random())
     this.delayMs = Math.min(this.delayMs * 2, MAX_RECONNECT_MS)
--- a/packages/daemon/src/connection/side-heartbeats.ts
+++ b/packages/daemon/src/connection/side-heartbeats.ts
@@ -1,9 +1,9 @@
 /**
- * Heartbeats of one entry to one side: says who sends and how new its
- * configuration is, acknowledges stage results, and carries a newer
- * configuration to the side. Owns the acknowledgements that are not sent yet
- * and what the side last answered. When this process dies, unsent
- * acknowledgements are lost, and the side drops those results by their age.
+ * Heartbeats from one entry to one side. They identify the sender and the offset
+ * of its configuration, acknowledge stage results, and push a newer configuration
+ * to the side. Owns the pending acknowledgements and the state from the side's
+ * last reply. If this process dies, pending acknowledgements are lost, and the
+ * side evicts those results by age.
  */
 import type { Configuration } from '../version/configuration.js'
 import type { Heartbeat, HeartbeatReply, Load } from './messages.js'
@@ -17,16 +17,15 @@
 
 const log = createLogger('membership')
 
-/** Heartbeat intervals that an answer may take. At one, a late answer overlaps the next heartbeat. */
+/** Reply timeout in heartbeat intervals. With a single interval, a late reply would overlap with the next heartbeat. */
 const ANSWER_TIMEOUT_INTERVALS = 2
 
-/** Who knows whether a configuration may be vouched for. */
+/** Reports whether the configuration is up to date. */
 export interface ConfigurationFreshness {
-  /** Whether the log confirmed the configuration a short while ago. */
+  /** Whether the log recently confirmed the configuration. */
   readonly isFresh: boolean
 }
 
-/** Options of the heartbeats. */
 export interface SideHeartbeatsOptions {
   backendName: string
   entryName: string
@@ -34,29 +33,29 @@
   configuration: Configuration
   heartbeatIntervalMs: number
   freshness: ConfigurationFreshness
-  /** Receives the load that a side reports with its answer. */
+  /** Receives the load that the side reports in its replies. */
   onLoad: (load: Load) => void
 }
 
 /** The heartbeats of one link. */
 export class SideHeartbeats {
-  /** The side's process life, as of its newest answer; undefined where its process is known to be over. */
+  /** Process incarnation of the side as of its last reply; undefined if its process is known to have ended. */
   sideIncarnation: string | undefined
-  /** When the newest stage reply and the newest answered heartbeat came, in milliseconds of the process clock. */
+  /** Arrival of the last stage reply (monotonic, in milliseconds). */
   private repliedAt = Number.NEGATIVE_INFINITY
+  /** Arrival of the last heartbeat reply (monotonic, in milliseconds). */
   private answeredAt = Number.NEGATIVE_INFINITY
-  /** The configuration that the side held at the newest answer. */
+  /** Offset of the side's configuration as of its last reply. */
   private sideOffset = NO_OFFSET
   private acknowledgements: string[] = []
 
   constructor(private readonly options: SideHeartbeatsOptions) {}
 
-  /** Milliseconds that a side may take for any answer but a stage reply. */
+  /** Timeout of all calls to the side except stage calls. */
   get answerTimeoutMs(): number {
     return this.options.heartbeatIntervalMs * ANSWER_TIMEOUT_INTERVALS
   }
 
-  /** Whether a heartbeat is due. */
   get isDue(): boolean {
     const now = performance.now()
     return isHeartbeatDue({
@@ -69,23 +68,23 @@
     })
   }
 
-  /** Takes note that a connection begins: its first heartbeat is due at once. */
+  /** Marks the start of a connection, so that its first heartbeat is due immediately. */
   noteConnected(): void {
     this.repliedAt = Number.NEGATIVE_INFINITY
   }
 
-  /** Takes note of a stage reply, which shows that the side answers. */
+  /** Records a stage reply, which proves that the side is responsive. */
   noteReply(): void {
     this.repliedAt = performance.now()
   }
 
-  /** Has a result's receipt reported with the next heartbeat; beyond the limit, the side drops the result by its age. */
+  /** Queues an acknowledgement for the next heartbeat. The side evicts results beyond the limit by age. */
   acknowledge(key: string): void {
     if (this.acknowledgements.length < MAX_ACKNOWLEDGEMENTS)
       this.acknowledgements.push(key)
   }
 
-  /** Sends one heartbeat; returns whether the side answered it. Acknowledgements of one that is lost are lost. */
+  /** Sends one heartbeat; returns whether the side replied. If it is lost, so are its acknowledgements. */
   async send(connection: PeerConnection<SideClient>): Promise<boolean> {
     const heartbeat = this.createHeartbeat()
     const result = await callPeer(connection, client => client.greet.mutate(heartbeat), this.answerTimeoutMs)
@@ -93,7 +92,7 @@
       return this.noteMissed(result.message)
     const reply = heartbeatReplySchema.safeParse(result.value)
     if (!reply.success)
-      return this.noteMissed('the side answered in an unknown form')
+      return this.noteMissed('the side sent a heartbeat reply in an unknown format')
     this.noteAnswer(reply.data)
     await this.bringConfiguration(connection)
     return true
@@ -119,7 +118,7 @@
       this.options.onLoad(reply.load)
   }
 
-  /** Brings the side what it lacks. Whether that arrived shows in its next answer. */
+  /** Pushes the objects that the side lacks. Its next heartbeat reply shows whether they arrived. */
   private async bringConfiguration(connection: PeerConnection<SideClient>): Promise<void> {
     const { configuration } = this.options
     if (this.sideOffset >= configuration.offset)
--- a/packages/daemon/src/connection/side-link.ts
+++ b/packages/daemon/src/connection/side-link.ts
@@ -1,8 +1,8 @@
 /**
- * An entry's link to one side: keeps one connection open, sends heartbeats on
- * it and carries stage calls. Owns the connection, the counts of calls under
- * way and the newest load report, until it is closed. When this process dies,
- * its calls go on at the side, whose results nobody reads.
+ * An entry's link to one side: maintains one connection, sends heartbeats on it
+ * and makes stage calls. Owns the connection, the number of calls in flight and
+ * the last load report until it is closed. If this process dies, its calls
+ * continue at the side and their results are never read.
  */
 import type { Configuration } from '../version/configuration.js'
 import type { LinkResult, LinkTokenListener } from './link-call.js'
@@ -19,7 +19,6 @@
 
 const log = createLogger('membership')
 
-/** Options of a side link. */
 export interface SideLinkOptions {
   backendName: string
   /** Address of the side, as `host:port`. */
@@ -30,17 +29,17 @@
   configuration: Configuration
   heartbeatIntervalMs: number
   freshness: ConfigurationFreshness
-  /** Called when the side begins or ceases to answer, or to drain. */
+  /** Called when the side becomes responsive or silent, or starts or stops draining. */
   onChange: () => void
 }
 
 /** An entry's link to one side. */
 export class SideLink {
-  /** Calls sent on this link that have no reply. */
+  /** Number of calls sent on this link that have no reply yet. */
   outstanding = 0
-  /** Calls sent since the newest load report. */
+  /** Number of calls sent since the last load report. */
   sentSinceReport = 0
-  /** Whether the side has answered, or failed to, since this link began. */
+  /** Whether an attempt to reach the side has succeeded or failed since this link was created. */
   tried = false
   private connection: PeerConnection<SideClient> | undefined
   private newestLoad: Load | undefined
@@ -60,22 +59,22 @@
     return this.options.address
   }
 
-  /** The side's process life, as of its newest answer. */
+  /** Process incarnation of the side as of its last reply. */
   get incarnation(): string | undefined {
     return this.heartbeats.sideIncarnation
   }
 
-  /** The newest load report. */
+  /** The last load report. */
   get load(): Load | undefined {
     return this.newestLoad
   }
 
-  /** Whether the side answers heartbeats on an open connection. */
+  /** Whether the connection is open and the side answers heartbeats. */
   get ready(): boolean {
     return this.answering && this.connection?.isOpen() === true
   }
 
-  /** Keeps the link until it is closed. */
+  /** Maintains the link, with reconnection, until it is closed. */
   async run(): Promise<void> {
     const { address, key } = this.options
     const delay = new ReconnectDelay()
@@ -86,7 +85,7 @@
         await this.keep(opened.value)
       }
       else if (opened.error === ConnectFailure.Refused) {
-        // Whoever waits for a lost reply learns at once that its process life is over.
+        // Lets callers that wait for a lost reply detect at once that the process incarnation has ended.
         this.heartbeats.sideIncarnation = undefined
       }
       this.setAnswering(false)
@@ -94,7 +93,7 @@
     }
   }
 
-  /** Closes the link for good. */
+  /** Closes the link permanently. */
   close(): void {
     this.stop.abort()
     this.connection?.close()
@@ -116,7 +115,7 @@
     return result
   }
 
-  /** Stops a call at the side; undefined where the side did not say what came of it. */
+  /** Cancels a call at the side; undefined if the side did not reply. */
   async cancel(call: StageCall): Promise<CancelReply | undefined> {
     const connection = this.connection
     if (!connection?.isOpen())
@@ -126,7 +125,7 @@
     return result.state === CallState.Answered ? result.value : undefined
   }
 
-  /** Asks the side for a finished result of a request's stage; undefined where it has none or does not answer. */
+  /** Queries the side for the finished result of a stage of a request; undefined if it has none or does not reply. */
   async findResult(question: ResultQuestion): Promise<StageReply | undefined> {
     const connection = this.connection
     if (!connection?.isOpen())
@@ -135,18 +134,18 @@
     return result.state === CallState.Answered ? stageReplySchema.safeParse(result.value).data : undefined
   }
 
-  /** Reports to the side, with the next heartbeat, that a result was received. */
+  /** Acknowledges the result of a call with the next heartbeat. */
   acknowledge(call: StageCall): void {
     this.heartbeats.acknowledge(stageKey(call.identity))
   }
 
-  /** Brings a newer configuration to the side at once. */
+  /** Sends a heartbeat immediately, which pushes a newer configuration to the side. */
   async spread(): Promise<void> {
     if (this.connection?.isOpen())
       await this.heartbeats.send(this.connection)
   }
 
-  /** Sends heartbeats on one connection until it is lost. */
+  /** Sends heartbeats on one connection until it is lost or closed. */
   private async keep(connection: PeerConnection<SideClient>): Promise<void> {
     this.connection = connection
     this.heartbeats.noteConnected()
--- a/packages/daemon/src/version/call-error.ts
+++ b/packages/daemon/src/version/call-error.ts
@@ -1,22 +1,22 @@
 /**
- * How a call to the platform fails, for everything that has to know whether
- * the call may have taken effect. It stands on the lowest floor because the
- * interface of the log uses it as well as the HTTP calls in `connection/`.
+ * Errors of calls to the platform, which state whether a call may have taken
+ * effect. Defined in the lowest layer because both the log interface and the HTTP
+ * calls in `connection/` use them.
  */
 
-/** Whether a failed call may have taken effect at the far end. */
+/** Whether a failed call may have taken effect at the remote end. */
 export enum CallFailure {
-  /** The far end has provably not acted: the call may be made again. */
+  /** The call provably had no effect: a retry is safe. */
   NotTaken = 'not-taken',
-  /** The far end may have acted: look before the call is made again. */
+  /** The call may have taken effect: verify before a retry. */
   InDoubt = 'in-doubt',
 }
 
 /** A failed call. */
 export interface CallError {
   failure: CallFailure
-  /** The cause in one line, with the address that was called. */
+  /** Cause of the failure in one line. */
   message: string
-  /** HTTP status, where one was received. */
+  /** HTTP status, if a response was received. */
   status?: number
 }
--- a/packages/daemon/src/version/checkpoint-timing.ts
+++ b/packages/daemon/src/version/checkpoint-timing.ts
@@ -1,58 +1,60 @@
 /**
- * Decides whether an entry appends a checkpoint of the configuration to the
- * log, so that a process that starts later can still read all of it.
+ * Decides whether an entry appends a checkpoint of the configuration to the log,
+ * so that processes that start later can still read the complete configuration.
+ *
+ * Inputs: the times of the newest checkpoint and of the oldest retained record
+ * (epoch milliseconds, log clock); whether the log still retains its first record;
+ * whether this entry has folded all records of the log, as of a read just made;
+ * the log's retention in milliseconds.
+ *
+ * A checkpoint is due when the newest one is older than DUE_SHARE of the
+ * retention. A log without a checkpoint that still retains its first record needs
+ * none until that record has reached the same age.
+ *
+ * Any entry may append a checkpoint, so no coordinator is needed; duplicate
+ * checkpoints of the same offset are harmless, and the random delay between checks
+ * makes them rare. The entry must be up to date because its checkpoint would
+ * otherwise lack records that the log already holds.
  *
- * Inputs: the time of the newest checkpoint and of the oldest record that the
- * log keeps (epoch milliseconds, of the log's clock), whether the log still
- * keeps its first record, and whether this entry has folded all that the log
- * holds (as of the read just made); the log's retention in milliseconds.
- * Rule: due when the newest checkpoint is older than DUE_SHARE of the
- * retention. A log that still keeps its first record and has no checkpoint
- * needs none before that record is as old.
- * Why any entry may do so: it needs no coordinator; two checkpoints of the
- * same offset do no harm, and a random wait between checks makes them rare.
- * Why only an entry that is up to date: its checkpoint would otherwise lack
- * records that the log already holds.
  * Log event: `checkpoint` (upTo, result).
  */
 
 /**
- * Share of the retention after which a checkpoint is due. A quarter appends
- * twice as many, nearly all of it leaves no time to append before the log drops
- * records.
+ * Fraction of the retention after which a checkpoint is due. A quarter would
+ * double the number of checkpoints; a value close to 1 would leave no time to
+ * append one before the log drops records.
  */
 const DUE_SHARE = 0.5
-/** Checks within one due time. Half still leaves time for two before records are dropped. */
+/** Average number of checks per due time. Half as many would still leave time for two before records are dropped. */
 const CHECKS_PER_DUE_TIME = 5
-/** Factor of the shortest wait between checks; the longest is one more. Any spread of this order does. */
+/** Lowest jitter factor of the delay between checks; the highest is one more. The exact spread is not critical. */
 const MIN_JITTER = 0.5
 
-/** Milliseconds after which a checkpoint is due. */
+/** Age at which a checkpoint is due. */
 function checkpointDueMs(retentionMs: number): number {
   return retentionMs * DUE_SHARE
 }
 
-/** Milliseconds to wait before the next check; `random` is in [0, 1). */
+/** Delay before the next check, in milliseconds; `random` is in [0, 1). */
 export function nextCheckMs(retentionMs: number, random: number): number {
   return (checkpointDueMs(retentionMs) / CHECKS_PER_DUE_TIME) * (MIN_JITTER + random)
 }
 
-/** What a read of the whole log showed. */
+/** State of the log after reading all of it. */
 export interface CheckpointSigns {
-  /** Whether the configuration holds all that the log holds. */
+  /** Whether the configuration includes all records of the log. */
   upToDate: boolean
-  /** Epoch milliseconds; undefined where the log keeps none. */
+  /** Epoch milliseconds; undefined if the log retains no checkpoint. */
   newestCheckpointAt: number | undefined
-  /** Epoch milliseconds; undefined where the log keeps no record. */
+  /** Epoch milliseconds; undefined if the log retains no record. */
   oldestRecordAt: number | undefined
-  /** Whether the log still keeps its first record. */
+  /** Whether the log still retains its first record. */
   keepsFirstRecord: boolean
   retentionMs: number
   /** Epoch milliseconds. */
   now: number
 }
 
-/** Whether a checkpoint is due. */
 export function isCheckpointDue(signs: CheckpointSigns): boolean {
   if (!signs.upToDate)
     return false
--- a/packages/daemon/src/version/checkpointer.ts
+++ b/packages/daemon/src/version/checkpointer.ts
@@ -1,7 +1,7 @@
 /**
- * One entry's task that appends checkpoints of the configuration to the log,
- * when `checkpoint-timing` says so. Owns no state: what is due is read from
- * the log at each check, so that a restart loses nothing.
+ * Background task of an entry that appends checkpoints of the configuration to the
+ * log when `checkpoint-timing` decides that one is due. Stateless: each check reads
+ * the log, so a restart loses nothing.
  */
 import type { Configuration } from './configuration.js'
 import type { LogClient, LogPage } from './log.js'
@@ -13,9 +13,8 @@
 
 const log = createLogger('configuration')
 
-/** Options of the checkpointer. */
 export interface CheckpointerOptions {
-  /** Milliseconds for which the log keeps records. */
+  /** Retention of the log in milliseconds. */
   retentionMs: number
   /**
    * Source of random numbers in [0, 1).
@@ -41,7 +40,7 @@
     this.options = { random: Math.random, now: Date.now, ...options }
   }
 
-  /** Checks and appends until the signal aborts. */
+  /** Checks periodically, and appends checkpoints, until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const { random, retentionMs } = this.options
     while (!signal.aborted) {
@@ -51,7 +50,7 @@
     }
   }
 
-  /** Appends a checkpoint unless a recent one is on the log. Returns whether it did. */
+  /** Appends a checkpoint if one is due. Returns whether it was appended. */
   async appendIfDue(signal?: AbortSignal): Promise<boolean> {
     if (this.configuration.offset === NO_OFFSET)
       return false
--- a/packages/daemon/src/version/configuration.ts
+++ b/packages/daemon/src/version/configuration.ts
@@ -1,18 +1,21 @@
 /**
- * Decides which objects are in force: folds the records of the log into the
- * configuration of one process. Owns every object of its kinds and the offset
- * up to which the log is folded, for the life of the process; after a restart
- * it is read from the log, or from a peer, again.
+ * Decides which objects are active: folds the records of the log into the
+ * configuration of one process. State: the objects of its kinds and the offset up
+ * to which the log is folded, in memory. A restarted process reads them again from
+ * the log or from a peer.
+ *
+ * Inputs: records in offset order, or the state that a peer or a checkpoint
+ * derived from them.
+ *
+ * Optimistic concurrency control: a change takes effect only if its base offset is
+ * the offset of the object's active version; otherwise another change came first.
+ * Versions only move to higher offsets: an older record, difference or checkpoint
+ * changes nothing.
+ *
+ * Every process folds the same records by the same rule, so all hold the same
+ * objects at the same offset without a coordinator, and a record that was appended
+ * twice takes effect once.
  *
- * Inputs: records in the order of their offsets, or what a peer or a
- * checkpoint folded from them.
- * Rule: a change takes effect only if it names the offset of the object's
- * version that is in force; otherwise another change came first. Values only
- * ever move to higher offsets: applying an older record, difference or
- * checkpoint changes nothing.
- * Why: every process folds the same records by the same rule, so all hold the
- * same objects at the same offset, without a coordinator; a record that was
- * appended twice takes effect once.
  * Log event: `record` (offset, outcome), by `fold-page`.
  */
 import type { ObjectValues } from './objects.js'
@@ -20,21 +23,21 @@
 import { ObjectKind, objectSchemas } from './objects.js'
 import { configurationRecordSchema, NO_OFFSET, RecordKind } from './record.js'
 
-/** What folding did with a record. */
+/** Outcome of folding a record. */
 export enum FoldOutcome {
-  /** The change is in force. */
+  /** The change is active. */
   Accepted = 'accepted',
-  /** The object had moved on from the record's base offset. */
+  /** Another change had replaced the version at the record's base offset. */
   Conflict = 'conflict',
-  /** The record was folded before, or is below the current offset. */
+  /** The offset was already folded. */
   Repeated = 'repeated',
-  /** A checkpoint: no change of its own. */
+  /** A checkpoint, which contains no change. */
   Checkpoint = 'checkpoint',
-  /** Not a record of this stream; skipped everywhere alike. */
+  /** Not a valid record of this stream; skipped by every process. */
   Malformed = 'malformed',
 }
 
-/** Objects above an offset, as one process passes them to another. */
+/** Objects above an offset, sent from one process to another. */
 export interface ConfigurationDifference {
   /** Offset of the sender's configuration. */
   offset: number
@@ -42,7 +45,7 @@
   objects: VersionedObject[]
 }
 
-/** A usable object: its checked value and the offset that gave it. */
+/** An object with a valid value, and the offset of that version. */
 export interface UsableObject<Value> {
   name: string
   offset: number
@@ -50,11 +53,11 @@
 }
 
 interface StoredObject extends VersionedObject {
-  /** The checked value; undefined where deleted or not usable. */
+  /** The validated value; undefined if the object is deleted or its value is invalid. */
   checked: unknown
 }
 
-/** Called with the new offset after each advance. */
+/** Called with the new offset after each change of the offset. */
 export type ConfigurationListener = (offset: number) => void
 
 /** The configuration of one process. */
@@ -64,25 +67,25 @@
   private currentOffset = NO_OFFSET
 
   /**
-   * @param kinds Kinds of objects to hold; others are folded without being kept.
+   * @param kinds Kinds of objects to store; others are folded without being stored.
    */
   constructor(private readonly kinds: readonly ObjectKind[] = Object.values(ObjectKind)) {
     for (const kind of Object.values(ObjectKind))
       this.objects.set(kind, new Map())
   }
 
-  /** Highest offset folded; `NO_OFFSET` before the first record. */
+  /** Highest folded offset; `NO_OFFSET` before the first record. */
   get offset(): number {
     return this.currentOffset
   }
 
-  /** Registers a listener for advances; returns its removal. */
+  /** Registers a listener; returns a function that removes it. */
   subscribe(listener: ConfigurationListener): () => void {
     this.listeners.add(listener)
     return () => this.listeners.delete(listener)
   }
 
-  /** Returns an object that exists and has a usable value. */
+  /** Returns an object; undefined if it does not exist or its value is invalid. */
   get<Kind extends ObjectKind>(kind: Kind, name: string): UsableObject<ObjectValues[Kind]> | undefined {
     const stored = this.objects.get(kind)?.get(name)
     if (!stored || stored.checked === undefined)
@@ -90,7 +93,7 @@
     return { name, offset: stored.offset, value: stored.checked as ObjectValues[Kind] }
   }
 
-  /** Lists the usable objects of a kind. */
+  /** Lists the objects of a kind that have a valid value. */
   list<Kind extends ObjectKind>(kind: Kind): UsableObject<ObjectValues[Kind]>[] {
     const usable: UsableObject<ObjectValues[Kind]>[] = []
     for (const stored of this.objects.get(kind)!.values()) {
@@ -100,12 +103,12 @@
     return usable
   }
 
-  /** Offset of an object's newest version, deleted ones included. */
+  /** Offset of an object's newest version, including deletions; `NO_OFFSET` if it never existed. */
   baseOffset(kind: ObjectKind, name: string): number {
     return this.objects.get(kind)?.get(name)?.offset ?? NO_OFFSET
   }
 
-  /** Folds the raw value that the log holds at an offset. */
+  /** Folds the raw log record at an offset. */
   fold(offset: number, raw: unknown): FoldOutcome {
     if (offset <= this.currentOffset)
       return FoldOutcome.Repeated
@@ -114,12 +117,12 @@
     return outcome
   }
 
-  /** Takes over a checkpoint unless this configuration is already past it. */
+  /** Applies a checkpoint unless this configuration is already at or past its offset. */
   adopt(checkpoint: CheckpointRecord): void {
     this.apply({ offset: checkpoint.upTo, objects: checkpoint.objects })
   }
 
-  /** Applies a difference from a peer. */
+  /** Applies a difference from a peer unless this configuration is already at or past its offset. */
   apply(difference: ConfigurationDifference): void {
     if (difference.offset <= this.currentOffset)
       return
@@ -128,7 +131,7 @@
     this.advance(difference.offset)
   }
 
-  /** Objects above an offset, of the given kinds. */
+  /** Returns the objects of the given kinds above an offset. */
   differenceSince(offset: number, kinds: readonly ObjectKind[]): ConfigurationDifference {
     const objects: VersionedObject[] = []
     for (const kind of kinds) {
@@ -140,7 +143,7 @@
     return { offset: this.currentOffset, objects }
   }
 
-  /** Makes a checkpoint of the whole configuration. */
+  /** Creates a checkpoint of the complete configuration. */
   checkpoint(): CheckpointRecord {
     const { objects } = this.differenceSince(NO_OFFSET, Object.values(ObjectKind))
     return { record: RecordKind.Checkpoint, upTo: this.currentOffset, objects }
@@ -156,7 +159,7 @@
   }
 
   private foldChange(offset: number, change: ChangeRecord): FoldOutcome {
-    // A repeated record always fails here: its first copy moved the object past the base.
+    // A duplicate record always conflicts here: its first copy moved the object past the base.
     if (change.base !== this.baseOffset(change.kind, change.name))
       return FoldOutcome.Conflict
     this.store({ kind: change.kind, name: change.name, offset, value: change.value ?? null })
@@ -181,7 +184,7 @@
   }
 }
 
-/** Parses a raw log value; undefined where it is not a configuration record. */
+/** Parses a raw log record; undefined if it is not a valid configuration record. */
 export function parseRecord(raw: unknown): ConfigurationRecord | undefined {
   return configurationRecordSchema.safeParse(raw).data
 }
--- a/packages/daemon/src/version/fold-page.ts
+++ b/packages/daemon/src/version/fold-page.ts
@@ -1,7 +1,7 @@
 /**
- * Folds a page of the log into a configuration, also where the log has dropped
- * the records that the configuration lacks: then from the newest checkpoint
- * that closes the gap. Keeps no state.
+ * Folds a page of the log into a configuration. If the log has already dropped
+ * records that the configuration lacks, folding starts from the newest checkpoint
+ * that closes the gap. Stateless.
  */
 import type { Configuration } from './configuration.js'
 import type { LogPage } from './log.js'
@@ -11,11 +11,11 @@
 
 const log = createLogger('configuration')
 
-/** Folds one page into a configuration and returns the offset to read next. */
+/** Folds one page into a configuration and returns the next offset to read. */
 export function foldPage(configuration: Configuration, page: LogPage): number {
   if (hasGap(configuration, page))
     adoptNewestCheckpoint(configuration, page)
-  // Folding past missing records would give another configuration than elsewhere: wait for a peer's.
+  // Folding past missing records would diverge from the other processes: wait for a checkpoint or a peer's configuration.
   if (hasGap(configuration, page))
     return configuration.offset + 1
   for (const record of page.records) {
@@ -25,14 +25,14 @@
   return configuration.offset + 1
 }
 
-/** Whether the log has dropped records that the configuration has not folded. */
+/** Whether the log has dropped records that are not folded into the configuration. */
 export function hasGap(configuration: Configuration, page: LogPage): boolean {
   return configuration.offset + 1 < page.firstOffset
 }
 
 /**
- * Adopts the newest checkpoint after which the page misses no record.
- * The page must reach from the first retained record to the stream's end.
+ * Applies the newest checkpoint after which the page lacks no record. The page must
+ * extend from the first retained record to the end of the stream.
  */
 function adoptNewestCheckpoint(configuration: Configuration, page: LogPage): void {
   for (const { offset, value } of page.records.toReversed()) {
--- a/packages/daemon/src/version/follower.ts
+++ b/packages/daemon/src/version/follower.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps a configuration at the head of the log's configuration stream. Owns
- * when the log last answered, for the life of the process; a restarted process
- * reads the stream again from its first retained record.
+ * Keeps a configuration up to date with the log's configuration stream. State: the
+ * time of the last successful read, in memory. A restarted process reads the stream
+ * again from its first retained record.
  */
 import type { Configuration } from './configuration.js'
 import type { LogClient, LogPage } from './log.js'
@@ -11,36 +11,35 @@
 
 const log = createLogger('configuration')
 
-/** Options of a configuration follower. */
 export interface FollowerOptions {
   /**
-   * Milliseconds that the log may hold a read open while nothing is new.
+   * How long the log may hold a read open while there are no new records (long polling), in milliseconds.
    * @default 2000
    */
   waitMs?: number
   /**
-   * Milliseconds between tries while the log does not answer.
+   * Delay before the next read while the log is unavailable, in milliseconds.
    * @default 250
    */
   retryMs?: number
   /**
-   * Records read at once.
+   * Number of records per read.
    * @default 1000
    */
   pageSize?: number
 }
 
-/** Milliseconds. Half reads a quiet log twice as often, twice comes near the age at which a configuration counts as old. */
+/** Half would double the reads of an idle log; twice as long would approach the age at which a configuration counts as outdated. */
 const READ_WAIT_MS = 2000
-/** Milliseconds. Half asks a log that is out twice as often, twice delays changes after it returns. */
+/** Half would double the requests to an unavailable log; a longer delay would postpone changes after its recovery. */
 const RETRY_MS = 250
-/** Records. Half needs more reads to start, twice larger answers. */
+/** Smaller pages need more reads at start-up; larger ones increase the size of responses. */
 const PAGE_SIZE = 1000
 
-/** One process's task that tails the configuration stream. */
+/** Background task of a process that tails the configuration stream. */
 export class ConfigurationFollower {
   private readonly options: Required<FollowerOptions>
-  /** When the log last answered without a gap, in epoch milliseconds. */
+  /** Time of the last read after which the configuration had no gap, in epoch milliseconds. */
   private lastReadAt: number | undefined
 
   constructor(
@@ -51,7 +50,7 @@
     this.options = { waitMs: READ_WAIT_MS, retryMs: RETRY_MS, pageSize: PAGE_SIZE, ...options }
   }
 
-  /** Milliseconds since the log last answered, or undefined if it never did. */
+  /** Time since the configuration was last read from the log, in milliseconds; undefined if it never was. */
   get ageMs(): number | undefined {
     return this.lastReadAt === undefined ? undefined : Date.now() - this.lastReadAt
   }
@@ -78,7 +77,7 @@
     }
   }
 
-  /** Reads everything from the next offset on, page by page; undefined where the log does not answer. */
+  /** Reads all records from the next offset on, page by page; undefined if the log is unavailable. */
   private async readAll(waitMs: number, signal: AbortSignal): Promise<LogPage | undefined> {
     const all = await this.readPage(this.configuration.offset + 1, waitMs, signal)
     if (!all || all.records.length === 0)
@@ -104,7 +103,7 @@
   }
 }
 
-/** The offset after a page's last record. */
+/** Offset after the last record of a page. */
 function offsetAfter(page: LogPage): number {
   return page.records.at(-1)!.offset + 1
 }
--- a/packages/daemon/src/version/log.ts
+++ b/packages/daemon/src/version/log.ts
@@ -1,22 +1,22 @@
 /**
- * The platform's append-only log, as the rest of the program sees it. Records
- * of a stream have ascending offsets that never change; after its retention
- * the log drops the oldest ones.
+ * Interface to the platform's append-only log. The records of a stream have
+ * ascending offsets that never change; the log drops records older than its
+ * retention.
  *
- * The schemas describe what the log answers. The HTTP client stands in
- * `connection/`; tests give one of their own.
+ * The schemas describe the log's responses. The HTTP client is in `connection/`;
+ * tests provide their own.
  */
 import type { Result } from 'ts-results-es'
 import type { CallError } from './call-error.js'
 import * as z from 'zod'
 
-/** One record: its offset, the time of its append in epoch milliseconds, and its value. */
+/** One record: its offset, the time of its append (epoch milliseconds) and its value. */
 const logRecordSchema = z.object({ offset: z.int().min(0), time: z.number(), value: z.unknown() })
 
-/** The answer to a read. */
+/** Response to a read. */
 export const logPageSchema = z.object({
   records: z.array(logRecordSchema),
-  /** Offset of the oldest record that the log still keeps. */
+  /** Offset of the oldest retained record. */
   firstOffset: z.int().min(0),
   /** Offset that the next appended record will get. */
   nextOffset: z.int().min(0),
@@ -33,18 +33,16 @@
   stream: string
   /** Offset of the first record to read. */
   from: number
-  /** Number of records. */
+  /** Maximum number of records. */
   limit: number
-  /** Milliseconds for which the log may hold the read open while nothing is new. */
+  /** How long the log may hold the read open while there are no new records (long polling). */
   waitMs: number
 }
 
-/** A client of the platform's log. */
 export interface LogClient {
-  /** Appends records in one append; returns the first one's offset. */
+  /** Appends records as one batch; returns the offset of the first one. */
   append: (stream: string, values: unknown[], signal?: AbortSignal) => Promise<Result<number, CallError>>
   /** Reads records from an offset on. */
   read: (options: LogReadOptions, signal?: AbortSignal) => Promise<Result<LogPage, CallError>>
-  /** Closes the client's connections. */
   close: () => Promise<void>
 }
--- a/packages/daemon/src/version/publisher.ts
+++ b/packages/daemon/src/version/publisher.ts
@@ -1,9 +1,9 @@
 /**
- * Publishes one change of the configuration and finds out what became of it by
- * reading its own record back. Of two operators who change the same version of
- * an object, the first in the log's order succeeds and the second gets a
- * conflict. Keeps no state: an operator who loses the answer finds the record
- * with `eidermast config history`.
+ * Publishes one change of the configuration and determines its outcome by reading
+ * the record back. If two operators change the same version of an object, the first
+ * change in log order succeeds and the second results in a conflict. Stateless: an
+ * operator who does not receive the outcome finds the record with
+ * `eidermast config history`.
  */
 import type { LogClient, LogPage, LogRecord } from './log.js'
 import type { ObjectKind } from './objects.js'
@@ -18,23 +18,23 @@
 
 const log = createLogger('configuration')
 
-/** What became of a published change. */
+/** Outcome of a published change. */
 export enum PublishOutcome {
-  /** In force at the given offset. */
+  /** The change is active at the given offset. */
   Accepted = 'accepted',
   /** Another change came first. */
   Conflict = 'conflict',
-  /** The log did not answer after the change may have been appended. */
+  /** The change may have been appended, but the log did not confirm its outcome in time. */
   Unknown = 'unknown',
-  /** The log took nothing. */
+  /** The change was not appended: the log was unavailable, refused it or lacked a checkpoint. */
   Unreachable = 'unreachable',
 }
 
-/** The answer to a publication. */
+/** Result of publishing a change. */
 export interface Publication {
   outcome: PublishOutcome
   recordId: string
-  /** Offset of the record, where it is known. */
+  /** Offset of the record, if known. */
   offset?: number
 }
 
@@ -44,30 +44,30 @@
   name: string
   /** The new value, or null to delete the object. */
   value: unknown
-  /** Offset of the version that the change was based on; read from the log where absent. */
+  /** Offset of the version that the change is based on; read from the log if absent. */
   base?: number
   author?: string
   /**
-   * Milliseconds after which the outcome is reported as unknown.
+   * Timeout in milliseconds, after which the outcome is reported as unknown.
    * @default 5000
    */
   timeoutMs?: number
 }
 
-/** Milliseconds. Half may report an append as unknown at a loaded log, twice keeps an operator waiting. */
+/** Half can report the outcome as unknown if the log is loaded; a longer timeout keeps the operator waiting. */
 const PUBLISH_TIMEOUT_MS = 5000
-/** Milliseconds between tries. Half doubles the load on a log that is out, twice delays the answer. */
+/** Half would double the load on an unavailable log; a longer delay would postpone the result. */
 const RETRY_MS = 100
 
 /**
- * Reads the whole configuration from the log; undefined where the log does not
- * answer, or has dropped records that no checkpoint on it holds.
+ * Reads the complete configuration from the log; undefined if the log is
+ * unavailable or has dropped records that no retained checkpoint includes.
  */
 export function readConfiguration(client: LogClient): Promise<Configuration | undefined> {
   return readWhole(client, Date.now())
 }
 
-/** Publishes a change and waits for its outcome. */
+/** Publishes a change and waits until its outcome is known or the timeout expires. */
 export async function publishChange(client: LogClient, options: PublishOptions): Promise<Publication> {
   const recordId = uuidv7()
   const { kind, name, value, base, author = '', timeoutMs = PUBLISH_TIMEOUT_MS } = options
@@ -90,9 +90,10 @@
 }
 
 /**
- * The whole configuration. Right after the log was out for longer than it keeps
- * records it holds no checkpoint: until the deadline an entry's next one is
- * waited for, since a change based on a part of the configuration conflicts.
+ * Reads the complete configuration. After an outage longer than its retention, the
+ * log holds no checkpoint until an entry appends the next one. It is waited for
+ * until the deadline, because a change based on a partial configuration would
+ * conflict.
  */
 async function readWhole(client: LogClient, deadline: number): Promise<Configuration | undefined> {
   for (;;) {
@@ -117,7 +118,7 @@
   return undefined
 }
 
-/** Appends a record, again only while it is provably not on the log; returns whether it may be there. */
+/** Appends a record and retries only while it is provably not on the log; returns whether it may have been appended. */
 async function append(client: LogClient, change: ChangeRecord, deadline: number): Promise<boolean> {
   while (Date.now() < deadline) {
     const appended = await client.append(CONFIGURATION_STREAM, [change])
@@ -139,7 +140,7 @@
   return { outcome: PublishOutcome.Unknown, recordId }
 }
 
-/** Looks for a record on the log and for what folding made of it; undefined where the log cannot say so now. */
+/** Finds a record on the log and determines its outcome; undefined if that is not possible yet. */
 async function findPublication(client: LogClient, recordId: string): Promise<Publication | undefined> {
   const page = await readPage(client)
   const index = page?.records.findIndex(({ value }) => findChange(value, recordId)) ?? -1
@@ -157,9 +158,9 @@
 }
 
 /**
- * Whether the first checkpoint that folded a change has it in force, where the
- * records before the change are dropped; undefined where no checkpoint has
- * folded it, or a later change of the same object hides it.
+ * Whether a change is active in the first checkpoint that includes its offset, for
+ * use when the records before the change have been dropped. Undefined if there is
+ * no such checkpoint, or if a later change of the same object hides the result.
  */
 function isInCheckpoint(records: readonly LogRecord[], offset: number, change: ChangeRecord): boolean | undefined {
   const checkpoint = records.map(record => parseRecord(record.value))
@@ -170,7 +171,7 @@
   return inForce > offset ? undefined : inForce === offset
 }
 
-/** The change, where a raw value of the log is the one with this id. */
+/** Parses a raw log record; undefined unless it is the change with this id. */
 function findChange(value: unknown, recordId: string): ChangeRecord | undefined {
   const parsed = parseRecord(value)
   return parsed?.record === RecordKind.Change && parsed.id === recordId ? parsed : undefined
--- a/packages/daemon/src/version/record.ts
+++ b/packages/daemon/src/version/record.ts
@@ -1,47 +1,46 @@
 /**
- * Records of the configuration stream: changes that operators publish, and
- * checkpoints that keep the configuration readable past the log's retention.
+ * Records of the configuration stream: changes published by operators, and
+ * checkpoints that keep the configuration readable beyond the log's retention.
  */
 import * as z from 'zod'
 import { ObjectKind } from './objects.js'
 
-/** Name of the log's stream that holds configuration. */
+/** Log stream that contains the configuration. */
 export const CONFIGURATION_STREAM = 'configuration'
 
-/** Base offset of an object that does not exist yet, and of an empty configuration. */
+/** Base offset of an object that does not exist yet, and offset of an empty configuration. */
 export const NO_OFFSET = -1
 
-/** Kinds of records on the configuration stream. */
 export enum RecordKind {
   Change = 'change',
   Checkpoint = 'checkpoint',
 }
 
-/** One object with the offset of the record that gave it its value. */
+/** Version of an object. */
 export const versionedObjectSchema = z.object({
   kind: z.enum(ObjectKind),
   name: z.string().min(1),
-  /** Offset of the record that gave the value. */
+  /** Offset of the record that set the value. */
   offset: z.int().min(0),
-  /** The value, or null once deleted. A deleted object keeps its offset. */
+  /** The value; null if the object is deleted. A deleted object keeps the offset of its deletion. */
   value: z.unknown(),
 })
 
 /** An operator's change of one object. */
 export const changeRecordSchema = z.object({
   record: z.literal(RecordKind.Change),
-  /** Unique identity, so that a repeated append is recognized. */
+  /** Unique id, by which the publisher finds its record on the log, even if it was appended twice. */
   id: z.uuid(),
   kind: z.enum(ObjectKind),
   name: z.string().min(1),
-  /** Offset of the object's version that the change was based on, or `NO_OFFSET`. */
+  /** Offset of the version that the change is based on; `NO_OFFSET` if the object did not exist. */
   base: z.int().min(NO_OFFSET),
   value: z.unknown(),
-  /** Who published the change. */
+  /** Author of the change. */
   author: z.string().default(''),
 })
 
-/** The folded configuration up to and including an offset. */
+/** The configuration folded up to and including an offset. */
 export const checkpointRecordSchema = z.object({
   record: z.literal(RecordKind.Checkpoint),
   upTo: z.int().min(NO_OFFSET),
--- a/test/promises/configuration.test.ts
+++ b/test/promises/configuration.test.ts
@@ -28,7 +28,7 @@
   await system.stop()
 })
 
-/** Publishes a new share of an account, and returns the offset at which it was accepted. */
+/** Publishes a new share for an account and returns the offset at which it was accepted. */
 async function publishShare(): Promise<number> {
   share++
   const publication = await publishChange(client, { kind: ObjectKind.Account, name: 'rider-app', value: { share } })
@@ -46,7 +46,7 @@
   return [...system.list(ProcessKind.Entry), ...system.list(ProcessKind.Side)].map(({ name }) => name)
 }
 
-/** Milliseconds until each process holds an offset. */
+/** Measures for each process the time in milliseconds until it has reached an offset. */
 async function measureInForce(offset: number): Promise<number[]> {
   const startedAt = performance.now()
   return Promise.all(daemons().map(async (name) => {
@@ -64,7 +64,7 @@
 }
 
 describe('an accepted configuration', () => {
-  test('is in force on every process', async () => {
+  test('becomes active on every process', async () => {
     const measured: number[] = []
     for (let change = 0; change < 10; change++)
       measured.push(...await measureInForce(await publishShare()))
@@ -72,13 +72,13 @@
     expect(measured.length).toBe(10 * daemons().length)
   })
 
-  test('is in force everywhere when the log goes out straight after', async () => {
+  test('becomes active on every process if the log becomes unavailable immediately afterwards', async () => {
     const offset = await publishShare()
     await system.setFaults(system.logServiceUrl, { outage: LogOutage.Hang })
     show('in force with the log out', await measureInForce(offset))
   })
 
-  test('is not lost or turned back when every process is restarted in turn with the log out', async () => {
+  test('is neither lost nor reverted if every process is restarted in turn while the log is unavailable', async () => {
     const offset = await publishShare()
     await measureInForce(offset)
     await system.setFaults(system.logServiceUrl, { outage: LogOutage.Refuse })
@@ -95,7 +95,7 @@
     await expect.poll(() => offsetOf(side), { timeout: 30_000 }).toBeGreaterThanOrEqual(offset)
   })
 
-  test('outlives its records on the log, by checkpoints', async () => {
+  test('remains available through checkpoints after its records are dropped from the log', async () => {
     const firstOffset = async (): Promise<number> => (await client.read({ stream: CONFIGURATION_STREAM, from: 0, limit: 1, waitMs: 0 })).unwrap().firstOffset
     const offset = await publishShare()
     await expect.poll(firstOffset, { timeout: 30_000, interval: 200 }).toBeGreaterThan(offset)
@@ -109,7 +109,7 @@
     expect(configuration?.get(ObjectKind.Account, 'rider-app')?.value.share).toBe(share)
   })
 
-  test('is the base of a change right after the log was out for longer than it keeps records', async () => {
+  test('is the base of a change published right after a log outage longer than the retention', async () => {
     await publishShare()
     await system.setFaults(system.logServiceUrl, { outage: LogOutage.Refuse })
     await wait(RETENTION_MS + 2000)
@@ -117,7 +117,7 @@
     await measureInForce(await publishShare())
   })
 
-  test('is not turned back by a late copy of an older append', async () => {
+  test('is not reverted by a delayed copy of an older append', async () => {
     await system.setFaults(system.logServiceUrl, { repeatAppends: 1 })
     await publishShare()
     const newest = await publishShare()
--- a/test/promises/cut-connections.test.ts
+++ b/test/promises/cut-connections.test.ts
@@ -7,7 +7,7 @@
 import { CallerRecord } from '../support/oracle.js'
 
 const ENCODER = 'encoder-1'
-/** On a machine that is overloaded the log takes more than the default of a second, and a claim that fails is no call that could be cut. */
+/** On an overloaded machine the log can exceed its default timeout of one second. A failed claim would leave no call to cut. */
 const PATIENT_WITH_LOG = { 'log-timeout-ms': '5000' }
 
 let system: RunningSystem
@@ -32,7 +32,7 @@
   await system.stop()
 })
 
-/** The state of a backend server, as the first entry sees it. */
+/** Returns the state of a backend server as reported by the first entry. */
 async function stateOf(backend: string): Promise<string | undefined> {
   const status = await system.entryStatus('entry-1')
   return status?.detail.find(line => line.subject === backend)?.text
@@ -43,8 +43,8 @@
   [moment, 'rider-answer', false],
 ] as const)
 
-describe('a connection between entry and side that is cut', () => {
-  const title = '%s: a request to %s runs at most once if it must, and is never answered that nothing ran'
+describe('a lost connection between an entry and a side', () => {
+  const title = '%s: a request to %s runs at most once if it is unrepeatable, and no answer falsely states that nothing ran'
   test.each(CUTS)(title, async (moment, pipeline, unrepeatable) => {
     const record = new CallerRecord()
     const sent = record.begin(pipeline, `cut ${moment} `.padEnd(LARGE_INPUT_LENGTH, 'x'), unrepeatable)
--- a/test/system/callers-interface.test.ts
+++ b/test/system/callers-interface.test.ts
@@ -49,7 +49,7 @@
   return { status: response.statusCode, ...answer }
 }
 
-/** Opens a connection to an entry and writes text on it. */
+/** Opens a connection to an entry and writes text to it. */
 function openCaller(text: string) {
   const { hostname, port } = new URL(system.entryUrls[0])
   const socket = connect(Number(port), hostname)
@@ -58,30 +58,30 @@
   return socket
 }
 
-describe('bad input gets its error kind, ran none and a sentence', () => {
+describe('invalid input returns its error kind, ran none and a message', () => {
   test.each<[string, RawCall, number, ErrorKind]>([
     ['an unknown path', { path: '/v2/other' }, 404, ErrorKind.UnknownPath],
     ['a method that is not allowed', { method: 'PUT' }, 405, ErrorKind.MethodNotAllowed],
     ['an unknown pipeline', { path: '/v1/pipelines/none/requests' }, 404, ErrorKind.UnknownPipeline],
     ['an unknown plain service', { path: '/v1/services/none/stops' }, 404, ErrorKind.UnknownService],
-    ['a path call to a model engine', { path: '/v1/services/language-model/v1/orders' }, 404, ErrorKind.UnknownService],
+    ['a plain service call to a model engine', { path: '/v1/services/language-model/v1/orders' }, 404, ErrorKind.UnknownService],
     ['no account', { headers: { 'eidermast-account': '' } }, 400, ErrorKind.InvalidRequest],
     ['a malformed account', { headers: { 'eidermast-account': 'a/b' } }, 400, ErrorKind.InvalidRequest],
     ['an unknown account', { headers: { 'eidermast-account': 'nobody' } }, 403, ErrorKind.UnknownAccount],
-    ['no token where the account asks for one', { headers: { 'eidermast-account': 'council-warwick' } }, 401, ErrorKind.Unauthenticated],
+    ['no token although the account requires one', { headers: { 'eidermast-account': 'council-warwick' } }, 401, ErrorKind.Unauthenticated],
     ['a wrong token', { headers: { 'eidermast-account': 'council-warwick', 'authorization': 'Bearer wrong' } }, 401, ErrorKind.Unauthenticated],
     ['a deadline of zero', { headers: { 'eidermast-deadline-ms': '0' } }, 400, ErrorKind.InvalidRequest],
-    ['a deadline that is no number', { headers: { 'eidermast-deadline-ms': 'soon' } }, 400, ErrorKind.InvalidRequest],
+    ['a deadline that is not a number', { headers: { 'eidermast-deadline-ms': 'soon' } }, 400, ErrorKind.InvalidRequest],
     ['a deadline beyond the limit', { headers: { 'eidermast-deadline-ms': '600001' } }, 400, ErrorKind.InvalidRequest],
-    ['a request id that is no UUID', { headers: { 'eidermast-request-id': 'mine' } }, 400, ErrorKind.InvalidRequest],
+    ['a request id that is not a UUID', { headers: { 'eidermast-request-id': 'mine' } }, 400, ErrorKind.InvalidRequest],
     ['a request id of another UUID version', { headers: { 'eidermast-request-id': '6fa459ea-ee8a-4ca4-894e-db77e160355e' } }, 400, ErrorKind.InvalidRequest],
     ['an unknown value for unrepeatable', { headers: { 'eidermast-unrepeatable': 'yes' } }, 400, ErrorKind.InvalidRequest],
     ['a ticket and a request id together', { headers: { 'eidermast-ticket': 'x.y', 'eidermast-request-id': uuidv7() } }, 400, ErrorKind.InvalidRequest],
     ['a forged ticket', { headers: { 'eidermast-ticket': 'x.y' } }, 400, ErrorKind.TicketInvalid],
-    ['a body that is no JSON', { body: '{' }, 400, ErrorKind.InvalidRequest],
+    ['a body that is not JSON', { body: '{' }, 400, ErrorKind.InvalidRequest],
     ['a body without an input', { body: '{}' }, 400, ErrorKind.InvalidRequest],
     ['an empty input', { body: '{"input":""}' }, 400, ErrorKind.InvalidRequest],
-    ['a field too many', { body: '{"input":"x","inputs":"y"}' }, 400, ErrorKind.InvalidRequest],
+    ['an unknown field', { body: '{"input":"x","inputs":"y"}' }, 400, ErrorKind.InvalidRequest],
     ['a body that is not UTF-8', { body: Buffer.from([0x22, 0xFF, 0xFE, 0x22]) }, 400, ErrorKind.InvalidRequest],
     ['a body that is too large', { body: 'x'.repeat(MAX_BODY_BYTES + 1) }, 413, ErrorKind.BodyTooLarge],
   ])('%s', async (_name, call, status, kind) => {
@@ -91,21 +91,21 @@
   })
 
   test('dot segments in a service path', async () => {
-    // A raw connection, since clients resolve dot segments before they send.
+    // Uses a raw connection because HTTP clients resolve dot segments before sending.
     const socket = openCaller(`GET /v1/services/rider-app-backend/%2e%2e/language-model/v1/orders HTTP/1.1\r\nHost: entry\r\nEidermast-Account: ${DEFAULT_ACCOUNT}\r\nConnection: close\r\n\r\n`)
     const [answer] = await once(socket, 'data') as [Buffer]
     expect(String(answer)).toContain('HTTP/1.1 400')
     expect(String(answer)).toContain('"ran":"none"')
   })
 
-  test('an unrepeatable request whose id is in the future', async () => {
+  test('an unrepeatable request with an id from the future', async () => {
     const future = uuidv7({ msecs: Date.now() + 3_600_000 })
     const answer = await callPipeline({ entryUrl: system.entryUrls[0], pipeline: 'departure-alert', input: 'x', requestId: future })
     expect(answer).toMatchObject({ status: 400, kind: ErrorKind.InvalidRequest, ran: Ran.None })
     expect(runsOf(system, future)).toEqual([])
   })
 
-  test('an unrepeatable request whose id is too old to know whether it ran', async () => {
+  test('an unrepeatable request with an id so old that its outcome is unknown', async () => {
     const old = uuidv7({ msecs: Date.now() - 3_600_000 })
     const answer = await callPipeline({ entryUrl: system.entryUrls[0], pipeline: 'departure-alert', input: 'x', requestId: old })
     expect(answer).toMatchObject({ status: 410, kind: ErrorKind.RequestIdExpired, ran: Ran.Unknown })
@@ -120,14 +120,14 @@
     expect(runsOf(system, requestId)).toEqual([1, 1, 1, 1])
   })
 
-  test('a right token is taken', async () => {
+  test('a valid token is accepted', async () => {
     const answer = await callPipeline({ entryUrl: system.entryUrls[0], pipeline: 'rider-answer', input: 'x', account: 'council-warwick', headers: { authorization: `Bearer ${TOKEN}` } })
     expect(answer.status).toBe(200)
   })
 })
 
 describe('slow callers', () => {
-  test('that stall their body are answered and cut off', async () => {
+  test('that stall their body get a response and are disconnected', async () => {
     const socket = openCaller(`POST ${PIPELINE_PATH} HTTP/1.1\r\nHost: entry\r\nEidermast-Account: ${DEFAULT_ACCOUNT}\r\nContent-Length: 1000\r\n\r\n{"inp`)
     const chunks: string[] = []
     socket.on('data', chunk => chunks.push(String(chunk)))
@@ -136,12 +136,12 @@
     expect(chunks.join('')).toContain(ErrorKind.BodyStalled)
   })
 
-  test('that never read their answer are cut off', async () => {
+  test('that never read their response are disconnected', async () => {
     const body = 'x'.repeat(2_500_000)
     const head = `POST /v1/services/rider-app-backend/echo HTTP/1.1\r\nHost: entry\r\nEidermast-Account: ${DEFAULT_ACCOUNT}\r\nEidermast-Deadline-Ms: 60000\r\nContent-Length: ${body.length}\r\n\r\n`
     const socket = openCaller(head + body + head + body + head + body + head + body)
     socket.pause()
-    // A paused socket hears of its end only when it writes.
+    // A paused socket detects that it was closed only when it writes.
     const writes = setInterval(() => socket.write('\r\n'), 100)
     await new Promise(resolve => socket.once('close', resolve))
     clearInterval(writes)
@@ -153,8 +153,8 @@
   test.each([
     ['without a key', undefined],
     ['with a wrong key', 'Eidermast wrong-key-of-some-length'],
-    ['with the key\'s beginning', 'Eidermast '],
-  ])('refuse connections %s', async (_name, authorization) => {
+    ['with the scheme but no key', 'Eidermast '],
+  ])('reject connections %s', async (_name, authorization) => {
     for (const kind of [ProcessKind.Entry, ProcessKind.Side]) {
       const socket = new WebSocket(`ws://${system.list(kind)[0].peer}`, { headers: authorization ? { authorization } : {} })
       const [error] = await once(socket, 'error') as [Error]
@@ -162,7 +162,7 @@
     }
   })
 
-  test('have nothing but metrics and health for plain HTTP', async () => {
+  test('serve only metrics and health over plain HTTP', async () => {
     for (const kind of [ProcessKind.Entry, ProcessKind.Side])
       expect((await request(`http://${system.list(kind)[0].peer}/run`, { method: 'POST', body: '{}' })).statusCode).toBe(404)
   })
--- a/test/version/checkpoint-timing.test.ts
+++ b/test/version/checkpoint-timing.test.ts
@@ -15,15 +15,15 @@
   test.each<[string, Partial<CheckpointSigns>, boolean]>([
     ['is due when the newest one is half the retention old', {}, true],
     ['is not due while the newest one is younger', { newestCheckpointAt: 1 }, false],
-    ['is not due from an entry that lacks records', { upToDate: false }, false],
+    ['is not due from an entry that has not folded all records', { upToDate: false }, false],
     ['is not due on a young log that keeps its first record', { newestCheckpointAt: undefined, keepsFirstRecord: true, oldestRecordAt: 1 }, false],
     ['is due on an old log that keeps its first record', { newestCheckpointAt: undefined, keepsFirstRecord: true }, true],
-    ['is due where the log has dropped records and has none', { newestCheckpointAt: undefined, oldestRecordAt: 1 }, true],
+    ['is due on a log that has dropped records and has no checkpoint', { newestCheckpointAt: undefined, oldestRecordAt: 1 }, true],
   ])('%s', (_name, signs, expected) => {
     expect(isCheckpointDue({ ...old, ...signs })).toBe(expected)
   })
 
-  test('is looked for at least twice before records are dropped', () => {
+  test('is checked for at least twice before records are dropped', () => {
     expect(2 * nextCheckMs(1000, 1)).toBeLessThan(500)
   })
 })
--- a/test/version/configuration.test.ts
+++ b/test/version/configuration.test.ts
@@ -24,7 +24,7 @@
     expect(configuration.get(ObjectKind.Template, 'a')?.value.deadlineMs).toBe(200)
   })
 
-  test('takes a record that was appended twice once', () => {
+  test('applies a record that was appended twice only once', () => {
     const configuration = new Configuration()
     const change = createChange(ObjectKind.Template, 'a', NO_OFFSET, createTemplate(100))
     configuration.fold(0, change)
@@ -33,7 +33,7 @@
     expect(configuration.get(ObjectKind.Template, 'a')?.value.deadlineMs).toBe(200)
   })
 
-  test('does not bring a deleted object back by a late copy of its creation', () => {
+  test('does not restore a deleted object from a delayed copy of its creation', () => {
     const configuration = new Configuration()
     const creation = createChange(ObjectKind.Template, 'a', NO_OFFSET, createTemplate(100))
     configuration.fold(0, creation)
@@ -47,13 +47,13 @@
     ['a number', 7],
     ['a record of another kind', { record: 'other' }],
     ['a change without an id', { record: RecordKind.Change, kind: 'template', name: 'a', base: -1, value: {} }],
-  ])('skips %s and goes on', (_name, value) => {
+  ])('skips %s and advances its offset', (_name, value) => {
     const configuration = new Configuration()
     expect(configuration.fold(0, value)).toBe(FoldOutcome.Malformed)
     expect(configuration.offset).toBe(0)
   })
 
-  test('holds a value that does not fit its schema as not usable, alike everywhere', () => {
+  test('accepts a change whose value does not match its schema, but does not return the object', () => {
     const configuration = new Configuration()
     expect(configuration.fold(0, createChange(ObjectKind.Template, 'a', NO_OFFSET, { stages: [] }))).toBe(FoldOutcome.Accepted)
     expect(configuration.get(ObjectKind.Template, 'a')).toBeUndefined()
@@ -61,7 +61,7 @@
   })
 })
 
-describe('reading past the log\'s retention', () => {
+describe('reading beyond the log\'s retention', () => {
   const changes = [
     createChange(ObjectKind.Template, 'a', NO_OFFSET, createTemplate(100)),
     createChange(ObjectKind.Backend, 'b', NO_OFFSET, createBackend()),
@@ -74,7 +74,7 @@
     return configuration
   }
 
-  test('adopts a checkpoint and folds what came after it', () => {
+  test('applies a checkpoint and folds the records after it', () => {
     const checkpoint = createFull().checkpoint()
     const late = createChange(ObjectKind.Template, 'a', 2, createTemplate(300))
     const configuration = new Configuration()
@@ -83,7 +83,7 @@
     expect(configuration.get(ObjectKind.Backend, 'b')).toBeDefined()
   })
 
-  test('folds records between a checkpoint\'s offset and its place on the log', () => {
+  test('folds records between the offset that a checkpoint includes and its own offset', () => {
     const checkpoint = createFull().checkpoint()
     const between = createChange(ObjectKind.Template, 'a', 2, createTemplate(300))
     const configuration = new Configuration()
@@ -91,13 +91,13 @@
     expect(configuration.get(ObjectKind.Template, 'a')?.value.deadlineMs).toBe(300)
   })
 
-  test('waits rather than fold past records that the log dropped without a checkpoint', () => {
+  test('does not fold past records that the log dropped without a checkpoint', () => {
     const configuration = new Configuration()
     foldPage(configuration, { records: [record(2, changes[2])], firstOffset: 2, nextOffset: 3 })
     expect(configuration.offset).toBe(NO_OFFSET)
   })
 
-  test('does not go back to an older checkpoint', () => {
+  test('does not revert to an older checkpoint', () => {
     const configuration = createFull()
     const old = new Configuration()
     old.fold(0, changes[0])
@@ -106,18 +106,18 @@
   })
 })
 
-describe('any way of learning the configuration', () => {
+describe('any combination of log records, differences and checkpoints', () => {
   const names = ['a', 'b', 'c']
   const historyArbitrary = fc.array(fc.record({
     name: fc.constantFrom(...names),
     deadlineMs: fc.integer({ min: 1, max: 1000 }),
-    /** How far the writer's base lies behind; 0 is current. */
+    /** Number of offsets by which the writer's base is outdated; 0 is current. */
     behind: fc.constantFrom(0, 0, 0, 1),
     deletes: fc.boolean(),
   }), { minLength: 1, maxLength: 25 })
   const stepArbitrary = fc.array(fc.record({ kind: fc.constantFrom('log', 'difference', 'checkpoint'), upTo: fc.nat(24) }), { maxLength: 12 })
 
-  test('ends in the same state and never goes back', () => {
+  test('leads to the same state and never reverts', () => {
     fc.assert(fc.property(historyArbitrary, stepArbitrary, (history, steps) => {
       const writer = new Configuration()
       const states: Configuration[] = []
--- a/test/version/publisher.test.ts
+++ b/test/version/publisher.test.ts
@@ -33,7 +33,7 @@
 }
 
 describe('publishing', () => {
-  test('reports that a change is accepted, and its offset', async () => {
+  test('reports an accepted change and its offset', async () => {
     expect(await publish(100)).toMatchObject({ outcome: PublishOutcome.Accepted, offset: 0 })
   })
 
@@ -43,14 +43,14 @@
     expect(outcomes.map(publication => publication.outcome).sort()).toEqual([PublishOutcome.Accepted, PublishOutcome.Conflict])
   })
 
-  test('finds its record when the acknowledgement was lost, and does not append again', async () => {
+  test('finds its record if the acknowledgement was lost, and does not append it again', async () => {
     log.setFaults({ dropAcknowledgements: 1 })
     expect(await publish(100)).toMatchObject({ outcome: PublishOutcome.Accepted, offset: 0 })
     const page = await client.read({ stream: CONFIGURATION_STREAM, from: 0, limit: 10, waitMs: 0 })
     expect(page.unwrap().records).toHaveLength(1)
   })
 
-  test('takes effect once when the log takes the append twice', async () => {
+  test('takes effect once if the log performs the append twice', async () => {
     log.setFaults({ repeatAppends: 1 })
     await publish(100)
     const second = await publish(200, 0)
@@ -60,19 +60,19 @@
     expect(configuration?.get(ObjectKind.Template, 'a')?.value.deadlineMs).toBe(200)
   })
 
-  test.each([LogOutage.Refuse, LogOutage.Hang])('reports that nothing was changed while the log is out (%s)', async (outage) => {
+  test.each([LogOutage.Refuse, LogOutage.Hang])('reports that nothing was changed while the log is unavailable (%s)', async (outage) => {
     log.setFaults({ outage })
     expect((await publish(100)).outcome).toBe(PublishOutcome.Unreachable)
   })
 
-  test('reports that nothing was changed while the log is over its rate', async () => {
+  test('reports that nothing was changed while the log enforces its rate limit', async () => {
     log.setFaults({ refuseAppends: true })
     expect((await publish(100)).outcome).toBe(PublishOutcome.Unreachable)
   })
 })
 
-describe('a change whose acknowledgement and reading back are lost', () => {
-  test('is reported as unknown, with an exit code of its own', async () => {
+describe('a change whose acknowledgement and read-back both fail', () => {
+  test('is reported as unknown, with a distinct exit code', async () => {
     const appended: unknown[] = []
     const lostAfterAppend: LogClient = {
       append: async (_stream, values) => {
@@ -92,14 +92,14 @@
 })
 
 describe('checkpoints', () => {
-  test('keep the configuration readable after its records are gone', async () => {
+  test('keep the configuration readable after its records are dropped', async () => {
     await publish(100)
     const configuration = (await readConfiguration(client))!
     const checkpointer = new Checkpointer(client, configuration, { retentionMs: RETENTION_MS, now: () => clock })
-    expect(await checkpointer.appendIfDue(), 'a young log needs none').toBe(false)
+    expect(await checkpointer.appendIfDue(), 'a young log needs no checkpoint').toBe(false)
     clock += RETENTION_MS * 0.6
     expect(await checkpointer.appendIfDue()).toBe(true)
-    expect(await checkpointer.appendIfDue(), 'one is enough').toBe(false)
+    expect(await checkpointer.appendIfDue(), 'a recent checkpoint is sufficient').toBe(false)
     clock += RETENTION_MS * 0.6
     const page = (await client.read({ stream: CONFIGURATION_STREAM, from: 0, limit: 10, waitMs: 0 })).unwrap()
     expect(page.firstOffset).toBe(1)
@@ -110,19 +110,11 @@
 })
 
 /**
- * What was seen: beside load, a change that an operator published right after
- * the log had been out ended as unknown, and never took effect.
- *
- * Order of events: the log is out for longer than it keeps records; when it
- * returns, its records are dropped, the last checkpoint among them, until an
- * entry appends the next one. An operator publishes in that time.
- *
- * Cause: the change was based on what little the log held, so that it named no
- * base and conflicted everywhere; and a change that no checkpoint precedes on
- * the log could not be found there, whatever became of it.
- *
- * Evidence: without the mend the first test ends as unknown after its 1.5 s,
- * the assertion that was seen.
+ * Guards against a change that is reported as unknown and never takes effect when
+ * it is published after a log outage longer than the retention. The log has then
+ * dropped all records, including the last checkpoint, until an entry appends the
+ * next one. A change based on the remaining records has no base and conflicts
+ * everywhere, and its record cannot be found without a checkpoint before it.
  */
 describe('a change published before the log has a checkpoint again', () => {
   let checkpointer: Checkpointer
@@ -134,7 +126,7 @@
     clock += 2 * RETENTION_MS
   })
 
-  test('waits for it, and is accepted', async () => {
+  test('waits for the checkpoint and is accepted', async () => {
     const published = publish(200)
     await wait(300)
     expect(await checkpointer.appendIfDue()).toBe(true)
@@ -142,7 +134,7 @@
     expect((await readConfiguration(client))?.get(ObjectKind.Template, 'a')?.value.deadlineMs).toBe(200)
   })
 
-  test('is not made where none comes: nothing was changed', async () => {
+  test('is not appended if no checkpoint follows, and nothing was changed', async () => {
     expect((await publish(200)).outcome).toBe(PublishOutcome.Unreachable)
     const page = await client.read({ stream: CONFIGURATION_STREAM, from: 0, limit: 10, waitMs: 0 })
     expect(page.unwrap().records).toEqual([])
@@ -151,7 +143,7 @@
   test.each([
     ['accepted', 0, PublishOutcome.Accepted],
     ['in conflict', NO_OFFSET, PublishOutcome.Conflict],
-  ])('is found to be %s by a checkpoint that follows it, where the one before it is dropped meanwhile', async (_name, base, outcome) => {
+  ])('is determined to be %s from a later checkpoint if the earlier one is dropped in the meantime', async (_name, base, outcome) => {
     await checkpointer.appendIfDue()
     let reads = 0
     const lateReader: LogClient = {
@@ -170,7 +162,7 @@
     expect(await publishChange(lateReader, change)).toMatchObject({ outcome, offset: 2 })
   })
 
-  /** The log drops the first checkpoint and keeps the change; an entry that has folded both appends another. */
+  /** Lets the log drop the first checkpoint but not the change, then appends a checkpoint that includes both. */
   async function dropAllBeforeTheChange(): Promise<void> {
     const configuration = (await readConfiguration(client))!
     clock += RETENTION_MS * 0.6
@@ -181,7 +173,7 @@
 })
 
 describe('placement', () => {
-  test('is a function of the configuration, fenced by the offset of the backend server\'s record', () => {
+  test('depends only on the configuration, and uses the offset of the backend server\'s record as its fencing token', () => {
     const configuration = new Configuration()
     configuration.fold(0, createChange(ObjectKind.Backend, 'b', NO_OFFSET, createBackend({ model: 'm', version: 'v1' })))
     configuration.fold(1, createChange(ObjectKind.Template, 'a', NO_OFFSET, createTemplate()))
