--- a/packages/daemon/src/connection/answer-writer.ts
+++ b/packages/daemon/src/connection/answer-writer.ts
@@ -14,13 +14,13 @@
  * callers on slow links sooner; a higher one lets each slow caller hold more
  * memory.
  */
-const MAX_WAITING_BYTES = 1_000_000
+const MAX_BUFFERED_BYTES = 1_000_000
 
 export interface AnswerWriterOptions {
   /** Time that a caller may take to read written data. */
   writeTimeoutMs: number
   /** Whether the connection must be closed after the response. */
-  closing: () => boolean
+  shouldClose: () => boolean
 }
 
 /** Writes the response to one caller's request. */
@@ -47,7 +47,7 @@
       return this.endStream(answer)
     if (answer.isErr())
       return this.sendError(answer.error)
-    this.sendJson(200, formatWhole(answer.value))
+    this.sendJson(200, pickResponseFields(answer.value))
   }
 
   /** Sends the response of a plain service unchanged. */
@@ -73,35 +73,35 @@
   private send(status: number, headers: Record<string, string>, body: string): void {
     if (this.response.destroyed || this.response.headersSent)
       return
-    if (this.options.closing())
+    if (this.options.shouldClose())
       headers.connection = 'close'
     this.response.writeHead(status, headers)
     this.response.end(body)
-    this.watchStall()
+    this.startStallTimer()
   }
 
   private endStream(answer: RequestAnswer): void {
     if (answer.isOk())
-      this.writeEvent('done', { whole: true, ...formatWhole(answer.value) })
+      this.writeEvent('done', { whole: true, ...pickResponseFields(answer.value) })
     else
       this.writeEvent('error', { whole: false, ...answer.error })
     this.response.end()
-    this.watchStall()
+    this.startStallTimer()
   }
 
   private writeEvent(event: string, data: unknown): void {
-    const flowing = this.response.write(`event: ${event}\ndata: ${JSON.stringify(data)}\n\n`)
-    if (flowing)
+    const hasCapacity = this.response.write(`event: ${event}\ndata: ${JSON.stringify(data)}\n\n`)
+    if (hasCapacity)
       return
-    if (this.response.writableLength > MAX_WAITING_BYTES) {
+    if (this.response.writableLength > MAX_BUFFERED_BYTES) {
       this.response.destroy()
       return
     }
-    this.watchStall()
+    this.startStallTimer()
   }
 
   /** Disconnects the caller if it does not read the written data in time. */
-  private watchStall(): void {
+  private startStallTimer(): void {
     if (this.stallTimer)
       return
     this.stallTimer = setTimeout(() => this.response.destroy(), this.options.writeTimeoutMs)
@@ -115,7 +115,7 @@
   }
 }
 
-function formatWhole(answer: WholeAnswer): Pick<WholeAnswer, 'requestId' | 'output' | 'stages'> {
+function pickResponseFields(answer: WholeAnswer): Pick<WholeAnswer, 'requestId' | 'output' | 'stages'> {
   const { requestId, output, stages } = answer
   return { requestId, output, stages }
 }
--- a/packages/daemon/src/connection/answer.ts
+++ b/packages/daemon/src/connection/answer.ts
@@ -9,7 +9,7 @@
 import { Err, Ok } from 'ts-results-es'
 import * as z from 'zod'
 
-const UNKNOWN_FORM = 'Another entry returned an answer in an unknown format; query the outcome with GET /v1/requests/{id}.'
+const UNKNOWN_FORMAT_MESSAGE = 'Another entry returned an answer in an unknown format; query the outcome with GET /v1/requests/{id}.'
 
 const stageReportSchema = z.object({
   stage: z.string(),
@@ -55,7 +55,7 @@
 export function parseAnswer(text: string): RequestAnswer {
   const parsed = envelopeSchema.safeParse(parseJson(text))
   if (!parsed.success)
-    return Err(createError(ErrorKind.OutcomeUnknown, UNKNOWN_FORM))
+    return Err(createError(ErrorKind.OutcomeUnknown, UNKNOWN_FORMAT_MESSAGE))
   return 'whole' in parsed.data ? Ok(parsed.data.whole) : Err(parsed.data.error)
 }
 
--- a/packages/daemon/src/connection/backend-answers.ts
+++ b/packages/daemon/src/connection/backend-response.ts
@@ -17,12 +17,12 @@
 ])
 
 /** Lowest status with which a plain service reports a failure. */
-const SERVER_ERROR = 500
+const MIN_SERVER_ERROR_STATUS = 500
 /** Statuses with which a backend server reports that it did not start the run. */
 const NOT_STARTED_STATUSES = new Set([409, 429, 503])
 
 /** Reads the response to a run without streaming. */
-export async function readRunAnswer(response: Dispatcher.ResponseData): Promise<BackendResult> {
+export async function readRunResponse(response: Dispatcher.ResponseData): Promise<BackendResult> {
   const answer = runAnswerSchema.safeParse(await response.body.json())
   if (!answer.success)
     return createFailure(BackendOutcome.Failed, 'the backend server returned a response in an unknown format')
@@ -47,9 +47,9 @@
 }
 
 /** Reads the response of a plain service. Statuses below 500 are passed on to the caller as responses. */
-export async function readServiceAnswer(response: Dispatcher.ResponseData): Promise<BackendResult> {
+export async function readServiceResponse(response: Dispatcher.ResponseData): Promise<BackendResult> {
   const status = response.statusCode
-  if (status >= SERVER_ERROR) {
+  if (status >= MIN_SERVER_ERROR_STATUS) {
     await response.body.dump()
     return createFailure(BackendOutcome.Failed, `the service returned status ${status}`)
   }
@@ -60,14 +60,14 @@
 }
 
 /** Classifies a run that returned a status other than 200. */
-export async function describeStatus(response: Dispatcher.ResponseData): Promise<BackendResult> {
+export async function readErrorResponse(response: Dispatcher.ResponseData): Promise<BackendResult> {
   await response.body.dump()
   const outcome = NOT_STARTED_STATUSES.has(response.statusCode) ? BackendOutcome.Refused : BackendOutcome.Failed
   return createFailure(outcome, `the backend server returned status ${response.statusCode}`)
 }
 
 /** Classifies a run whose call threw an error. */
-export function describeThrown(error: unknown, signal: AbortSignal): BackendResult {
+export function classifyThrownError(error: unknown, signal: AbortSignal): BackendResult {
   const message = error instanceof Error ? error.message : String(error)
   if (signal.aborted)
     return createFailure(BackendOutcome.Stopped, message)
--- a/packages/daemon/src/connection/body-reader.ts
+++ b/packages/daemon/src/connection/body-reader.ts
@@ -21,9 +21,9 @@
     const chunks: Buffer[] = []
     let size = 0
     const timer = setTimeout(() => {
-      end(refuse(ErrorKind.BodyStalled, `The body did not arrive within ${limits.timeoutMs} ms; send the request again.`))
+      finish(createFailure(ErrorKind.BodyStalled, `The body did not arrive within ${limits.timeoutMs} ms; send the request again.`))
     }, limits.timeoutMs)
-    const end = (result: Result<string, RequestError>): void => {
+    const finish = (result: Result<string, RequestError>): void => {
       clearTimeout(timer)
       request.off('data', onData)
       resolve(result)
@@ -31,28 +31,28 @@
     const onData = (chunk: Buffer): void => {
       size += chunk.length
       if (size > limits.maxBytes)
-        end(refuse(ErrorKind.BodyTooLarge, `The body exceeds the limit of ${limits.maxBytes} bytes; send a smaller one.`))
+        finish(createFailure(ErrorKind.BodyTooLarge, `The body exceeds the limit of ${limits.maxBytes} bytes; send a smaller one.`))
       else
         chunks.push(chunk)
     }
     request.on('data', onData)
-    request.once('end', () => end(decode(Buffer.concat(chunks))))
+    request.once('end', () => finish(decodeUtf8(Buffer.concat(chunks))))
     request.once('error', () => {
-      end(refuse(ErrorKind.BodyStalled, 'The connection closed before the complete body arrived; send the request again.'))
+      finish(createFailure(ErrorKind.BodyStalled, 'The connection closed before the complete body arrived; send the request again.'))
     })
   })
 }
 
-function refuse(kind: ErrorKind, message: string): Err<RequestError> {
+function createFailure(kind: ErrorKind, message: string): Err<RequestError> {
   return Err(createError(kind, message))
 }
 
-function decode(bytes: Buffer): Result<string, RequestError> {
+function decodeUtf8(bytes: Buffer): Result<string, RequestError> {
   try {
     return Ok(new TextDecoder('utf-8', { fatal: true }).decode(bytes))
   }
   catch {
     // The decoder's error contains no position; the error response tells the caller what is wrong.
-    return refuse(ErrorKind.InvalidRequest, 'The body is not valid UTF-8; encode it as UTF-8.')
+    return createFailure(ErrorKind.InvalidRequest, 'The body is not valid UTF-8; encode it as UTF-8.')
   }
 }
--- a/packages/daemon/src/connection/caller-headers.ts
+++ b/packages/daemon/src/connection/caller-headers.ts
@@ -35,7 +35,7 @@
   return Array.isArray(value) ? value.join(',') : value
 }
 
-function invalid(message: string): Err<RequestError> {
+function createInvalidRequest(message: string): Err<RequestError> {
   return Err(createError(ErrorKind.InvalidRequest, message))
 }
 
@@ -43,22 +43,22 @@
 export function parseCallerHeaders(headers: IncomingHttpHeaders): Result<CallerHeaders, RequestError> {
   const account = readHeader(headers, 'eidermast-account')
   if (account === undefined || !ACCOUNT_PATTERN.test(account))
-    return invalid('Set the header Eidermast-Account to the name of your client account.')
+    return createInvalidRequest('Set the header Eidermast-Account to the name of your client account.')
   const requestId = readHeader(headers, 'eidermast-request-id')
   if (requestId !== undefined && !isRequestId(requestId))
-    return invalid('Eidermast-Request-Id must be a lower-case UUIDv7; omit it to have one generated.')
+    return createInvalidRequest('Eidermast-Request-Id must be a lower-case UUIDv7; omit it to have one generated.')
   const deadlineText = readHeader(headers, 'eidermast-deadline-ms')
   const deadlineMs = deadlineText === undefined ? undefined : parseDeadline(deadlineText)
   if (Number.isNaN(deadlineMs))
-    return invalid(`Eidermast-Deadline-Ms must be an integer number of milliseconds from 1 to ${MAX_DEADLINE_MS}.`)
+    return createInvalidRequest(`Eidermast-Deadline-Ms must be an integer number of milliseconds from 1 to ${MAX_DEADLINE_MS}.`)
   const unrepeatable = readHeader(headers, 'eidermast-unrepeatable') ?? 'false'
   if (unrepeatable !== 'true' && unrepeatable !== 'false')
-    return invalid('Eidermast-Unrepeatable must be true or false.')
+    return createInvalidRequest('Eidermast-Unrepeatable must be true or false.')
   const ticket = readHeader(headers, 'eidermast-ticket')
   if (ticket !== undefined && ticket.length > MAX_TICKET_LENGTH)
-    return invalid('Eidermast-Ticket is too long; send it as returned by POST /v1/tickets.')
+    return createInvalidRequest('Eidermast-Ticket is too long; send it as returned by POST /v1/tickets.')
   if (ticket !== undefined && requestId !== undefined)
-    return invalid('Send either Eidermast-Ticket or Eidermast-Request-Id; a ticket contains its own request id.')
+    return createInvalidRequest('Send either Eidermast-Ticket or Eidermast-Request-Id; a ticket contains its own request id.')
   return Ok({
     account,
     requestId,
--- a/packages/daemon/src/connection/caller-path.ts
+++ b/packages/daemon/src/connection/caller-path.ts
@@ -48,7 +48,7 @@
 }
 
 /** The method that a path requires; undefined if any method is allowed. */
-export function wantedMethod(path: CallerPath): 'GET' | 'POST' | undefined {
+export function requiredMethod(path: CallerPath): 'GET' | 'POST' | undefined {
   if (path.kind === CallerPathKind.Service)
     return undefined
   return path.kind === CallerPathKind.Outcome ? 'GET' : 'POST'
--- a/packages/daemon/src/connection/caller-server.ts
+++ b/packages/daemon/src/connection/caller-server.ts
@@ -19,7 +19,7 @@
 import { parseJson } from './answer.js'
 import { readBody } from './body-reader.js'
 import { identifyCaller } from './caller-identity.js'
-import { CallerPathKind, hasDotSegment, parseCallerPath, wantedMethod } from './caller-path.js'
+import { CallerPathKind, hasDotSegment, parseCallerPath, requiredMethod } from './caller-path.js'
 import { isRequestId } from './identity.js'
 import { OutcomeState } from './messages.js'
 
@@ -59,7 +59,7 @@
 /** Response to data that is not a valid HTTP request. */
 const BAD_REQUEST = 'HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n'
 
-const NOTHING_THERE = 'No endpoint exists at this path; see the section on the callers\' interface in the README.'
+const UNKNOWN_PATH_MESSAGE = 'No endpoint exists at this path; see the section on the callers\' interface in the README.'
 
 const pipelineBodySchema = z.strictObject({ input: z.string().min(1) })
 
@@ -95,7 +95,7 @@
   async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const writer = new AnswerWriter(response, {
       writeTimeoutMs: this.options.limits.writeTimeoutMs,
-      closing: () => this.options.service.isRefusing(),
+      shouldClose: () => this.options.service.isRefusing(),
     })
     try {
       if (await this.options.answerOperations(request, response))
@@ -112,21 +112,21 @@
     const { request, writer } = exchange
     const path = parseCallerPath(request.url ?? '/')
     if (!path)
-      return reject(exchange, createError(ErrorKind.UnknownPath, NOTHING_THERE))
-    const method = wantedMethod(path)
+      return rejectRequest(exchange, createError(ErrorKind.UnknownPath, UNKNOWN_PATH_MESSAGE))
+    const method = requiredMethod(path)
     if (method && request.method !== method)
-      return reject(exchange, createError(ErrorKind.MethodNotAllowed, `This path requires the method ${method}.`))
+      return rejectRequest(exchange, createError(ErrorKind.MethodNotAllowed, `This path requires the method ${method}.`))
     const caller = identifyCaller(request.headers, this.options.configuration, this.options.service)
     if (caller.isErr())
-      return reject(exchange, caller.error)
+      return rejectRequest(exchange, caller.error)
     if (path.kind === CallerPathKind.Outcome)
-      return this.answerOutcome(caller.value, path.requestId, writer)
+      return this.handleOutcome(caller.value, path.requestId, writer)
     if (path.kind === CallerPathKind.Ticket)
-      return this.answerTicket(caller.value, exchange)
+      return this.handleTicket(caller.value, exchange)
     const body = await this.readBody(request)
     if (body.isErr())
-      return reject(exchange, body.error)
-    const callerGone = watchCaller(exchange.response)
+      return rejectRequest(exchange, body.error)
+    const callerGone = createDisconnectSignal(exchange.response)
     await this.run(path, exchange, { caller: caller.value, body: body.value, arrivedAt: exchange.arrivedAt, callerGone })
   }
 
@@ -165,13 +165,13 @@
     return Ok({ ...call, service, request: { method: request.method ?? 'GET', path } })
   }
 
-  private answerTicket(caller: Caller, { request, writer }: Exchange): void {
+  private handleTicket(caller: Caller, { request, writer }: Exchange): void {
     request.resume()
     const { requestId, ticket, expiresAt } = this.options.service.issueTicket(caller.account.name)
     writer.sendJson(201, { requestId, ticket, expiresAt: new Date(expiresAt).toISOString() })
   }
 
-  private async answerOutcome(caller: Caller, requestId: string, writer: AnswerWriter): Promise<void> {
+  private async handleOutcome(caller: Caller, requestId: string, writer: AnswerWriter): Promise<void> {
     if (!isRequestId(requestId))
       return writer.sendError(createError(ErrorKind.InvalidRequest, 'The request id must be a lower-case UUIDv7.'))
     const outcome = await this.options.service.findOutcome(caller.account.name, requestId)
@@ -184,18 +184,18 @@
 }
 
 /** Returns a signal that aborts if the caller disconnects before its response was written. */
-function watchCaller(response: ServerResponse): AbortSignal {
-  const gone = new AbortController()
+function createDisconnectSignal(response: ServerResponse): AbortSignal {
+  const disconnected = new AbortController()
   response.once('close', () => {
     if (!response.writableFinished)
-      gone.abort()
+      disconnected.abort()
   })
-  return gone.signal
+  return disconnected.signal
 }
 
 /** Rejects a request whose body may not be fully received; in that case the connection is closed after the response. */
-function reject({ request, writer }: Exchange, error: RequestError): void {
-  const unread = !request.complete && request.headers['content-length'] !== '0'
+function rejectRequest({ request, writer }: Exchange, error: RequestError): void {
+  const bodyPending = !request.complete && request.headers['content-length'] !== '0'
   request.resume()
-  writer.sendError(error, unread)
+  writer.sendError(error, bodyPending)
 }
--- a/packages/daemon/src/connection/entry-peers.ts
+++ b/packages/daemon/src/connection/entry-peers.ts
@@ -22,7 +22,7 @@
 }
 
 /** An open connection and the peer's reply to the first heartbeat, which names its process incarnation. */
-interface KnownPeer {
+interface ConnectedPeer {
   connection: PeerConnection<EntryClient>
   heartbeat: HeartbeatReply
 }
@@ -66,20 +66,20 @@
 
 /** Connections of one entry to other entries. */
 export class EntryPeers {
-  private readonly peers = new Map<string, Promise<KnownPeer | undefined>>()
+  private readonly peers = new Map<string, Promise<ConnectedPeer | undefined>>()
 
   constructor(private readonly options: EntryPeersOptions) {}
 
   /** Queries an entry for the outcome of a request; undefined if it does not reply in time. */
   async askOutcome(address: string, question: OutcomeQuestion): Promise<OutcomeReply | undefined> {
-    const answer = await this.ask(address, client => client.outcome.query(question), OUTCOME_TIMEOUT_MS)
+    const answer = await this.query(address, client => client.outcome.query(question), OUTCOME_TIMEOUT_MS)
     return outcomeReplySchema.safeParse(answer).data
   }
 
   /** Fetches the objects above an offset of another entry's configuration; undefined if it does not reply in time. */
   async difference(address: string, since: number): Promise<ConfigurationDifference | undefined> {
     const kinds = Object.values(ObjectKind)
-    const answer = await this.ask(address, client => client.difference.query({ since, kinds }), DIFFERENCE_TIMEOUT_MS)
+    const answer = await this.query(address, client => client.difference.query({ since, kinds }), DIFFERENCE_TIMEOUT_MS)
     return differenceSchema.safeParse(answer).data as ConfigurationDifference | undefined
   }
 
@@ -97,11 +97,11 @@
 
   close(): void {
     for (const peer of this.peers.values())
-      void peer.then(known => known?.connection.close())
+      void peer.then(connected => connected?.connection.close())
   }
 
   /** Returns the unvalidated reply of an entry. Logs the reason and returns undefined if there is none. */
-  private async ask(address: string, call: (client: EntryClient) => Promise<unknown>, timeoutMs: number): Promise<unknown> {
+  private async query(address: string, call: (client: EntryClient) => Promise<unknown>, timeoutMs: number): Promise<unknown> {
     const peer = await this.connect(address)
     if (!peer)
       return undefined
@@ -112,21 +112,21 @@
     return undefined
   }
 
-  private connect(address: string): Promise<KnownPeer | undefined> {
+  private connect(address: string): Promise<ConnectedPeer | undefined> {
     const existing = this.peers.get(address)
     if (existing)
       return existing
     const opening = this.open(address)
     this.peers.set(address, opening)
-    void opening.then((known) => {
-      if (!known)
+    void opening.then((connected) => {
+      if (!connected)
         return this.peers.delete(address)
-      known.connection.closed.addEventListener('abort', () => this.peers.delete(address))
+      connected.connection.closed.addEventListener('abort', () => this.peers.delete(address))
     })
     return opening
   }
 
-  private async open(address: string): Promise<KnownPeer | undefined> {
+  private async open(address: string): Promise<ConnectedPeer | undefined> {
     const opened = await connectEntry({ address, key: this.options.key, connectTimeoutMs: HEARTBEAT_TIMEOUT_MS })
     if (opened.isErr()) {
       log('entry-unreachable', { address, failure: opened.error })
--- a/packages/daemon/src/connection/heartbeat-timing.ts
+++ b/packages/daemon/src/connection/heartbeat-timing.ts
@@ -56,11 +56,11 @@
   sideOffset: number
 }
 
-export function isHeartbeatDue(signs: HeartbeatSigns): boolean {
-  const quiet = signs.sinceReplyMs >= signs.intervalMs
-  const overdue = signs.sinceHeartbeatMs >= signs.intervalMs * MAX_HEARTBEAT_GAP
-  const manyReceived = signs.acknowledgements >= MIN_ACKNOWLEDGEMENTS
-  return quiet || overdue || manyReceived || signs.sideOffset < signs.offset
+export function isHeartbeatDue(inputs: HeartbeatSigns): boolean {
+  const idle = inputs.sinceReplyMs >= inputs.intervalMs
+  const overdue = inputs.sinceHeartbeatMs >= inputs.intervalMs * MAX_HEARTBEAT_GAP
+  const manyPending = inputs.acknowledgements >= MIN_ACKNOWLEDGEMENTS
+  return idle || overdue || manyPending || inputs.sideOffset < inputs.offset
 }
 
 /** Health of a side, derived from missed heartbeats. */
--- a/packages/daemon/src/connection/http-backend-client.ts
+++ b/packages/daemon/src/connection/http-backend-client.ts
@@ -10,8 +10,8 @@
 import { Err, Ok } from 'ts-results-es'
 import { Agent, request } from 'undici'
 import { CallFailure } from '../version/call-error.js'
-import { describeStatus, describeThrown, readRunAnswer, readServiceAnswer, readTokenStream } from './backend-answers.js'
 import { backendLoadSchema } from './backend-client.js'
+import { classifyThrownError, readErrorResponse, readRunResponse, readServiceResponse, readTokenStream } from './backend-response.js'
 import { callJson } from './json-http.js'
 
 /** The backend server is on the same VM, so half would suffice; a longer timeout detects a frozen VM later. */
@@ -49,7 +49,7 @@
       return await this.runStage(call, signal, onToken)
     }
     catch (error) {
-      return describeThrown(error, signal)
+      return classifyThrownError(error, signal)
     }
   }
 
@@ -76,13 +76,13 @@
     const response = await request(`${this.url}/v1/run`, {
       method: 'POST',
       headers: { 'content-type': 'application/json' },
-      body: formatRun(call, onToken !== undefined),
+      body: formatRunRequest(call, onToken !== undefined),
       signal,
       dispatcher: this.agent,
     })
     if (response.statusCode !== 200)
-      return await describeStatus(response)
-    return onToken ? await readTokenStream(response, onToken) : await readRunAnswer(response)
+      return await readErrorResponse(response)
+    return onToken ? await readTokenStream(response, onToken) : await readRunResponse(response)
   }
 
   private async runService(call: StageCall, { method, path }: ServiceRequest, signal: AbortSignal): Promise<BackendResult> {
@@ -93,11 +93,11 @@
       signal,
       dispatcher: this.agent,
     })
-    return await readServiceAnswer(response)
+    return await readServiceResponse(response)
   }
 }
 
-function formatRun(call: StageCall, stream: boolean): string {
+function formatRunRequest(call: StageCall, stream: boolean): string {
   const { identity, input, model, version, adapter, priority, maxTokens } = call
   return JSON.stringify({
     requestId: identity.requestId,
--- a/packages/daemon/src/connection/identity.ts
+++ b/packages/daemon/src/connection/identity.ts
@@ -9,8 +9,8 @@
 const UUID_V7 = /^[0-9a-f]{8}-[0-9a-f]{4}-7[0-9a-f]{3}-[89ab][0-9a-f]{3}-[0-9a-f]{12}$/
 
 /** Leading hexadecimal digits of a UUIDv7 that contain its timestamp. */
-const TIME_DIGITS = 12
-const HEXADECIMAL = 16
+const TIMESTAMP_DIGITS = 12
+const HEX_RADIX = 16
 
 /** Generates a new request id. */
 export function createRequestId(): string {
@@ -24,7 +24,7 @@
 
 /** Extracts the timestamp of a UUIDv7, in epoch milliseconds. */
 export function requestIdTime(requestId: string): number {
-  return Number.parseInt(requestId.replaceAll('-', '').slice(0, TIME_DIGITS), HEXADECIMAL)
+  return Number.parseInt(requestId.replaceAll('-', '').slice(0, TIMESTAMP_DIGITS), HEX_RADIX)
 }
 
 /** Creates the key of a request. Ids are scoped to accounts: the same id under two accounts denotes two requests. */
--- a/packages/daemon/src/connection/json-http.ts
+++ b/packages/daemon/src/connection/json-http.ts
@@ -36,7 +36,7 @@
     return await sendAndRead(call, signal)
   }
   catch (error) {
-    return Err(describeFailure(error, call.url))
+    return Err(createCallError(error, call.url))
   }
   finally {
     dispose()
@@ -70,7 +70,7 @@
   return error instanceof Error && 'code' in error && NOT_CONNECTED_CODES.has(String(error.code))
 }
 
-function describeFailure(error: unknown, url: string): CallError {
+function createCallError(error: unknown, url: string): CallError {
   const failure = isNotConnected(error) ? CallFailure.NotTaken : CallFailure.InDoubt
   return { failure, message: `${url}: ${formatError(error)}` }
 }
--- a/packages/daemon/src/connection/peer-connection.ts
+++ b/packages/daemon/src/connection/peer-connection.ts
@@ -51,7 +51,7 @@
  */
 const DEFAULT_CONNECT_TIMEOUT_MS = 1000
 /** Maximum timer delay, about 24 days: longer than a connection without a peer is kept. */
-const NEVER_MS = 2 ** 31 - 1
+const MAX_TIMER_MS = 2 ** 31 - 1
 
 /** Opens a connection to a side. */
 export function connectSide(options: PeerConnectionOptions): Promise<Result<PeerConnection<SideClient>, ConnectFailure>> {
@@ -69,40 +69,40 @@
   options: PeerConnectionOptions,
   createClient: (link: PeerLink) => Client,
 ): Promise<Result<PeerConnection<Client>, ConnectFailure>> {
-  const life = new ConnectionLife(options)
-  const opened = await life.opened
+  const socketConnection = new SocketConnection(options)
+  const opened = await socketConnection.opened
   if (opened.isErr())
     return opened
-  const client = createClient(life.createLink())
-  return Ok({ client, closed: life.closed, isOpen: () => life.isOpen, close: () => life.close() })
+  const client = createClient(socketConnection.createLink())
+  return Ok({ client, closed: socketConnection.closed, isOpen: () => socketConnection.isOpen, close: () => socketConnection.close() })
 }
 
 /** Lifecycle of one WebSocket, from the connection attempt until it is closed. */
-class ConnectionLife {
+class SocketConnection {
   /** Resolves when the connection is open or the attempt has failed. */
   readonly opened: Promise<Result<void, ConnectFailure>>
   isOpen = false
-  private readonly closing = new AbortController()
+  private readonly closeController = new AbortController()
   private readonly socketClient: ReturnType<typeof createWSClient>
-  private reportOpened!: (result: Result<void, ConnectFailure>) => void
+  private resolveOpened!: (result: Result<void, ConnectFailure>) => void
 
   constructor(options: PeerConnectionOptions) {
     this.opened = new Promise((resolve) => {
-      this.reportOpened = resolve
+      this.resolveOpened = resolve
     })
     this.socketClient = createWSClient({
       url: `ws://${options.address}`,
       WebSocket: createSocketClass(options) as unknown as typeof globalThis.WebSocket,
-      retryDelayMs: () => NEVER_MS,
-      onOpen: () => this.begin(),
-      onClose: () => this.end(ConnectFailure.Failed),
-      onError: event => this.end(classifyError(event)),
+      retryDelayMs: () => MAX_TIMER_MS,
+      onOpen: () => this.handleOpen(),
+      onClose: () => this.handleClose(ConnectFailure.Failed),
+      onError: event => this.handleClose(classifyError(event)),
     })
   }
 
   /** Aborts when the connection is lost or closed. */
   get closed(): AbortSignal {
-    return this.closing.signal
+    return this.closeController.signal
   }
 
   createLink(): PeerLink {
@@ -110,19 +110,19 @@
   }
 
   close(): void {
-    this.end(ConnectFailure.Failed)
+    this.handleClose(ConnectFailure.Failed)
     this.socketClient.connection?.ws.close()
   }
 
-  private begin(): void {
+  private handleOpen(): void {
     this.isOpen = true
-    this.reportOpened(Ok(undefined))
+    this.resolveOpened(Ok(undefined))
   }
 
-  private end(failure: ConnectFailure): void {
+  private handleClose(failure: ConnectFailure): void {
     this.isOpen = false
-    this.reportOpened(Err(failure))
-    this.closing.abort()
+    this.resolveOpened(Err(failure))
+    this.closeController.abort()
     // Rejects if the socket never opened or is already closed: there is nothing left to close.
     void this.socketClient.close().catch(() => {})
   }
@@ -169,14 +169,14 @@
       connection.closed.removeEventListener('abort', onClosed)
       resolve(result)
     }
-    const lose = (message: string): void => settle({ state: CallState.Lost, message })
+    const fail = (message: string): void => settle({ state: CallState.Lost, message })
     // The listener is removed afterwards; a promise would retain every call until the connection closes.
-    const onClosed = (): void => lose('the connection was lost')
+    const onClosed = (): void => fail('the connection was lost')
     if (connection.closed.aborted)
-      return lose('the connection was lost')
+      return fail('the connection was lost')
     connection.closed.addEventListener('abort', onClosed)
     if (timeoutMs !== undefined)
-      timer = setTimeout(lose, timeoutMs, `no answer within ${timeoutMs} ms`)
-    call(connection.client).then(value => settle({ state: CallState.Answered, value }), error => lose(formatError(error)))
+      timer = setTimeout(fail, timeoutMs, `no reply within ${timeoutMs} ms`)
+    call(connection.client).then(value => settle({ state: CallState.Answered, value }), error => fail(formatError(error)))
   })
 }
--- a/packages/daemon/src/connection/peer-key.ts
+++ b/packages/daemon/src/connection/peer-key.ts
@@ -15,8 +15,8 @@
 
 /** Whether a request carries the key; compared in constant time. */
 export function isAuthorized(request: IncomingMessage, key: string): boolean {
-  const shown = request.headers.authorization ?? ''
-  return equalSecrets(shown, formatAuthorization(key))
+  const received = request.headers.authorization ?? ''
+  return equalSecrets(received, formatAuthorization(key))
 }
 
 /** Compares two secrets in constant time. */
--- a/packages/daemon/src/connection/peer-server.ts
+++ b/packages/daemon/src/connection/peer-server.ts
@@ -34,7 +34,7 @@
 
 /** A listening peer server. */
 export class PeerServer {
-  private readonly sockets = new WebSocketServer({ noServer: true, maxPayload: MAX_PEER_MESSAGE_BYTES, perMessageDeflate: false })
+  private readonly webSocketServer = new WebSocketServer({ noServer: true, maxPayload: MAX_PEER_MESSAGE_BYTES, perMessageDeflate: false })
 
   private constructor(
     private readonly server: Server,
@@ -54,23 +54,23 @@
 
   /** Serves peers with the router, and plain HTTP requests, such as metrics, with the listener. */
   serve(router: AnyTRPCRouter, onRequest: RequestListener): void {
-    applyWSSHandler({ wss: this.sockets, router })
+    applyWSSHandler({ wss: this.webSocketServer, router })
     this.server.on('request', onRequest)
     this.server.on('upgrade', (request, socket, head) => this.upgrade(request, socket, head))
   }
 
   /** Closes all connections and stops listening. */
   async close(): Promise<void> {
-    for (const client of this.sockets.clients)
+    for (const client of this.webSocketServer.clients)
       client.close()
-    this.sockets.close()
+    this.webSocketServer.close()
     this.server.closeAllConnections()
     await new Promise<void>(resolve => this.server.close(() => resolve()))
   }
 
   private upgrade(request: IncomingMessage, socket: Duplex, head: Buffer): void {
     if (isAuthorized(request, this.key))
-      this.sockets.handleUpgrade(request, socket, head, client => this.sockets.emit('connection', client, request))
+      this.webSocketServer.handleUpgrade(request, socket, head, client => this.webSocketServer.emit('connection', client, request))
     else
       socket.end(UNAUTHORIZED)
   }
--- a/packages/daemon/src/connection/side-heartbeats.ts
+++ b/packages/daemon/src/connection/side-heartbeats.ts
@@ -18,7 +18,7 @@
 const log = createLogger('membership')
 
 /** Reply timeout in heartbeat intervals. With a single interval, a late reply would overlap with the next heartbeat. */
-const ANSWER_TIMEOUT_INTERVALS = 2
+const REPLY_TIMEOUT_INTERVALS = 2
 
 /** Reports whether the configuration is up to date. */
 export interface ConfigurationFreshness {
@@ -42,9 +42,9 @@
   /** Process incarnation of the side as of its last reply; undefined if its process is known to have ended. */
   sideIncarnation: string | undefined
   /** Arrival of the last stage reply (monotonic, in milliseconds). */
-  private repliedAt = Number.NEGATIVE_INFINITY
+  private stageRepliedAt = Number.NEGATIVE_INFINITY
   /** Arrival of the last heartbeat reply (monotonic, in milliseconds). */
-  private answeredAt = Number.NEGATIVE_INFINITY
+  private heartbeatRepliedAt = Number.NEGATIVE_INFINITY
   /** Offset of the side's configuration as of its last reply. */
   private sideOffset = NO_OFFSET
   private acknowledgements: string[] = []
@@ -52,15 +52,15 @@
   constructor(private readonly options: SideHeartbeatsOptions) {}
 
   /** Timeout of all calls to the side except stage calls. */
-  get answerTimeoutMs(): number {
-    return this.options.heartbeatIntervalMs * ANSWER_TIMEOUT_INTERVALS
+  get replyTimeoutMs(): number {
+    return this.options.heartbeatIntervalMs * REPLY_TIMEOUT_INTERVALS
   }
 
   get isDue(): boolean {
     const now = performance.now()
     return isHeartbeatDue({
-      sinceReplyMs: now - this.repliedAt,
-      sinceHeartbeatMs: now - this.answeredAt,
+      sinceReplyMs: now - this.stageRepliedAt,
+      sinceHeartbeatMs: now - this.heartbeatRepliedAt,
       intervalMs: this.options.heartbeatIntervalMs,
       acknowledgements: this.acknowledgements.length,
       offset: this.options.configuration.offset,
@@ -69,13 +69,13 @@
   }
 
   /** Marks the start of a connection, so that its first heartbeat is due immediately. */
-  noteConnected(): void {
-    this.repliedAt = Number.NEGATIVE_INFINITY
+  handleConnect(): void {
+    this.stageRepliedAt = Number.NEGATIVE_INFINITY
   }
 
   /** Records a stage reply, which proves that the side is responsive. */
-  noteReply(): void {
-    this.repliedAt = performance.now()
+  handleStageReply(): void {
+    this.stageRepliedAt = performance.now()
   }
 
   /** Queues an acknowledgement for the next heartbeat. The side evicts results beyond the limit by age. */
@@ -87,14 +87,14 @@
   /** Sends one heartbeat; returns whether the side replied. If it is lost, so are its acknowledgements. */
   async send(connection: PeerConnection<SideClient>): Promise<boolean> {
     const heartbeat = this.createHeartbeat()
-    const result = await callPeer(connection, client => client.greet.mutate(heartbeat), this.answerTimeoutMs)
+    const result = await callPeer(connection, client => client.greet.mutate(heartbeat), this.replyTimeoutMs)
     if (result.state === CallState.Lost)
-      return this.noteMissed(result.message)
+      return this.logMissed(result.message)
     const reply = heartbeatReplySchema.safeParse(result.value)
     if (!reply.success)
-      return this.noteMissed('the side sent a heartbeat reply in an unknown format')
-    this.noteAnswer(reply.data)
-    await this.bringConfiguration(connection)
+      return this.logMissed('the side sent a heartbeat reply in an unknown format')
+    this.handleHeartbeatReply(reply.data)
+    await this.pushConfiguration(connection)
     return true
   }
 
@@ -105,13 +105,13 @@
     return { incarnation: entryIncarnation, name: entryName, offset: configuration.offset, fresh: freshness.isFresh, acknowledged }
   }
 
-  private noteMissed(message: string): false {
+  private logMissed(message: string): false {
     log('heartbeat-missed', { backend: this.options.backendName, error: message })
     return false
   }
 
-  private noteAnswer(reply: HeartbeatReply): void {
-    this.answeredAt = performance.now()
+  private handleHeartbeatReply(reply: HeartbeatReply): void {
+    this.heartbeatRepliedAt = performance.now()
     this.sideOffset = reply.offset
     this.sideIncarnation = reply.incarnation
     if (reply.load)
@@ -119,11 +119,11 @@
   }
 
   /** Pushes the objects that the side lacks. Its next heartbeat reply shows whether they arrived. */
-  private async bringConfiguration(connection: PeerConnection<SideClient>): Promise<void> {
+  private async pushConfiguration(connection: PeerConnection<SideClient>): Promise<void> {
     const { configuration } = this.options
     if (this.sideOffset >= configuration.offset)
       return
     const difference = configuration.differenceSince(this.sideOffset, SIDE_OBJECT_KINDS)
-    await callPeer(connection, client => client.offer.mutate(difference), this.answerTimeoutMs)
+    await callPeer(connection, client => client.offer.mutate(difference), this.replyTimeoutMs)
   }
 }
--- a/packages/daemon/src/connection/side-link.ts
+++ b/packages/daemon/src/connection/side-link.ts
@@ -42,13 +42,13 @@
   /** Whether an attempt to reach the side has succeeded or failed since this link was created. */
   tried = false
   private connection: PeerConnection<SideClient> | undefined
-  private newestLoad: Load | undefined
+  private lastLoad: Load | undefined
   private answering = false
   private readonly heartbeats: SideHeartbeats
-  private readonly stop = new AbortController()
+  private readonly closeController = new AbortController()
 
   constructor(private readonly options: SideLinkOptions) {
-    this.heartbeats = new SideHeartbeats({ ...options, onLoad: load => this.noteLoad(load) })
+    this.heartbeats = new SideHeartbeats({ ...options, onLoad: load => this.updateLoad(load) })
   }
 
   get backendName(): string {
@@ -66,7 +66,7 @@
 
   /** The last load report. */
   get load(): Load | undefined {
-    return this.newestLoad
+    return this.lastLoad
   }
 
   /** Whether the connection is open and the side answers heartbeats. */
@@ -78,24 +78,24 @@
   async run(): Promise<void> {
     const { address, key } = this.options
     const delay = new ReconnectDelay()
-    while (!this.stop.signal.aborted) {
+    while (!this.closeController.signal.aborted) {
       const opened = await connectSide({ address, key })
       if (opened.isOk()) {
         delay.reset()
-        await this.keep(opened.value)
+        await this.sendHeartbeats(opened.value)
       }
       else if (opened.error === ConnectFailure.Refused) {
         // Lets callers that wait for a lost reply detect at once that the process incarnation has ended.
         this.heartbeats.sideIncarnation = undefined
       }
       this.setAnswering(false)
-      await wait(delay.next(), this.stop.signal)
+      await wait(delay.next(), this.closeController.signal)
     }
   }
 
   /** Closes the link permanently. */
   close(): void {
-    this.stop.abort()
+    this.closeController.abort()
     this.connection?.close()
   }
 
@@ -109,8 +109,8 @@
     const result = await callStage(connection, call, onToken)
     this.outstanding--
     if (result.outcome === LinkOutcome.Replied) {
-      this.heartbeats.noteReply()
-      this.noteLoad(result.reply.load)
+      this.heartbeats.handleStageReply()
+      this.updateLoad(result.reply.load)
     }
     return result
   }
@@ -121,7 +121,7 @@
     if (!connection?.isOpen())
       return undefined
     const key = stageKey(call.identity)
-    const result = await callPeer(connection, client => client.cancel.mutate({ key }), this.heartbeats.answerTimeoutMs)
+    const result = await callPeer(connection, client => client.cancel.mutate({ key }), this.heartbeats.replyTimeoutMs)
     return result.state === CallState.Answered ? result.value : undefined
   }
 
@@ -130,7 +130,7 @@
     const connection = this.connection
     if (!connection?.isOpen())
       return undefined
-    const result = await callPeer(connection, client => client.findResult.query(question), this.heartbeats.answerTimeoutMs)
+    const result = await callPeer(connection, client => client.findResult.query(question), this.heartbeats.replyTimeoutMs)
     return result.state === CallState.Answered ? stageReplySchema.safeParse(result.value).data : undefined
   }
 
@@ -146,26 +146,26 @@
   }
 
   /** Sends heartbeats on one connection until it is lost or closed. */
-  private async keep(connection: PeerConnection<SideClient>): Promise<void> {
+  private async sendHeartbeats(connection: PeerConnection<SideClient>): Promise<void> {
     this.connection = connection
-    this.heartbeats.noteConnected()
+    this.heartbeats.handleConnect()
     let missed = 0
-    while (connection.isOpen() && judgeSide(missed) !== SideHealth.Lost && !this.stop.signal.aborted) {
+    while (connection.isOpen() && judgeSide(missed) !== SideHealth.Lost && !this.closeController.signal.aborted) {
       const answered = this.heartbeats.isDue ? await this.heartbeats.send(connection) : true
       missed = answered ? 0 : missed + 1
       const health = judgeSide(missed)
       if (health !== SideHealth.Unclear)
         this.setAnswering(health === SideHealth.Answering)
       if (answered)
-        await wait(this.options.heartbeatIntervalMs, this.stop.signal, connection.closed)
+        await wait(this.options.heartbeatIntervalMs, this.closeController.signal, connection.closed)
     }
     connection.close()
     this.connection = undefined
   }
 
-  private noteLoad(load: Load): void {
-    const changed = this.newestLoad?.draining !== load.draining
-    this.newestLoad = load
+  private updateLoad(load: Load): void {
+    const changed = this.lastLoad?.draining !== load.draining
+    this.lastLoad = load
     this.sentSinceReport = 0
     if (changed)
       this.options.onChange()
--- a/packages/daemon/src/version/checkpoint-timing.ts
+++ b/packages/daemon/src/version/checkpoint-timing.ts
@@ -7,7 +7,7 @@
  * whether this entry has folded all records of the log, as of a read just made;
  * the log's retention in milliseconds.
  *
- * A checkpoint is due when the newest one is older than DUE_SHARE of the
+ * A checkpoint is due when the newest one is older than DUE_FRACTION of the
  * retention. A log without a checkpoint that still retains its first record needs
  * none until that record has reached the same age.
  *
@@ -24,7 +24,7 @@
  * double the number of checkpoints; a value close to 1 would leave no time to
  * append one before the log drops records.
  */
-const DUE_SHARE = 0.5
+const DUE_FRACTION = 0.5
 /** Average number of checks per due time. Half as many would still leave time for two before records are dropped. */
 const CHECKS_PER_DUE_TIME = 5
 /** Lowest jitter factor of the delay between checks; the highest is one more. The exact spread is not critical. */
@@ -32,7 +32,7 @@
 
 /** Age at which a checkpoint is due. */
 function checkpointDueMs(retentionMs: number): number {
-  return retentionMs * DUE_SHARE
+  return retentionMs * DUE_FRACTION
 }
 
 /** Delay before the next check, in milliseconds; `random` is in [0, 1). */
@@ -41,7 +41,7 @@
 }
 
 /** State of the log after reading all of it. */
-export interface CheckpointSigns {
+export interface CheckpointInputs {
   /** Whether the configuration includes all records of the log. */
   upToDate: boolean
   /** Epoch milliseconds; undefined if the log retains no checkpoint. */
@@ -55,11 +55,11 @@
   now: number
 }
 
-export function isCheckpointDue(signs: CheckpointSigns): boolean {
-  if (!signs.upToDate)
+export function isCheckpointDue(inputs: CheckpointInputs): boolean {
+  if (!inputs.upToDate)
     return false
-  const isRecent = (time: number): boolean => signs.now - time < checkpointDueMs(signs.retentionMs)
-  if (signs.newestCheckpointAt !== undefined)
-    return !isRecent(signs.newestCheckpointAt)
-  return !(signs.oldestRecordAt !== undefined && signs.keepsFirstRecord && isRecent(signs.oldestRecordAt))
+  const isRecent = (time: number): boolean => inputs.now - time < checkpointDueMs(inputs.retentionMs)
+  if (inputs.newestCheckpointAt !== undefined)
+    return !isRecent(inputs.newestCheckpointAt)
+  return !(inputs.oldestRecordAt !== undefined && inputs.keepsFirstRecord && isRecent(inputs.oldestRecordAt))
 }
--- a/packages/daemon/src/version/configuration.ts
+++ b/packages/daemon/src/version/configuration.ts
@@ -54,7 +54,7 @@
 
 interface StoredObject extends VersionedObject {
   /** The validated value; undefined if the object is deleted or its value is invalid. */
-  checked: unknown
+  validValue: unknown
 }
 
 /** Called with the new offset after each change of the offset. */
@@ -88,19 +88,19 @@
   /** Returns an object; undefined if it does not exist or its value is invalid. */
   get<Kind extends ObjectKind>(kind: Kind, name: string): UsableObject<ObjectValues[Kind]> | undefined {
     const stored = this.objects.get(kind)?.get(name)
-    if (!stored || stored.checked === undefined)
+    if (!stored || stored.validValue === undefined)
       return undefined
-    return { name, offset: stored.offset, value: stored.checked as ObjectValues[Kind] }
+    return { name, offset: stored.offset, value: stored.validValue as ObjectValues[Kind] }
   }
 
   /** Lists the objects of a kind that have a valid value. */
   list<Kind extends ObjectKind>(kind: Kind): UsableObject<ObjectValues[Kind]>[] {
-    const usable: UsableObject<ObjectValues[Kind]>[] = []
+    const objects: UsableObject<ObjectValues[Kind]>[] = []
     for (const stored of this.objects.get(kind)!.values()) {
-      if (stored.checked !== undefined)
-        usable.push({ name: stored.name, offset: stored.offset, value: stored.checked as ObjectValues[Kind] })
+      if (stored.validValue !== undefined)
+        objects.push({ name: stored.name, offset: stored.offset, value: stored.validValue as ObjectValues[Kind] })
     }
-    return usable
+    return objects
   }
 
   /** Offset of an object's newest version, including deletions; `NO_OFFSET` if it never existed. */
@@ -173,8 +173,8 @@
     const current = objects.get(object.name)
     if (current && current.offset >= object.offset)
       return
-    const checked = object.value === null ? undefined : objectSchemas[object.kind].safeParse(object.value).data
-    objects.set(object.name, { ...object, checked })
+    const validValue = object.value === null ? undefined : objectSchemas[object.kind].safeParse(object.value).data
+    objects.set(object.name, { ...object, validValue })
   }
 
   private advance(offset: number): void {
--- a/packages/daemon/src/version/fold-page.ts
+++ b/packages/daemon/src/version/fold-page.ts
@@ -14,7 +14,7 @@
 /** Folds one page into a configuration and returns the next offset to read. */
 export function foldPage(configuration: Configuration, page: LogPage): number {
   if (hasGap(configuration, page))
-    adoptNewestCheckpoint(configuration, page)
+    applyNewestCheckpoint(configuration, page)
   // Folding past missing records would diverge from the other processes: wait for a checkpoint or a peer's configuration.
   if (hasGap(configuration, page))
     return configuration.offset + 1
@@ -34,7 +34,7 @@
  * Applies the newest checkpoint after which the page lacks no record. The page must
  * extend from the first retained record to the end of the stream.
  */
-function adoptNewestCheckpoint(configuration: Configuration, page: LogPage): void {
+function applyNewestCheckpoint(configuration: Configuration, page: LogPage): void {
   for (const { offset, value } of page.records.toReversed()) {
     const record = parseRecord(value)
     if (record?.record !== RecordKind.Checkpoint || record.upTo + 1 < page.firstOffset)
--- a/packages/daemon/src/version/follower.ts
+++ b/packages/daemon/src/version/follower.ts
@@ -82,7 +82,7 @@
     const all = await this.readPage(this.configuration.offset + 1, waitMs, signal)
     if (!all || all.records.length === 0)
       return all
-    for (let next = offsetAfter(all); next < all.nextOffset; next = offsetAfter(all)) {
+    for (let next = nextOffsetOf(all); next < all.nextOffset; next = nextOffsetOf(all)) {
       const page = await this.readPage(next, 0, signal)
       if (!page)
         return undefined
@@ -104,6 +104,6 @@
 }
 
 /** Offset after the last record of a page. */
-function offsetAfter(page: LogPage): number {
+function nextOffsetOf(page: LogPage): number {
   return page.records.at(-1)!.offset + 1
 }
--- a/packages/daemon/src/version/publisher.ts
+++ b/packages/daemon/src/version/publisher.ts
@@ -64,7 +64,7 @@
  * unavailable or has dropped records that no retained checkpoint includes.
  */
 export function readConfiguration(client: LogClient): Promise<Configuration | undefined> {
-  return readWhole(client, Date.now())
+  return readCompleteConfiguration(client, Date.now())
 }
 
 /** Publishes a change and waits until its outcome is known or the timeout expires. */
@@ -72,7 +72,7 @@
   const recordId = uuidv7()
   const { kind, name, value, base, author = '', timeoutMs = PUBLISH_TIMEOUT_MS } = options
   const deadline = Date.now() + timeoutMs
-  const configuration = await readWhole(client, deadline)
+  const configuration = await readCompleteConfiguration(client, deadline)
   if (!configuration)
     return { outcome: PublishOutcome.Unreachable, recordId }
   const change: ChangeRecord = {
@@ -95,7 +95,7 @@
  * until the deadline, because a change based on a partial configuration would
  * conflict.
  */
-async function readWhole(client: LogClient, deadline: number): Promise<Configuration | undefined> {
+async function readCompleteConfiguration(client: LogClient, deadline: number): Promise<Configuration | undefined> {
   for (;;) {
     const page = await readPage(client)
     if (!page)
@@ -167,8 +167,8 @@
     .find(record => record?.record === RecordKind.Checkpoint && record.upTo >= offset) as CheckpointRecord | undefined
   if (!checkpoint)
     return undefined
-  const inForce = checkpoint.objects.find(({ kind, name }) => kind === change.kind && name === change.name)?.offset ?? NO_OFFSET
-  return inForce > offset ? undefined : inForce === offset
+  const activeOffset = checkpoint.objects.find(({ kind, name }) => kind === change.kind && name === change.name)?.offset ?? NO_OFFSET
+  return activeOffset > offset ? undefined : activeOffset === offset
 }
 
 /** Parses a raw log record; undefined unless it is the change with this id. */
