--- a/packages/command-line/src/configuration-history.ts
+++ b/packages/command-line/src/configuration-history.ts
@@ -40,6 +40,6 @@
   for (const record of page.records) {
     const parsed = parseRecord(record.value)
     if (parsed?.record === RecordKind.Checkpoint)
-      return configuration.adopt(parsed)
+      return configuration.applyCheckpoint(parsed)
   }
 }
--- a/packages/daemon/src/connection/answer-writer.ts
+++ b/packages/daemon/src/connection/answer-writer.ts
@@ -5,7 +5,7 @@
  */
 import type { RequestError } from '@eidermast/common'
 import type { ServerResponse } from 'node:http'
-import type { RequestAnswer, WholeAnswer } from './answer.js'
+import type { RequestAnswer, SuccessfulAnswer } from './answer.js'
 import { ERROR_ANSWERS } from '@eidermast/common'
 
 const MILLISECONDS_PER_SECOND = 1000
@@ -115,7 +115,7 @@
   }
 }
 
-function pickResponseFields(answer: WholeAnswer): Pick<WholeAnswer, 'requestId' | 'output' | 'stages'> {
+function pickResponseFields(answer: SuccessfulAnswer): Pick<SuccessfulAnswer, 'requestId' | 'output' | 'stages'> {
   const { requestId, output, stages } = answer
   return { requestId, output, stages }
 }
--- a/packages/daemon/src/connection/answer.ts
+++ b/packages/daemon/src/connection/answer.ts
@@ -19,7 +19,7 @@
   attempts: z.int(),
 })
 
-const wholeAnswerSchema = z.object({
+const successfulAnswerSchema = z.object({
   requestId: z.string(),
   output: z.string(),
   stages: z.array(stageReportSchema),
@@ -35,16 +35,16 @@
   retryAfterMs: z.number().optional(),
 })
 
-const envelopeSchema = z.union([z.object({ whole: wholeAnswerSchema }), z.object({ error: requestErrorSchema })])
+const envelopeSchema = z.union([z.object({ whole: successfulAnswerSchema }), z.object({ error: requestErrorSchema })])
 
 /** Where one stage ran, and its duration, cost and attempts. */
 export type StageReport = z.infer<typeof stageReportSchema>
 
 /** The answer to a request that succeeded. */
-export type WholeAnswer = z.infer<typeof wholeAnswerSchema>
+export type SuccessfulAnswer = z.infer<typeof successfulAnswerSchema>
 
 /** The final answer to a request: its result or an error. */
-export type RequestAnswer = Result<WholeAnswer, RequestError>
+export type RequestAnswer = Result<SuccessfulAnswer, RequestError>
 
 /** Serializes an answer for another entry. */
 export function formatAnswer(answer: RequestAnswer): string {
--- a/packages/daemon/src/connection/heartbeat-timing.ts
+++ b/packages/daemon/src/connection/heartbeat-timing.ts
@@ -41,7 +41,7 @@
 const MIN_ACKNOWLEDGEMENTS = 500
 
 /** State of a link. */
-export interface HeartbeatSigns {
+export interface HeartbeatInputs {
   /** Time since the last stage reply. */
   sinceReplyMs: number
   /** Time since the last answered heartbeat. */
@@ -56,7 +56,7 @@
   sideOffset: number
 }
 
-export function isHeartbeatDue(inputs: HeartbeatSigns): boolean {
+export function isHeartbeatDue(inputs: HeartbeatInputs): boolean {
   const idle = inputs.sinceReplyMs >= inputs.intervalMs
   const overdue = inputs.sinceHeartbeatMs >= inputs.intervalMs * MAX_HEARTBEAT_GAP
   const manyPending = inputs.acknowledgements >= MIN_ACKNOWLEDGEMENTS
@@ -75,7 +75,7 @@
 }
 
 /** Classifies a side by its number of consecutive missed heartbeats. */
-export function judgeSide(missed: number): SideHealth {
+export function classifySide(missed: number): SideHealth {
   if (missed === 0)
     return SideHealth.Answering
   if (missed >= MAX_MISSED)
--- a/packages/daemon/src/connection/messages.ts
+++ b/packages/daemon/src/connection/messages.ts
@@ -244,6 +244,6 @@
 }
 
 /** Whether a reply belongs to a call. */
-export function answersCall(call: StageIdentity, reply: StageIdentity): boolean {
+export function matchesCall(call: StageIdentity, reply: StageIdentity): boolean {
   return stageKey(call) === stageKey(reply) && call.sideIncarnation === reply.sideIncarnation
 }
--- a/packages/daemon/src/connection/side-link.ts
+++ b/packages/daemon/src/connection/side-link.ts
@@ -10,7 +10,7 @@
 import type { PeerConnection, SideClient } from './peer-connection.js'
 import type { ConfigurationFreshness } from './side-heartbeats.js'
 import { createLogger, wait } from '@eidermast/common'
-import { judgeSide, SideHealth } from './heartbeat-timing.js'
+import { classifySide, SideHealth } from './heartbeat-timing.js'
 import { callStage, LinkOutcome } from './link-call.js'
 import { stageKey, stageReplySchema } from './messages.js'
 import { callPeer, CallState, ConnectFailure, connectSide } from './peer-connection.js'
@@ -140,7 +140,7 @@
   }
 
   /** Sends a heartbeat immediately, which pushes a newer configuration to the side. */
-  async spread(): Promise<void> {
+  async pushConfiguration(): Promise<void> {
     if (this.connection?.isOpen())
       await this.heartbeats.send(this.connection)
   }
@@ -150,10 +150,10 @@
     this.connection = connection
     this.heartbeats.handleConnect()
     let missed = 0
-    while (connection.isOpen() && judgeSide(missed) !== SideHealth.Lost && !this.closeController.signal.aborted) {
+    while (connection.isOpen() && classifySide(missed) !== SideHealth.Lost && !this.closeController.signal.aborted) {
       const answered = this.heartbeats.isDue ? await this.heartbeats.send(connection) : true
       missed = answered ? 0 : missed + 1
-      const health = judgeSide(missed)
+      const health = classifySide(missed)
       if (health !== SideHealth.Unclear)
         this.setAnswering(health === SideHealth.Answering)
       if (answered)
--- a/packages/daemon/src/process/membership/membership.ts
+++ b/packages/daemon/src/process/membership/membership.ts
@@ -128,7 +128,7 @@
     const existing = this.members.get(name)
     if (existing) {
       existing.backend = backend
-      void existing.link.spread()
+      void existing.link.pushConfiguration()
       return
     }
     const link = this.createLink(name, backend)
--- a/packages/daemon/src/request/request-runner.ts
+++ b/packages/daemon/src/request/request-runner.ts
@@ -8,7 +8,7 @@
  * them.
  */
 import type { RequestError } from '@eidermast/common'
-import type { RequestAnswer, StageReport, WholeAnswer } from '../connection/answer.js'
+import type { RequestAnswer, StageReport, SuccessfulAnswer } from '../connection/answer.js'
 import type { IncomingRequest } from './incoming-request.js'
 import type { PlannedStage } from './plan.js'
 import type { RequestMetrics } from './request-metrics.js'
@@ -60,7 +60,7 @@
     const { plan } = request
     const progress: RequestProgress = { started: false, inDoubt: false, pending: false }
     const stages: StageReport[] = []
-    let previous: WholeAnswer | undefined
+    let previous: SuccessfulAnswer | undefined
     for (const [index, stage] of plan.stages.entries()) {
       const task = this.createTask(request, index, previous?.output, { requestId, progress, signal })
       const result = await this.options.stageCaller.run(task)
--- a/packages/daemon/src/request/stages/stage-attempt.ts
+++ b/packages/daemon/src/request/stages/stage-attempt.ts
@@ -17,7 +17,7 @@
 import type { StageTask } from './stage-task.js'
 import { wait } from '@eidermast/common'
 import { LinkOutcome } from '../../connection/link-call.js'
-import { answersCall } from '../../connection/messages.js'
+import { matchesCall } from '../../connection/messages.js'
 import { isOtherIncarnation } from './call-end.js'
 import { isOver } from './stage-task.js'
 
@@ -83,7 +83,7 @@
 function answersAnother(call: StageCall, result: LinkResult): boolean {
   if (result.outcome !== LinkOutcome.Replied || isOtherIncarnation(result))
     return false
-  return !answersCall(call.identity, result.reply.identity)
+  return !matchesCall(call.identity, result.reply.identity)
 }
 
 function lost(message: string): LinkResult {
--- a/packages/daemon/src/version/configuration.ts
+++ b/packages/daemon/src/version/configuration.ts
@@ -118,7 +118,7 @@
   }
 
   /** Applies a checkpoint unless this configuration is already at or past its offset. */
-  adopt(checkpoint: CheckpointRecord): void {
+  applyCheckpoint(checkpoint: CheckpointRecord): void {
     this.apply({ offset: checkpoint.upTo, objects: checkpoint.objects })
   }
 
--- a/packages/daemon/src/version/fold-page.ts
+++ b/packages/daemon/src/version/fold-page.ts
@@ -39,7 +39,7 @@
     const record = parseRecord(value)
     if (record?.record !== RecordKind.Checkpoint || record.upTo + 1 < page.firstOffset)
       continue
-    configuration.adopt(record)
+    configuration.applyCheckpoint(record)
     log('checkpoint-adopted', { offset, upTo: record.upTo })
     return
   }
--- a/test/process/membership-rules.test.ts
+++ b/test/process/membership-rules.test.ts
@@ -1,5 +1,5 @@
-import type { HeartbeatSigns, MemberSigns } from '@eidermast/daemon'
-import { BackendOrder, decideMemberState, FIRST_CONTACT_MS, isFirstContactOver, isHeartbeatDue, judgeSide, MemberState, selectWatched, SideHealth, VirtualMachineState } from '@eidermast/daemon'
+import type { HeartbeatInputs, MemberSigns } from '@eidermast/daemon'
+import { BackendOrder, classifySide, decideMemberState, FIRST_CONTACT_MS, isFirstContactOver, isHeartbeatDue, MemberState, selectWatched, SideHealth, VirtualMachineState } from '@eidermast/daemon'
 import { describe, expect, test } from 'vitest'
 import { createBackend } from '../support/fixtures.js'
 
@@ -46,9 +46,9 @@
 })
 
 describe('a heartbeat', () => {
-  const busy: HeartbeatSigns = { sinceReplyMs: 0, sinceHeartbeatMs: 500, intervalMs: 500, acknowledgements: 0, offset: 1, sideOffset: 1 }
+  const busy: HeartbeatInputs = { sinceReplyMs: 0, sinceHeartbeatMs: 500, intervalMs: 500, acknowledgements: 0, offset: 1, sideOffset: 1 }
 
-  test.each<[string, Partial<HeartbeatSigns>, boolean]>([
+  test.each<[string, Partial<HeartbeatInputs>, boolean]>([
     ['is not due on a link that has just carried a reply', {}, false],
     ['is due on a link that was quiet for an interval', { sinceReplyMs: 500 }, true],
     ['is due after six intervals, however busy the link is', { sinceHeartbeatMs: 3000 }, true],
@@ -59,6 +59,6 @@
   })
 
   test('that is missed once says nothing, twice that the side is silent, three times that it is lost', () => {
-    expect([0, 1, 2, 3].map(judgeSide)).toEqual([SideHealth.Answering, SideHealth.Unclear, SideHealth.Silent, SideHealth.Lost])
+    expect([0, 1, 2, 3].map(classifySide)).toEqual([SideHealth.Answering, SideHealth.Unclear, SideHealth.Silent, SideHealth.Lost])
   })
 })
--- a/test/promises/configuration.test.ts
+++ b/test/promises/configuration.test.ts
@@ -5,7 +5,7 @@
 import { callPipeline } from '../support/caller.js'
 
 const RETENTION_MS = 6000
-const IN_FORCE_TIMEOUT_MS = 12_000
+const ACTIVATION_TIMEOUT_MS = 12_000
 
 let system: RunningSystem
 let client: HttpLogClient
@@ -47,10 +47,10 @@
 }
 
 /** Measures for each process the time in milliseconds until it has reached an offset. */
-async function measureInForce(offset: number): Promise<number[]> {
+async function measureActivation(offset: number): Promise<number[]> {
   const startedAt = performance.now()
   return Promise.all(daemons().map(async (name) => {
-    await expect.poll(() => offsetOf(name), { timeout: IN_FORCE_TIMEOUT_MS, interval: 5 }).toBeGreaterThanOrEqual(offset)
+    await expect.poll(() => offsetOf(name), { timeout: ACTIVATION_TIMEOUT_MS, interval: 5 }).toBeGreaterThanOrEqual(offset)
     return performance.now() - startedAt
   }))
 }
@@ -67,20 +67,20 @@
   test('becomes active on every process', async () => {
     const measured: number[] = []
     for (let change = 0; change < 10; change++)
-      measured.push(...await measureInForce(await publishShare()))
-    show('in force', measured)
+      measured.push(...await measureActivation(await publishShare()))
+    show('activation', measured)
     expect(measured.length).toBe(10 * daemons().length)
   })
 
   test('becomes active on every process if the log becomes unavailable immediately afterwards', async () => {
     const offset = await publishShare()
     await system.setFaults(system.logServiceUrl, { outage: LogOutage.Hang })
-    show('in force with the log out', await measureInForce(offset))
+    show('activation with the log unavailable', await measureActivation(offset))
   })
 
   test('is neither lost nor reverted if every process is restarted in turn while the log is unavailable', async () => {
     const offset = await publishShare()
-    await measureInForce(offset)
+    await measureActivation(offset)
     await system.setFaults(system.logServiceUrl, { outage: LogOutage.Refuse })
     for (const { name } of system.list(ProcessKind.Entry)) {
       await system.end(name, 'SIGKILL')
@@ -114,7 +114,7 @@
     await system.setFaults(system.logServiceUrl, { outage: LogOutage.Refuse })
     await wait(RETENTION_MS + 2000)
     await system.setFaults(system.logServiceUrl, {})
-    await measureInForce(await publishShare())
+    await measureActivation(await publishShare())
   })
 
   test('is not reverted by a delayed copy of an older append', async () => {
--- a/test/promises/cut-connections.test.ts
+++ b/test/promises/cut-connections.test.ts
@@ -8,13 +8,13 @@
 
 const ENCODER = 'encoder-1'
 /** On an overloaded machine the log can exceed its default timeout of one second. A failed claim would leave no call to cut. */
-const PATIENT_WITH_LOG = { 'log-timeout-ms': '5000' }
+const LOG_TIMEOUT_SETTINGS = { 'log-timeout-ms': '5000' }
 
 let system: RunningSystem
 let proxy: CuttingProxy
 
 beforeAll(async () => {
-  system = await RunningSystem.launch({ deployment: resolveDeployment(DeploymentName.Small), platformSettings: PATIENT_WITH_LOG })
+  system = await RunningSystem.launch({ deployment: resolveDeployment(DeploymentName.Small), platformSettings: LOG_TIMEOUT_SETTINGS })
   proxy = new CuttingProxy(system.find(ENCODER).peer!)
   const address = await proxy.listen()
   const client = new HttpLogClient({ url: system.logServiceUrl })
--- a/test/promises/results.test.ts
+++ b/test/promises/results.test.ts
@@ -1,6 +1,6 @@
 import type { CallerAnswer } from '../support/caller.js'
 import { ErrorKind, Ran } from '@eidermast/common'
-import { answersCall, MemberState } from '@eidermast/daemon'
+import { matchesCall, MemberState } from '@eidermast/daemon'
 import { DeploymentName, ProcessKind, resolveDeployment, RunningSystem } from '@eidermast/stand-ins'
 import { request } from 'undici'
 import { v7 as uuidv7 } from 'uuid'
@@ -150,8 +150,8 @@
     ['another process life of the entry', { entryIncarnation: uuidv7() }],
     ['another process life of the side', { sideIncarnation: uuidv7() }],
   ])('and a reply to %s is not taken', (_name, change) => {
-    expect(answersCall(call, call)).toBe(true)
-    expect(answersCall(call, { ...call, ...change })).toBe(false)
+    expect(matchesCall(call, call)).toBe(true)
+    expect(matchesCall(call, { ...call, ...change })).toBe(false)
   })
 })
 
--- a/test/system/callers-interface.test.ts
+++ b/test/system/callers-interface.test.ts
@@ -18,11 +18,11 @@
 
 beforeAll(async () => {
   const small = resolveDeployment(DeploymentName.Small)
-  const guarded = small.accounts.map(account => account.name === 'council-warwick'
+  const accounts = small.accounts.map(account => account.name === 'council-warwick'
     ? { ...account, value: { ...account.value, tokenHashes: [createHash('sha256').update(TOKEN).digest('hex')] } }
     : account)
   system = await RunningSystem.launch({
-    deployment: { ...small, accounts: guarded },
+    deployment: { ...small, accounts },
     entrySettings: { 'max-body-bytes': String(MAX_BODY_BYTES), 'body-timeout-ms': String(BODY_TIMEOUT_MS), 'write-timeout-ms': String(WRITE_TIMEOUT_MS) },
   })
 })
@@ -37,20 +37,20 @@
 }
 
 const PIPELINE_PATH = '/v1/pipelines/rider-answer/requests'
-const GOOD_BODY = '{"input":"x"}'
+const VALID_BODY = '{"input":"x"}'
 
 async function send({ method = 'POST', path = PIPELINE_PATH, headers = {}, body }: RawCall) {
   const response = await request(system.entryUrls[0] + path, {
     method,
     headers: { 'eidermast-account': DEFAULT_ACCOUNT, ...headers },
-    body: method === 'GET' ? null : body ?? GOOD_BODY,
+    body: method === 'GET' ? null : body ?? VALID_BODY,
   })
   const answer = await response.body.json() as { kind: ErrorKind, ran: Ran, message: string }
   return { status: response.statusCode, ...answer }
 }
 
 /** Opens a connection to an entry and writes text to it. */
-function openCaller(text: string) {
+function openRawConnection(text: string) {
   const { hostname, port } = new URL(system.entryUrls[0])
   const socket = connect(Number(port), hostname)
   socket.on('error', () => {})
@@ -92,7 +92,7 @@
 
   test('dot segments in a service path', async () => {
     // Uses a raw connection because HTTP clients resolve dot segments before sending.
-    const socket = openCaller(`GET /v1/services/rider-app-backend/%2e%2e/language-model/v1/orders HTTP/1.1\r\nHost: entry\r\nEidermast-Account: ${DEFAULT_ACCOUNT}\r\nConnection: close\r\n\r\n`)
+    const socket = openRawConnection(`GET /v1/services/rider-app-backend/%2e%2e/language-model/v1/orders HTTP/1.1\r\nHost: entry\r\nEidermast-Account: ${DEFAULT_ACCOUNT}\r\nConnection: close\r\n\r\n`)
     const [answer] = await once(socket, 'data') as [Buffer]
     expect(String(answer)).toContain('HTTP/1.1 400')
     expect(String(answer)).toContain('"ran":"none"')
@@ -128,7 +128,7 @@
 
 describe('slow callers', () => {
   test('that stall their body get a response and are disconnected', async () => {
-    const socket = openCaller(`POST ${PIPELINE_PATH} HTTP/1.1\r\nHost: entry\r\nEidermast-Account: ${DEFAULT_ACCOUNT}\r\nContent-Length: 1000\r\n\r\n{"inp`)
+    const socket = openRawConnection(`POST ${PIPELINE_PATH} HTTP/1.1\r\nHost: entry\r\nEidermast-Account: ${DEFAULT_ACCOUNT}\r\nContent-Length: 1000\r\n\r\n{"inp`)
     const chunks: string[] = []
     socket.on('data', chunk => chunks.push(String(chunk)))
     await once(socket, 'close')
@@ -139,7 +139,7 @@
   test('that never read their response are disconnected', async () => {
     const body = 'x'.repeat(2_500_000)
     const head = `POST /v1/services/rider-app-backend/echo HTTP/1.1\r\nHost: entry\r\nEidermast-Account: ${DEFAULT_ACCOUNT}\r\nEidermast-Deadline-Ms: 60000\r\nContent-Length: ${body.length}\r\n\r\n`
-    const socket = openCaller(head + body + head + body + head + body + head + body)
+    const socket = openRawConnection(head + body + head + body + head + body + head + body)
     socket.pause()
     // A paused socket detects that it was closed only when it writes.
     const writes = setInterval(() => socket.write('\r\n'), 100)
--- a/test/version/configuration.test.ts
+++ b/test/version/configuration.test.ts
@@ -101,7 +101,7 @@
     const configuration = createFull()
     const old = new Configuration()
     old.fold(0, changes[0])
-    configuration.adopt(old.checkpoint())
+    configuration.applyCheckpoint(old.checkpoint())
     expect(configuration.get(ObjectKind.Template, 'a')?.value.deadlineMs).toBe(200)
   })
 })
@@ -139,7 +139,7 @@
         else if (kind === 'difference')
           reader.apply(states[last].differenceSince(reader.offset, [ObjectKind.Template]))
         else
-          reader.adopt(states[last].checkpoint())
+          reader.applyCheckpoint(states[last].checkpoint())
         expect(reader.offset).toBeGreaterThanOrEqual(before)
         if (reader.offset !== NO_OFFSET)
           expect(snapshot(reader)).toEqual(snapshot(states[reader.offset]))
--- a/test/version/publisher.test.ts
+++ b/test/version/publisher.test.ts
@@ -146,24 +146,24 @@
   ])('is determined to be %s from a later checkpoint if the earlier one is dropped in the meantime', async (_name, base, outcome) => {
     await checkpointer.appendIfDue()
     let reads = 0
-    const lateReader: LogClient = {
+    const delayedClient: LogClient = {
       append: (stream, values, signal) => {
         clock += RETENTION_MS * 0.6
         return client.append(stream, values, signal)
       },
       read: async (options, signal) => {
         if (++reads === 2)
-          await dropAllBeforeTheChange()
+          await dropRecordsBeforeChange()
         return client.read(options, signal)
       },
       close: async () => {},
     }
     const change = { kind: ObjectKind.Template, name: 'a', value: createTemplate(200), base, timeoutMs: 1500 }
-    expect(await publishChange(lateReader, change)).toMatchObject({ outcome, offset: 2 })
+    expect(await publishChange(delayedClient, change)).toMatchObject({ outcome, offset: 2 })
   })
 
   /** Lets the log drop the first checkpoint but not the change, then appends a checkpoint that includes both. */
-  async function dropAllBeforeTheChange(): Promise<void> {
+  async function dropRecordsBeforeChange(): Promise<void> {
     const configuration = (await readConfiguration(client))!
     clock += RETENTION_MS * 0.6
     const page = (await client.read({ stream: CONFIGURATION_STREAM, from: 0, limit: 10, waitMs: 0 })).unwrap()
