--- a/packages/daemon/src/connection/http-backend-client.ts
+++ b/packages/daemon/src/connection/http-backend-client.ts
@@ -1,6 +1,6 @@
 /**
- * A backend server by its published HTTP protocol. Owns the connections to it
- * until `close`. Makes each call once.
+ * Client for a backend server's published HTTP protocol. Owns the connections to
+ * it until `close`. Does not retry calls.
  */
 import type { Result } from 'ts-results-es'
 import type { Dispatcher } from 'undici'
@@ -10,33 +10,33 @@
 import { Err, Ok } from 'ts-results-es'
 import { Agent, request } from 'undici'
 import { CallFailure } from '../version/call-error.js'
-import { describeStatus, describeThrown, readRunAnswer, readServiceAnswer, readTokenStream } from './backend-answers.js'
 import { backendLoadSchema } from './backend-client.js'
+import { classifyThrownError, readErrorResponse, readRunResponse, readServiceResponse, readTokenStream } from './backend-response.js'
 import { callJson } from './json-http.js'
 
-/** Milliseconds. The backend server is on the same VM; half still does, twice finds a frozen VM later. */
+/** The backend server is on the same VM, so half would suffice; a longer timeout detects a frozen VM later. */
 const CONNECT_TIMEOUT_MS = 1000
-/** Milliseconds. Half may miss answers of a busy engine, twice finds a frozen one later. */
+/** A shorter timeout can miss responses of a busy engine; a longer one detects a frozen engine later. */
 const LOAD_TIMEOUT_MS = 1000
-/** Milliseconds to acknowledge an order. Half may repeat orders to a slow engine, twice delays the next try. */
+/** Time to acknowledge an order. A shorter timeout can resend orders to a slow engine; a longer one delays the next attempt. */
 const ORDER_TIMEOUT_MS = 10_000
-/** Connections beside one for each slot: for the load request and for an order. */
+/** Connections in addition to one per slot: one for load requests and one for orders. */
 const EXTRA_CONNECTIONS = 2
 
-/** A backend server over HTTP. */
+/** HTTP client of a backend server. */
 export class HttpBackendClient implements BackendClient {
   private readonly agent: Agent
 
   /**
-   * @param url Base address of the backend server.
-   * @param slots Calls that run at once.
+   * @param url Base URL of the backend server.
+   * @param slots Maximum number of concurrent calls.
    */
   constructor(private readonly url: string, slots: number) {
     this.agent = new Agent({
       connections: slots + EXTRA_CONNECTIONS,
       pipelining: 1,
       connect: { timeout: CONNECT_TIMEOUT_MS },
-      // The signal of each call bounds it.
+      // Each call is limited by its abort signal.
       headersTimeout: 0,
       bodyTimeout: 0,
     })
@@ -49,7 +49,7 @@
       return await this.runStage(call, signal, onToken)
     }
     catch (error) {
-      return describeThrown(error, signal)
+      return classifyThrownError(error, signal)
     }
   }
 
@@ -59,7 +59,7 @@
     if (answer.isErr())
       return answer
     const load = backendLoadSchema.safeParse(answer.value)
-    return load.success ? Ok(load.data) : Err({ failure: CallFailure.InDoubt, message: `unknown form of a load from ${url}` })
+    return load.success ? Ok(load.data) : Err({ failure: CallFailure.InDoubt, message: `load report in an unknown format from ${url}` })
   }
 
   async order(order: BackendOrderMessage): Promise<Result<void, CallError>> {
@@ -76,13 +76,13 @@
     const response = await request(`${this.url}/v1/run`, {
       method: 'POST',
       headers: { 'content-type': 'application/json' },
-      body: formatRun(call, onToken !== undefined),
+      body: formatRunRequest(call, onToken !== undefined),
       signal,
       dispatcher: this.agent,
     })
     if (response.statusCode !== 200)
-      return await describeStatus(response)
-    return onToken ? await readTokenStream(response, onToken) : await readRunAnswer(response)
+      return await readErrorResponse(response)
+    return onToken ? await readTokenStream(response, onToken) : await readRunResponse(response)
   }
 
   private async runService(call: StageCall, { method, path }: ServiceRequest, signal: AbortSignal): Promise<BackendResult> {
@@ -93,11 +93,11 @@
       signal,
       dispatcher: this.agent,
     })
-    return await readServiceAnswer(response)
+    return await readServiceResponse(response)
   }
 }
 
-function formatRun(call: StageCall, stream: boolean): string {
+function formatRunRequest(call: StageCall, stream: boolean): string {
   const { identity, input, model, version, adapter, priority, maxTokens } = call
   return JSON.stringify({
     requestId: identity.requestId,
--- a/packages/daemon/src/connection/peer-connection.ts
+++ b/packages/daemon/src/connection/peer-connection.ts
@@ -1,8 +1,8 @@
 /**
- * One life of a connection to a peer: a tRPC client over one WebSocket. A lost
- * connection is never resumed here, since a call that was under way may have
- * been received; whoever made it decides whether to ask again. For the same
- * reason tRPC's own reconnection, which sends pending calls again, is off.
+ * A single connection to a peer: a tRPC client over one WebSocket. A lost
+ * connection is never resumed, because a call in flight may have been received;
+ * its caller decides whether to retry. For the same reason tRPC's automatic
+ * reconnection, which resends pending calls, is disabled.
  */
 import type { TRPCClient } from '@trpc/client'
 import type { Result } from 'ts-results-es'
@@ -14,13 +14,12 @@
 import { formatAuthorization } from './peer-key.js'
 import { MAX_PEER_MESSAGE_BYTES } from './peer-server.js'
 
-/** Options of a peer connection. */
 export interface PeerConnectionOptions {
   /** Address of the peer, as `host:port`. */
   address: string
   key: string
   /**
-   * Milliseconds until opening times out.
+   * Timeout for opening the connection, in milliseconds.
    * @default 1000
    */
   connectTimeoutMs?: number
@@ -37,9 +36,9 @@
 
 /** Why a connection could not be opened. */
 export enum ConnectFailure {
-  /** Nobody listens at the address: the process that did is over. */
+  /** No process listens on the address: the previous one has ended. */
   Refused = 'refused',
-  /** No answer in time, or not the answer of a peer. */
+  /** The connection attempt timed out, or the response was not that of a peer. */
   Failed = 'failed',
 }
 
@@ -47,12 +46,12 @@
 export type EntryClient = TRPCClient<EntryRouter>
 
 /**
- * Milliseconds. Half would fail at a VM that is busy starting, twice delays by
- * a second the moment at which a frozen peer counts as gone.
+ * Half would fail on a VM that is busy starting; twice as long would delay the
+ * detection of a frozen peer by a second.
  */
 const DEFAULT_CONNECT_TIMEOUT_MS = 1000
-/** Milliseconds: the longest that a timer takes, 24 days, longer than a connection without a peer is kept. */
-const NEVER_MS = 2 ** 31 - 1
+/** Maximum timer delay, about 24 days: longer than a connection without a peer is kept. */
+const MAX_TIMER_MS = 2 ** 31 - 1
 
 /** Opens a connection to a side. */
 export function connectSide(options: PeerConnectionOptions): Promise<Result<PeerConnection<SideClient>, ConnectFailure>> {
@@ -70,40 +69,40 @@
   options: PeerConnectionOptions,
   createClient: (link: PeerLink) => Client,
 ): Promise<Result<PeerConnection<Client>, ConnectFailure>> {
-  const life = new ConnectionLife(options)
-  const opened = await life.opened
+  const socketConnection = new SocketConnection(options)
+  const opened = await socketConnection.opened
   if (opened.isErr())
     return opened
-  const client = createClient(life.createLink())
-  return Ok({ client, closed: life.closed, isOpen: () => life.isOpen, close: () => life.close() })
+  const client = createClient(socketConnection.createLink())
+  return Ok({ client, closed: socketConnection.closed, isOpen: () => socketConnection.isOpen, close: () => socketConnection.close() })
 }
 
-/** From the attempt to open one WebSocket to its end. */
-class ConnectionLife {
-  /** Whether the connection opened, or why not. */
+/** Lifecycle of one WebSocket, from the connection attempt until it is closed. */
+class SocketConnection {
+  /** Resolves when the connection is open or the attempt has failed. */
   readonly opened: Promise<Result<void, ConnectFailure>>
   isOpen = false
-  private readonly closing = new AbortController()
+  private readonly closeController = new AbortController()
   private readonly socketClient: ReturnType<typeof createWSClient>
-  private reportOpened!: (result: Result<void, ConnectFailure>) => void
+  private resolveOpened!: (result: Result<void, ConnectFailure>) => void
 
   constructor(options: PeerConnectionOptions) {
     this.opened = new Promise((resolve) => {
-      this.reportOpened = resolve
+      this.resolveOpened = resolve
     })
     this.socketClient = createWSClient({
       url: `ws://${options.address}`,
       WebSocket: createSocketClass(options) as unknown as typeof globalThis.WebSocket,
-      retryDelayMs: () => NEVER_MS,
-      onOpen: () => this.begin(),
-      onClose: () => this.end(ConnectFailure.Failed),
-      onError: event => this.end(classifyError(event)),
+      retryDelayMs: () => MAX_TIMER_MS,
+      onOpen: () => this.handleOpen(),
+      onClose: () => this.handleClose(ConnectFailure.Failed),
+      onError: event => this.handleClose(classifyError(event)),
     })
   }
 
   /** Aborts when the connection is lost or closed. */
   get closed(): AbortSignal {
-    return this.closing.signal
+    return this.closeController.signal
   }
 
   createLink(): PeerLink {
@@ -111,25 +110,25 @@
   }
 
   close(): void {
-    this.end(ConnectFailure.Failed)
+    this.handleClose(ConnectFailure.Failed)
     this.socketClient.connection?.ws.close()
   }
 
-  private begin(): void {
+  private handleOpen(): void {
     this.isOpen = true
-    this.reportOpened(Ok(undefined))
+    this.resolveOpened(Ok(undefined))
   }
 
-  private end(failure: ConnectFailure): void {
+  private handleClose(failure: ConnectFailure): void {
     this.isOpen = false
-    this.reportOpened(Err(failure))
-    this.closing.abort()
-    // It rejects where the socket never opened or is closed already: there is nothing left to close.
+    this.resolveOpened(Err(failure))
+    this.closeController.abort()
+    // Rejects if the socket never opened or is already closed: there is nothing left to close.
     void this.socketClient.close().catch(() => {})
   }
 }
 
-/** Creates the WebSocket class that shows the key when it connects. */
+/** Creates a WebSocket class that sends the key when it connects. */
 function createSocketClass(options: PeerConnectionOptions) {
   return class PeerSocket extends WebSocket {
     constructor(url: string) {
@@ -147,17 +146,17 @@
   return formatError(event).includes('ECONNREFUSED') ? ConnectFailure.Refused : ConnectFailure.Failed
 }
 
-/** How a call over a connection ended. */
+/** Outcome of a call over a connection. */
 export enum CallState {
   Answered = 'answered',
-  /** The connection was lost, or the wait was over, after the call may have been sent. */
+  /** The connection was lost, the call timed out or it returned an error. The call may have been sent. */
   Lost = 'lost',
 }
 
-/** The end of a call over a connection. */
+/** Result of a call over a connection. */
 export type CallResult<Value> = { state: CallState.Answered, value: Value } | { state: CallState.Lost, message: string }
 
-/** Makes one call and stops waiting when the connection is lost or the time is over. */
+/** Makes one call and stops waiting if the connection is lost or the timeout expires. */
 export function callPeer<Client, Value>(
   connection: PeerConnection<Client>,
   call: (client: Client) => Promise<Value>,
@@ -170,14 +169,14 @@
       connection.closed.removeEventListener('abort', onClosed)
       resolve(result)
     }
-    const lose = (message: string): void => settle({ state: CallState.Lost, message })
-    // A listener that is removed, since a promise would hold every call until the connection ends.
-    const onClosed = (): void => lose('the connection was lost')
+    const fail = (message: string): void => settle({ state: CallState.Lost, message })
+    // The listener is removed afterwards; a promise would retain every call until the connection closes.
+    const onClosed = (): void => fail('the connection was lost')
     if (connection.closed.aborted)
-      return lose('the connection was lost')
+      return fail('the connection was lost')
     connection.closed.addEventListener('abort', onClosed)
     if (timeoutMs !== undefined)
-      timer = setTimeout(lose, timeoutMs, `no answer within ${timeoutMs} ms`)
-    call(connection.client).then(value => settle({ state: CallState.Answered, value }), error => lose(formatError(error)))
+      timer = setTimeout(fail, timeoutMs, `no reply within ${timeoutMs} ms`)
+    call(connection.client).then(value => settle({ state: CallState.Answered, value }), error => fail(formatError(error)))
   })
 }
--- a/packages/daemon/src/connection/side-link.ts
+++ b/packages/daemon/src/connection/side-link.ts
@@ -1,8 +1,8 @@
 /**
- * An entry's link to one side: keeps one connection open, sends heartbeats on
- * it and carries stage calls. Owns the connection, the counts of calls under
- * way and the newest load report, until it is closed. When this process dies,
- * its calls go on at the side, whose results nobody reads.
+ * An entry's link to one side: maintains one connection, sends heartbeats on it
+ * and makes stage calls. Owns the connection, the number of calls in flight and
+ * the last load report until it is closed. If this process dies, its calls
+ * continue at the side and their results are never read.
  */
 import type { Configuration } from '../version/configuration.js'
 import type { LinkResult, LinkTokenListener } from './link-call.js'
@@ -10,7 +10,7 @@
 import type { PeerConnection, SideClient } from './peer-connection.js'
 import type { ConfigurationFreshness } from './side-heartbeats.js'
 import { createLogger, wait } from '@eidermast/common'
-import { judgeSide, SideHealth } from './heartbeat-timing.js'
+import { classifySide, SideHealth } from './heartbeat-timing.js'
 import { callStage, LinkOutcome } from './link-call.js'
 import { stageKey, stageReplySchema } from './messages.js'
 import { callPeer, CallState, ConnectFailure, connectSide } from './peer-connection.js'
@@ -19,7 +19,6 @@
 
 const log = createLogger('membership')
 
-/** Options of a side link. */
 export interface SideLinkOptions {
   backendName: string
   /** Address of the side, as `host:port`. */
@@ -30,26 +29,26 @@
   configuration: Configuration
   heartbeatIntervalMs: number
   freshness: ConfigurationFreshness
-  /** Called when the side begins or ceases to answer, or to drain. */
+  /** Called when the side becomes responsive or silent, or starts or stops draining. */
   onChange: () => void
 }
 
 /** An entry's link to one side. */
 export class SideLink {
-  /** Calls sent on this link that have no reply. */
+  /** Number of calls sent on this link that have no reply yet. */
   outstanding = 0
-  /** Calls sent since the newest load report. */
+  /** Number of calls sent since the last load report. */
   sentSinceReport = 0
-  /** Whether the side has answered, or failed to, since this link began. */
+  /** Whether an attempt to reach the side has succeeded or failed since this link was created. */
   tried = false
   private connection: PeerConnection<SideClient> | undefined
-  private newestLoad: Load | undefined
+  private lastLoad: Load | undefined
   private answering = false
   private readonly heartbeats: SideHeartbeats
-  private readonly stop = new AbortController()
+  private readonly closeController = new AbortController()
 
   constructor(private readonly options: SideLinkOptions) {
-    this.heartbeats = new SideHeartbeats({ ...options, onLoad: load => this.noteLoad(load) })
+    this.heartbeats = new SideHeartbeats({ ...options, onLoad: load => this.updateLoad(load) })
   }
 
   get backendName(): string {
@@ -60,43 +59,43 @@
     return this.options.address
   }
 
-  /** The side's process life, as of its newest answer. */
+  /** Process incarnation of the side as of its last reply. */
   get incarnation(): string | undefined {
     return this.heartbeats.sideIncarnation
   }
 
-  /** The newest load report. */
+  /** The last load report. */
   get load(): Load | undefined {
-    return this.newestLoad
+    return this.lastLoad
   }
 
-  /** Whether the side answers heartbeats on an open connection. */
+  /** Whether the connection is open and the side answers heartbeats. */
   get ready(): boolean {
     return this.answering && this.connection?.isOpen() === true
   }
 
-  /** Keeps the link until it is closed. */
+  /** Maintains the link, with reconnection, until it is closed. */
   async run(): Promise<void> {
     const { address, key } = this.options
     const delay = new ReconnectDelay()
-    while (!this.stop.signal.aborted) {
+    while (!this.closeController.signal.aborted) {
       const opened = await connectSide({ address, key })
       if (opened.isOk()) {
         delay.reset()
-        await this.keep(opened.value)
+        await this.sendHeartbeats(opened.value)
       }
       else if (opened.error === ConnectFailure.Refused) {
-        // Whoever waits for a lost reply learns at once that its process life is over.
+        // Lets callers that wait for a lost reply detect at once that the process incarnation has ended.
         this.heartbeats.sideIncarnation = undefined
       }
       this.setAnswering(false)
-      await wait(delay.next(), this.stop.signal)
+      await wait(delay.next(), this.closeController.signal)
     }
   }
 
-  /** Closes the link for good. */
+  /** Closes the link permanently. */
   close(): void {
-    this.stop.abort()
+    this.closeController.abort()
     this.connection?.close()
   }
 
@@ -110,63 +109,63 @@
     const result = await callStage(connection, call, onToken)
     this.outstanding--
     if (result.outcome === LinkOutcome.Replied) {
-      this.heartbeats.noteReply()
-      this.noteLoad(result.reply.load)
+      this.heartbeats.handleStageReply()
+      this.updateLoad(result.reply.load)
     }
     return result
   }
 
-  /** Stops a call at the side; undefined where the side did not say what came of it. */
+  /** Cancels a call at the side; undefined if the side did not reply. */
   async cancel(call: StageCall): Promise<CancelReply | undefined> {
     const connection = this.connection
     if (!connection?.isOpen())
       return undefined
     const key = stageKey(call.identity)
-    const result = await callPeer(connection, client => client.cancel.mutate({ key }), this.heartbeats.answerTimeoutMs)
+    const result = await callPeer(connection, client => client.cancel.mutate({ key }), this.heartbeats.replyTimeoutMs)
     return result.state === CallState.Answered ? result.value : undefined
   }
 
-  /** Asks the side for a finished result of a request's stage; undefined where it has none or does not answer. */
+  /** Queries the side for the finished result of a stage of a request; undefined if it has none or does not reply. */
   async findResult(question: ResultQuestion): Promise<StageReply | undefined> {
     const connection = this.connection
     if (!connection?.isOpen())
       return undefined
-    const result = await callPeer(connection, client => client.findResult.query(question), this.heartbeats.answerTimeoutMs)
+    const result = await callPeer(connection, client => client.findResult.query(question), this.heartbeats.replyTimeoutMs)
     return result.state === CallState.Answered ? stageReplySchema.safeParse(result.value).data : undefined
   }
 
-  /** Reports to the side, with the next heartbeat, that a result was received. */
+  /** Acknowledges the result of a call with the next heartbeat. */
   acknowledge(call: StageCall): void {
     this.heartbeats.acknowledge(stageKey(call.identity))
   }
 
-  /** Brings a newer configuration to the side at once. */
-  async spread(): Promise<void> {
+  /** Sends a heartbeat immediately, which pushes a newer configuration to the side. */
+  async pushConfiguration(): Promise<void> {
     if (this.connection?.isOpen())
       await this.heartbeats.send(this.connection)
   }
 
-  /** Sends heartbeats on one connection until it is lost. */
-  private async keep(connection: PeerConnection<SideClient>): Promise<void> {
+  /** Sends heartbeats on one connection until it is lost or closed. */
+  private async sendHeartbeats(connection: PeerConnection<SideClient>): Promise<void> {
     this.connection = connection
-    this.heartbeats.noteConnected()
+    this.heartbeats.handleConnect()
     let missed = 0
-    while (connection.isOpen() && judgeSide(missed) !== SideHealth.Lost && !this.stop.signal.aborted) {
+    while (connection.isOpen() && classifySide(missed) !== SideHealth.Lost && !this.closeController.signal.aborted) {
       const answered = this.heartbeats.isDue ? await this.heartbeats.send(connection) : true
       missed = answered ? 0 : missed + 1
-      const health = judgeSide(missed)
+      const health = classifySide(missed)
       if (health !== SideHealth.Unclear)
         this.setAnswering(health === SideHealth.Answering)
       if (answered)
-        await wait(this.options.heartbeatIntervalMs, this.stop.signal, connection.closed)
+        await wait(this.options.heartbeatIntervalMs, this.closeController.signal, connection.closed)
     }
     connection.close()
     this.connection = undefined
   }
 
-  private noteLoad(load: Load): void {
-    const changed = this.newestLoad?.draining !== load.draining
-    this.newestLoad = load
+  private updateLoad(load: Load): void {
+    const changed = this.lastLoad?.draining !== load.draining
+    this.lastLoad = load
     this.sentSinceReport = 0
     if (changed)
       this.options.onChange()
