--- a/packages/daemon/src/request/admission.ts
+++ b/packages/daemon/src/request/admission.ts
@@ -12,10 +12,11 @@
  * The `deadline` policy sheds a request if the limit on requests in flight is
  * reached, if a stage has no backend server, or if the expected time exceeds the
  * deadline: a request that will miss its deadline takes capacity from one that
- * would not. If the expected queueing time exceeds CONGESTION_THRESHOLD of the deadline,
- * it also sheds requests of accounts that exceed their fair share, which is scaled
- * by SHARE_TOLERANCE and at least MIN_ACCOUNT_IN_FLIGHT. Shares are only enforced under
- * congestion so that a single busy account can use otherwise idle capacity.
+ * would not. If the expected queueing time exceeds CONGESTION_THRESHOLD of the
+ * deadline, it also sheds requests of accounts that exceed their fair share, which
+ * is scaled by SHARE_TOLERANCE and at least MIN_ACCOUNT_IN_FLIGHT. Shares are only
+ * enforced under congestion, so that a single busy account can use otherwise idle
+ * capacity.
  *
  * Log events: `admit`, `shed`.
  */
--- a/packages/daemon/src/request/side/stage-runner.ts
+++ b/packages/daemon/src/request/side/stage-runner.ts
@@ -86,7 +86,7 @@
     }
   }
 
-  /** Runs a call, or joins or replays an earlier copy of it. All copies get the same reply. */
+  /** Runs a call, or joins or replays an earlier copy of it. All copies get the same reply while it is stored. */
   async run(call: StageCall, onToken?: LinkTokenListener): Promise<StageReply> {
     const { side, table } = this.options
     const key = stageKey(call.identity)
--- a/test/promises/results.test.ts
+++ b/test/promises/results.test.ts
@@ -79,8 +79,8 @@
 /** Sends a streamed request, kills processes at its first token and returns all the text received. */
 async function streamAndKill(names: string[]): Promise<string> {
   let ends: Promise<unknown>[] | undefined
-  const text = await stream('killed', (sofar) => {
-    if (sofar.includes('event: token'))
+  const text = await stream('killed', (received) => {
+    if (received.includes('event: token'))
       ends ??= names.map(name => system.end(name, 'SIGKILL'))
   })
   await Promise.all(ends ?? [])
--- a/test/request/authority/claims.test.ts
+++ b/test/request/authority/claims.test.ts
@@ -161,7 +161,7 @@
 })
 
 describe('any sequence of claims, faults, delayed appends and reads', () => {
-  enum Step { Claim = 'claim', CompleteDelayed = 'land', Read = 'read', Sleep = 'settle' }
+  enum Step { Claim = 'claim', CompleteDelayed = 'complete-delayed', Read = 'read', Sleep = 'sleep' }
   const stepArbitrary = fc.record({
     step: fc.constantFrom(Step.Claim, Step.Claim, Step.CompleteDelayed, Step.Read, Step.Read, Step.Sleep),
     entry: fc.nat(2),
--- a/test/request/authority/run-authority.test.ts
+++ b/test/request/authority/run-authority.test.ts
@@ -81,9 +81,9 @@
   test.each([
     ['has an unknown outcome if the log is unavailable and not all entries answer that they did not run it', false, { kind: ErrorKind.LogUnavailable, ran: Ran.Unknown }],
     ['is reported as not run if the log is unavailable and all entries answer that they did not run it', true, { kind: ErrorKind.NoBackend, ran: Ran.None }],
-  ])('%s', async (_name, denied, expected) => {
+  ])('%s', async (_name, reportNotRun, expected) => {
     log.answers = false
-    othersReportNotRun = denied
+    othersReportNotRun = reportNotRun
     expect(await answer()).toEqual(expected)
   })
 
--- a/test/request/authority/tickets.test.ts
+++ b/test/request/authority/tickets.test.ts
@@ -22,8 +22,8 @@
     ['truncated', (ticket: string) => createIssuer('key').verify(ticket.split('.')[0]), TicketError.Malformed],
     ['extended by another part', (ticket: string) => createIssuer('key').verify(`${ticket}.x`), TicketError.Malformed],
     ['expired', (ticket: string) => createIssuer('key', () => LIFETIME_MS + 1).verify(ticket), TicketError.Expired],
-  ])('are rejected when %s', (_name, verify, fault) => {
+  ])('are rejected when %s', (_name, verify, error) => {
     const result = verify(createIssuer('key').issue('medidores-sur').ticket)
-    expect(result.isErr() && result.error).toBe(fault)
+    expect(result.isErr() && result.error).toBe(error)
   })
 })
--- a/test/request/side/stage-runner.test.ts
+++ b/test/request/side/stage-runner.test.ts
@@ -62,92 +62,92 @@
 
 describe('stage calls at a side', () => {
   test('run once if they are sent twice, and both copies get the same reply', async () => {
-    const bench = new SideHarness()
+    const harness = new SideHarness()
     const call = createStageCall()
-    const replies = [bench.run(call), bench.run(call)]
-    bench.finishOldest(BackendOutcome.Done)
+    const replies = [harness.run(call), harness.run(call)]
+    harness.finishOldest(BackendOutcome.Done)
     const [first, second] = await Promise.all(replies)
     expect(first).toBe(second)
-    expect(bench.backend.started).toHaveLength(1)
+    expect(harness.backend.started).toHaveLength(1)
   })
 
   test('get the same reply if they are sent again after they finished', async () => {
-    const bench = new SideHarness()
+    const harness = new SideHarness()
     const call = createStageCall()
-    const reply = bench.run(call)
-    bench.finishOldest(BackendOutcome.Done)
-    expect(await bench.run(call)).toBe(await reply)
-    expect(bench.backend.started).toHaveLength(1)
+    const reply = harness.run(call)
+    harness.finishOldest(BackendOutcome.Done)
+    expect(await harness.run(call)).toBe(await reply)
+    expect(harness.backend.started).toHaveLength(1)
   })
 
   test('do not run again after their result was acknowledged', async () => {
-    const bench = new SideHarness()
+    const harness = new SideHarness()
     const call = createStageCall()
-    const reply = bench.run(call)
-    bench.finishOldest(BackendOutcome.Done)
+    const reply = harness.run(call)
+    harness.finishOldest(BackendOutcome.Done)
     await reply
-    bench.table.acknowledge(stageKey(call.identity))
-    expect(await bench.run(call)).toMatchObject({ kind: StageReplyKind.Failed, reason: FailureReason.Cancelled })
-    expect(bench.backend.started).toHaveLength(1)
+    harness.table.acknowledge(stageKey(call.identity))
+    expect(await harness.run(call)).toMatchObject({ kind: StageReplyKind.Failed, reason: FailureReason.Cancelled })
+    expect(harness.backend.started).toHaveLength(1)
   })
 
   test('are found by their request and its input, but not by another input with the same request id', async () => {
-    const bench = new SideHarness()
+    const harness = new SideHarness()
     const call = createStageCall({ input: formatStageInput('body', undefined) })
-    const answered = bench.run(call)
-    bench.finishOldest(BackendOutcome.Done)
+    const answered = harness.run(call)
+    harness.finishOldest(BackendOutcome.Done)
     const reply = await answered
     const { account, requestId, stage } = call.identity
-    expect(bench.table.findFinished({ account, requestId, stage, body: 'body' })).toBe(reply)
-    expect(bench.table.findFinished({ account, requestId, stage, body: 'other' })).toBeUndefined()
-    expect(bench.table.findFinished({ account: 'other', requestId, stage, body: 'body' })).toBeUndefined()
+    expect(harness.table.findFinished({ account, requestId, stage, body: 'body' })).toBe(reply)
+    expect(harness.table.findFinished({ account, requestId, stage, body: 'other' })).toBeUndefined()
+    expect(harness.table.findFinished({ account: 'other', requestId, stage, body: 'body' })).toBeUndefined()
   })
 
   test('are refused if they are addressed to another process incarnation', async () => {
-    const bench = new SideHarness()
+    const harness = new SideHarness()
     const call = createStageCall()
     call.identity.sideIncarnation = uuidv7()
-    expect(await bench.run(call)).toMatchObject({ kind: StageReplyKind.Refused, reason: RefusalReason.OtherIncarnation })
+    expect(await harness.run(call)).toMatchObject({ kind: StageReplyKind.Refused, reason: RefusalReason.OtherIncarnation })
   })
 
   test('are refused if their cancellation arrives first', async () => {
-    const bench = new SideHarness()
+    const harness = new SideHarness()
     const call = createStageCall()
-    expect(bench.runner.cancel(stageKey(call.identity))).toEqual({ started: false })
-    expect(await bench.run(call)).toMatchObject({ kind: StageReplyKind.Refused, reason: RefusalReason.Cancelled })
-    expect(bench.backend.started).toHaveLength(0)
+    expect(harness.runner.cancel(stageKey(call.identity))).toEqual({ started: false })
+    expect(await harness.run(call)).toMatchObject({ kind: StageReplyKind.Refused, reason: RefusalReason.Cancelled })
+    expect(harness.backend.started).toHaveLength(0)
   })
 
   test('are refused again if a delayed copy arrives after a refusal', async () => {
-    const bench = new SideHarness()
+    const harness = new SideHarness()
     const call = createStageCall()
-    bench.draining = true
-    expect(await bench.run(call)).toMatchObject({ kind: StageReplyKind.Refused, reason: RefusalReason.Draining })
-    bench.draining = false
-    expect(await bench.run(call)).toMatchObject({ kind: StageReplyKind.Refused })
-    expect(bench.backend.started).toHaveLength(0)
+    harness.draining = true
+    expect(await harness.run(call)).toMatchObject({ kind: StageReplyKind.Refused, reason: RefusalReason.Draining })
+    harness.draining = false
+    expect(await harness.run(call)).toMatchObject({ kind: StageReplyKind.Refused })
+    expect(harness.backend.started).toHaveLength(0)
   })
 
   test.each([
-    ['immediately', (bench: SideHarness) => bench.runner.refuseQueuedIfLeaving()],
-    ['when a slot becomes free', (bench: SideHarness) => bench.finishOldest(BackendOutcome.Done)],
+    ['immediately', (harness: SideHarness) => harness.runner.refuseQueuedIfLeaving()],
+    ['when a slot becomes free', (harness: SideHarness) => harness.finishOldest(BackendOutcome.Done)],
   ])('that are queued are refused %s if the backend server is leaving, and running ones finish', async (_name, next) => {
-    const bench = new SideHarness()
-    const running = bench.run(createStageCall())
-    const waiting = bench.run(createStageCall())
-    bench.backendLeaving = true
-    next(bench)
+    const harness = new SideHarness()
+    const running = harness.run(createStageCall())
+    const waiting = harness.run(createStageCall())
+    harness.backendLeaving = true
+    next(harness)
     expect(await waiting).toMatchObject({ kind: StageReplyKind.Refused, reason: RefusalReason.Draining })
-    bench.finishOldest(BackendOutcome.Done)
+    harness.finishOldest(BackendOutcome.Done)
     expect(await running).toMatchObject({ kind: StageReplyKind.Done })
-    expect(bench.backend.started).toHaveLength(1)
+    expect(harness.backend.started).toHaveLength(1)
   })
 
   test('are aborted at the backend server if they are cancelled while they run', async () => {
-    const bench = new SideHarness()
+    const harness = new SideHarness()
     const call = createStageCall()
-    const reply = bench.run(call)
-    expect(bench.runner.cancel(stageKey(call.identity))).toEqual({ started: true })
+    const reply = harness.run(call)
+    expect(harness.runner.cancel(stageKey(call.identity))).toEqual({ started: true })
     expect(await reply).toMatchObject({ kind: StageReplyKind.Failed, reason: FailureReason.Cancelled })
   })
 
@@ -157,26 +157,26 @@
     [BackendOutcome.Lost, StageReplyKind.Failed, FailureReason.BackendLost],
     [BackendOutcome.Truncated, StageReplyKind.Failed, FailureReason.Truncated],
   ])('report the backend outcome %s as %s (%s)', async (outcome, kind, reason) => {
-    const bench = new SideHarness()
-    const reply = bench.run(createStageCall())
-    bench.finishOldest(outcome)
+    const harness = new SideHarness()
+    const reply = harness.run(createStageCall())
+    harness.finishOldest(outcome)
     expect(await reply).toMatchObject({ kind, reason })
   })
 
   test('are refused as full over the limit of the queue', async () => {
-    const bench = new SideHarness(1, new DeadlineQueue({ limit: 2, bytes: 10_000 }))
+    const harness = new SideHarness(1, new DeadlineQueue({ limit: 2, bytes: 10_000 }))
     const calls = Array.from({ length: 4 }, () => createStageCall())
-    const replies = calls.map(call => bench.run(call))
+    const replies = calls.map(call => harness.run(call))
     expect(await replies[3]).toMatchObject({ kind: StageReplyKind.Refused, reason: RefusalReason.Full })
-    expect(bench.backend.started).toHaveLength(1)
+    expect(harness.backend.started).toHaveLength(1)
   })
 
   test('are never refused by the FIFO queue', async () => {
-    const bench = new SideHarness(1, new FifoQueue())
+    const harness = new SideHarness(1, new FifoQueue())
     const calls = Array.from({ length: 20 }, () => createStageCall({ budgetMs: 1 }))
-    calls.forEach(call => void bench.run(call))
+    calls.forEach(call => void harness.run(call))
     await flushTasks()
-    expect(bench.runner.load().queued.normal).toBe(19)
+    expect(harness.runner.load().queued.normal).toBe(19)
   })
 })
 
@@ -190,12 +190,12 @@
 
   test('runs each call at most once and never runs a refused call', async () => {
     await fc.assert(fc.asyncProperty(fc.array(stepArbitrary, { maxLength: 40 }), async (steps) => {
-      const bench = new SideHarness(2)
+      const harness = new SideHarness(2)
       const calls: StageCall[] = []
       const repliedKinds = new Map<string, Set<string>>()
       const refusedByBackend = new Set<string>()
       const send = (call: StageCall): void => {
-        void bench.run(call).then((reply) => {
+        void harness.run(call).then((reply) => {
           const kinds = repliedKinds.get(call.identity.requestId) ?? new Set()
           repliedKinds.set(call.identity.requestId, kinds.add(reply.kind))
         })
@@ -206,32 +206,32 @@
           send(calls[calls.push(createStageCall()) - 1])
         }
         else if (step === Step.Drain) {
-          bench.draining = !bench.draining
+          harness.draining = !harness.draining
         }
         else if (step === Step.End) {
-          if (outcome === BackendOutcome.Refused && bench.backend.held.length > 0)
-            refusedByBackend.add(bench.backend.held[0].call.identity.requestId)
-          bench.finishOldest(outcome)
+          if (outcome === BackendOutcome.Refused && harness.backend.held.length > 0)
+            refusedByBackend.add(harness.backend.held[0].call.identity.requestId)
+          harness.finishOldest(outcome)
         }
         else if (picked && step === Step.Copy) {
           send(picked)
         }
         else if (picked && step === Step.Cancel) {
-          bench.runner.cancel(stageKey(picked.identity))
+          harness.runner.cancel(stageKey(picked.identity))
         }
         else if (picked && step === Step.Acknowledge) {
-          bench.table.acknowledge(stageKey(picked.identity))
+          harness.table.acknowledge(stageKey(picked.identity))
         }
         await flushTasks()
       }
-      while (bench.backend.held.length > 0) {
-        bench.finishOldest(BackendOutcome.Done)
+      while (harness.backend.held.length > 0) {
+        harness.finishOldest(BackendOutcome.Done)
         await flushTasks()
       }
-      expect(new Set(bench.backend.started).size).toBe(bench.backend.started.length)
+      expect(new Set(harness.backend.started).size).toBe(harness.backend.started.length)
       expect(repliedKinds.size, 'every call gets a reply').toBe(calls.length)
       for (const [requestId, kinds] of repliedKinds) {
-        const ran = bench.backend.started.includes(`${requestId}/1`) && !refusedByBackend.has(requestId)
+        const ran = harness.backend.started.includes(`${requestId}/1`) && !refusedByBackend.has(requestId)
         if (kinds.has(StageReplyKind.Refused))
           expect(ran, 'a refused call did not run').toBe(false)
         if (kinds.has(StageReplyKind.Done))
