--- a/packages/gateway/src/connection/backends/backend-client.ts
+++ b/packages/gateway/src/connection/backends/backend-client.ts
@@ -1,105 +1,105 @@
 /**
- * Calls to backend servers, as the rest of the gateway sees them: the call, its
- * answer or failure, and the codec that a platform brings.
+ * Interface for calls to backend servers: the call, its response or failure, and
+ * the codec that the platform's adapter implements.
  */
 import type { Result } from 'ts-results-es'
 import type { ReadNotice } from './backend-notice.js'
 import type { Backend, BackendLoad } from './backend.js'
 
-/** Header names and values in the order of the wire. */
+/** Header names and values in the order in which they are sent. */
 export type HeaderList = readonly (readonly [name: string, value: string])[]
 
-/** One request as it is sent to a backend server. */
+/** A request to be sent to a backend server. */
 export interface BackendCall {
   requestId: string
   method: string
-  /** Path with its query. */
+  /** Path including the query string. */
   path: string
-  /** The client's headers that are passed on. */
+  /** Headers of the client's request that are forwarded. */
   headers: HeaderList
   body: Buffer | undefined
-  /** Milliseconds that the backend server may work. */
+  /** Time in milliseconds that the backend server has for the request. */
   remainingMs: number
   account?: string
-  /** 0 is the most urgent. */
+  /** 0 is the highest priority. */
   priority?: number
-  /** Handles of the stage results that the backend server reads. */
+  /** Handles of the stage results that the backend server reads as input. */
   inputs?: readonly string[]
-  /** The stream goes on after this event. */
+  /** The stream resumes after this event. */
   lastEventId?: string
 }
 
-/** The head of a backend server's answer, and its body as it comes. */
+/** A backend server's response: its head, and its body as a stream. */
 export interface BackendAnswer {
   status: number
   /** Headers for the client. */
   headers: HeaderList
-  /** Whether its head says where the body ends; one that does not ends with its connection. */
+  /** Whether the head delimits the body (length or chunks); otherwise the body ends when the connection closes. */
   framed: boolean
-  /** Throws where the answer breaks off. */
+  /** Throws if the response is cut off. */
   body: AsyncIterable<Buffer>
-  /** Closes the connection of this answer. */
+  /** Closes the connection of this response. */
   destroy: () => void
 }
 
-/** Why a call brought no answer of the request's own. */
+/** Why a call returned no response to the request itself. */
 export enum CallFailureKind {
-  /** No byte reached the backend server. */
+  /** No byte was sent to the backend server. */
   NotSent = 'not-sent',
-  /** The backend server began to leave before the first byte. */
+  /** The backend server started to leave before the first byte was sent. */
   Leaving = 'leaving',
-  /** The backend server takes no request now, by its own word; no byte reached it. */
+  /** The backend server currently accepts no request, because of its rate limit or a back-off that it requested; no byte was sent. */
   Withheld = 'withheld',
-  /** Abandoned by this process before the first byte, while it waited for a connection. */
+  /** Abandoned by this process while the call waited for a connection; no byte was sent. */
   AbandonedUnsent = 'abandoned-unsent',
-  /** The backend server says that it did not run the request. */
+  /** The backend server reports that it did not execute the request. */
   Refused = 'refused',
-  /** Another backend server has the address; the request was not run. */
+  /** The address now belongs to another backend server; the request was not executed. */
   Misdirected = 'misdirected',
-  /** A stage result that the request reads is gone; it was not run. */
+  /** A stage result that the request reads no longer exists; the request was not executed. */
   InputGone = 'input-gone',
-  /** Sent, and no sound answer came: it may have run. */
+  /** Sent, but no valid response was received; the request may have been executed. */
   Broken = 'broken',
-  /** Abandoned by this process: it may have run. */
+  /** Abandoned by this process after it was sent; the request may have been executed. */
   Aborted = 'aborted',
 }
 
-/** A call that brought no answer of the request's own. */
+/** A call that returned no response to the request itself. */
 export interface CallFailure {
   kind: CallFailureKind
   message: string
 }
 
-/** Runs requests at backend servers. */
+/** Sends requests to backend servers. */
 export interface BackendClient {
-  /** Calls a backend server; returns with the head of its answer. Never rejects. */
+  /** Calls a backend server and resolves as soon as the response head is received. Never rejects. */
   run: (backend: Backend, call: BackendCall, signal: AbortSignal) => Promise<Result<BackendAnswer, CallFailure>>
-  /** Whether the backend server answers at all within a time in milliseconds. */
+  /** Whether the backend server responds at all within `timeoutMs`. */
   probe: (backend: Backend, timeoutMs: number) => Promise<boolean>
 }
 
-/** What an answer's head says of the call itself. */
+/** What a response head says about the call. */
 export interface AnswerFacts {
-  /** The request id that the answer echoes. */
+  /** The request id that the response echoes. */
   requestId: string | undefined
-  /** Absent where the answer is the request's own. */
+  /** Undefined if the response is the result of the request itself. */
   failure: CallFailureKind | undefined
-  /** Absent where the backend server did not report it. */
+  /** Undefined if the backend server did not report its load. */
   load: BackendLoad | undefined
-  /** Milliseconds for which the backend server is cold; absent where it does not say so. */
+  /** Time in milliseconds for which the backend server stays cold; undefined if it did not report one. */
   coldMs: number | undefined
-  /** Headers for the client. */
+  /** Headers to forward to the client. */
   headers: HeaderList
 }
 
-/** Spells calls and reads the heads of answers. */
+/** Encodes calls and decodes response heads. */
 export interface BackendCodec {
-  /** Path that shows that a backend server is alive without taking a slot. */
+  /** Path for liveness probes; a request to it takes no slot at the backend server. */
   readonly probePath: string
-  /** Headers of a call. */
+  /** Encodes the headers of a call. */
   encode: (backend: Backend, call: BackendCall) => HeaderList
-  /** What an answer's head says of the call. */
+  /** Decodes a response head. */
   decode: (status: number, headers: Record<string, string | string[] | undefined>) => AnswerFacts
-  /** What an answer says of the requests that its backend server takes; of any call, stage calls and probes included. */
+  /** Reads the flow-control notice of a response to any call, including stage calls and probes. */
   readNotice: ReadNotice
 }
--- a/packages/gateway/src/connection/backends/backend-connections.ts
+++ b/packages/gateway/src/connection/backends/backend-connections.ts
@@ -1,9 +1,9 @@
 /**
- * Connections to backend servers, a pool for each, within what a backend server
- * takes. A pool lives from the first call until CLOSE_DELAY_MS after the
- * removal of its backend server from the registry: until then, streams under
- * way there are still probed. All pools end with the process, and calls under
- * way break.
+ * Connection pools for backend servers, one pool per backend server, sized by
+ * this gateway's share of the connections that the backend server accepts. A
+ * pool is opened by the first call and closed CLOSE_DELAY_MS after its backend
+ * server was removed from the registry, so that streams in flight can still be
+ * probed. All pools end with the process, which cuts off calls in flight.
  */
 import type { Dispatcher } from 'undici'
 import type { Backend } from './backend.js'
@@ -14,38 +14,39 @@
 import { CallNotSentError, WorkCall } from './work-call.js'
 
 /**
- * Milliseconds until a connection is up. Half fails while a backend server's VM
- * is busy, twice takes time from the next attempt.
+ * Timeout for establishing a connection. 200 ms fails while a backend server's
+ * VM is busy; 800 ms takes too much time from the next attempt.
  */
 const CONNECT_TIMEOUT_MS = 400
 /**
- * Milliseconds that an idle connection is kept where the backend server names
- * no limit. Twice meets servers that have closed it already.
+ * How long an idle connection is kept if the backend server announces no
+ * keep-alive timeout. At 8 s, some backend servers have closed it already.
  */
 const IDLE_TIMEOUT_MS = 4000
 /**
- * Milliseconds before the backend server's own limit at which an idle
- * connection is closed. Too little sends requests into connections that are
- * being closed.
+ * How long before the backend server's keep-alive timeout an idle connection is
+ * closed. With a smaller margin, requests are sent on connections that the
+ * backend server is already closing.
  */
 const IDLE_MARGIN_MS = 700
 /**
- * Connections to one backend server where this process's share is smaller or
- * isn't known yet. With one, a probe waits behind a silent call.
+ * Minimum number of connections to one backend server, used while this gateway's
+ * share is smaller or unknown. With a single one, a probe would wait behind the
+ * unresponsive call that it should check.
  */
 const MIN_CONNECTIONS = 2
 /**
- * Milliseconds from the removal of a backend server until its pool closes. Well
- * above the longest deadline of a request, so that no answer is under way then;
- * its idle connections have closed by themselves long before.
+ * Time from the removal of a backend server until its pool is closed. Well above
+ * the maximum request deadline, so that no response is in flight at that point;
+ * idle connections have timed out long before.
  */
 const CLOSE_DELAY_MS = 60_000
-/** Replaces `ECONNRESET`, which undici takes for the end of an answer that has no length. */
+/** Replaces `ECONNRESET`, which undici treats as the regular end of a response without a length. */
 const RESET_CODE = 'ERR_BACKEND_RESET'
 
 const connectPlainly = buildConnector({ timeout: CONNECT_TIMEOUT_MS, autoSelectFamily: false })
 
-/** Connects; a reset later fails the answer under way whatever its framing. */
+/** Connects; a later reset of the connection fails the response in flight, however its body is delimited. */
 function connectWatchingResets(options: buildConnector.Options, callback: buildConnector.Callback): void {
   connectPlainly(options, (...args) => {
     const [, socket] = args
@@ -57,15 +58,18 @@
   })
 }
 
-/** How many connections to one backend server of a service this process may hold. */
+/** Maximum number of connections that this process may hold to one backend server of a service. */
 export type ConnectionShare = (service: string) => number
 
-/** Pools by the life of their backend server: a later process of it may have another address. */
+/**
+ * Pools by process of a backend server (`life`), since a later process with the
+ * same id may have another address.
+ */
 export class BackendConnections {
   private readonly pools = new Map<string, Pool>()
-  /** Calls that wait for a connection, by the life of their backend server. */
+  /** Calls that wait for a connection, by process of their backend server. */
   private readonly waiting = new Map<string, Set<WorkCall>>()
-  /** Timers that close the pools of removed backend servers, by life. */
+  /** Timers that close the pools of removed backend servers. */
   private readonly closing = new Map<string, NodeJS.Timeout>()
 
   constructor(
@@ -75,13 +79,13 @@
   ) {}
 
   /**
-   * Sends a call that brings work to a backend server. Rejects as undici's
-   * `request` does, or with a `CallNotSentError` where the backend server takes
-   * no more work, or none now.
+   * Sends a request or a stage call to a backend server. Rejects like undici's
+   * `request`, or with a `CallNotSentError` if the backend server accepts no new
+   * work, or no request at the moment.
    */
   async sendWork(backend: Backend, options: WorkOptions): Promise<Dispatcher.ResponseData> {
     if (!backend.takesWork || options.signal.aborted)
-      throw new CallNotSentError(`${backend.id} takes no more work, or the call was abandoned`)
+      throw new CallNotSentError(`${backend.id} accepts no new work, or the call was aborted`)
     const calls = this.waiting.get(backend.life) ?? new Set()
     this.waiting.set(backend.life, calls)
     const call = new WorkCall(backend, this.watch, this.intake, ended => void calls.delete(ended))
@@ -89,36 +93,36 @@
     return this.watchAnswer(backend, true, () => call.send(this.of(backend), options))
   }
 
-  /** As `sendProbe`, for a deletion: its backend server counts it among the requests that it takes. */
+  /** Like `sendProbe`, for the deletion of results, which counts towards the rate limit of the backend server. */
   async sendDeletion(backend: Backend, options: Dispatcher.RequestOptions): Promise<Dispatcher.ResponseData> {
     this.intake.noteSent(backend)
     return this.sendProbe(backend, options)
   }
 
-  /** Sends a probe or asks for a report; rejects as undici's `request` does. */
+  /** Sends a probe or requests a report; rejects like undici's `request`. */
   async sendProbe(backend: Backend, options: Dispatcher.RequestOptions): Promise<Dispatcher.ResponseData> {
     return this.watchAnswer(backend, false, () => this.of(backend).request(options))
   }
 
-  /** The backend server takes no more work: calls that wait for it are turned away. */
+  /** Rejects the calls that wait for a connection to a backend server that accepts no more work. */
   turnAwayWaiting(backend: Backend): void {
     for (const call of this.waiting.get(backend.life) ?? [])
       call.turnAway()
   }
 
-  /** The pool of a backend server, opened at first use. Throws where a removed backend server has none any more. */
+  /** The pool of a backend server, opened on first use. Throws if the backend server was removed and its pool is closed. */
   of(backend: Backend): Pool {
     const existing = this.pools.get(backend.life)
     if (existing)
       return existing
     if (backend.removed)
-      throw new CallNotSentError(`${backend.id} was removed`)
+      throw new CallNotSentError(`${backend.id} was removed from the registry`)
     const pool = createPool(backend.address, Math.max(MIN_CONNECTIONS, this.share(backend.service)))
     this.pools.set(backend.life, pool)
     return pool
   }
 
-  /** The backend server was removed: calls that wait are turned away, those under way end. */
+  /** Handles the removal of a backend server: rejects waiting calls, and lets calls in flight finish before the pool is closed. */
   forget(backend: Backend): void {
     this.turnAwayWaiting(backend)
     this.waiting.delete(backend.life)
@@ -126,15 +130,15 @@
       this.closing.set(backend.life, setTimeout(() => this.closePool(backend.life), CLOSE_DELAY_MS).unref())
   }
 
-  /** Breaks calls under way and closes at once. */
+  /** Closes all pools immediately, which cuts off calls in flight. */
   async close(): Promise<void> {
     for (const timer of this.closing.values())
       clearTimeout(timer)
-    // As above: only a pool that is closed already fails to be destroyed.
+    // destroy() rejects only if the pool is already closed.
     await Promise.all([...this.pools.values()].map(pool => pool.destroy().catch(() => {})))
   }
 
-  /** Tells what each answer says of the requests that its backend server takes. */
+  /** Sends a call and passes the head of its response to the intake gate. */
   private async watchAnswer(backend: Backend, isWork: boolean, send: () => Promise<Dispatcher.ResponseData>): Promise<Dispatcher.ResponseData> {
     const calledAt = performance.now()
     const response = await send()
@@ -146,12 +150,12 @@
     const pool = this.pools.get(life)
     this.pools.delete(life)
     this.closing.delete(life)
-    // A pool that cannot close in order was destroyed already; nothing refers to it any more.
+    // close() rejects only if the pool was already destroyed, in which case there is nothing left to close.
     void pool?.close().catch(() => {})
   }
 }
 
-/** A pool without time limits of its own: each call brings its signal. */
+/** Creates a pool without response timeouts; each call brings its own abort signal. */
 function createPool(address: string, connections: number): Pool {
   return new Pool(`http://${address}`, {
     connections,
--- a/packages/gateway/src/connection/backends/backend-notice.ts
+++ b/packages/gateway/src/connection/backends/backend-notice.ts
@@ -1,30 +1,30 @@
 /**
- * What a backend server says in its answers of the requests that it takes.
- * Decoded by the platform's codec.
+ * Flow-control notices that backend servers send in the headers of their
+ * responses. Decoded by the platform's codec.
  */
 
-/** What one answer says. */
+/** The notice in one response. */
 export interface BackendNotice {
-  /** Requests a second that it takes from all gateways together; absent where it names no limit. */
+  /** Rate limit in requests per second for all gateways together; undefined if the response names none. */
   limitPerSecond?: number
-  /** It leaves, and takes no new work. */
+  /** The backend server is leaving and accepts no new work. */
   isLeaving?: boolean
-  /** Milliseconds for which it wants nothing from this process; absent where it asks for no rest. */
+  /** Time in milliseconds during which this process should send no requests; undefined if no back-off is requested. */
   restMs?: number
 }
 
-/** Headers of an answer, with names in lower case. */
+/** Response headers, with names in lower case. */
 export type AnswerHeaders = Record<string, string | string[] | undefined>
 
-/** Reads what the head of an answer says. */
+/** Reads the notice from the head of a response. */
 export type ReadNotice = (status: number, headers: AnswerHeaders) => BackendNotice
 
-/** The head of an answer, and the call that it answers. */
+/** The head of a response, and the call that it belongs to. */
 export interface AnswerHead {
   status: number
   headers: AnswerHeaders
-  /** The call brought work: its answer says all that there is to say. */
+  /** Whether the call was a request or a stage call, whose response states all limits in force; a probe's may omit them. */
   isWork: boolean
-  /** Milliseconds of the process clock. */
+  /** When the call was made, in milliseconds of the process clock. */
   calledAt: number
 }
--- a/packages/gateway/src/connection/backends/backend.ts
+++ b/packages/gateway/src/connection/backends/backend.ts
@@ -1,116 +1,117 @@
 /**
- * Backend servers of services as this process knows them. A `Backend` lives
- * from its entry in the registry to its removal; what was learned of it is lost
- * with the process and learned again from answers.
+ * Backend servers as this process knows them. A `Backend` exists from the time
+ * that its entry is added to the registry until it is removed. What was learned
+ * from its responses is kept in memory only and learned again after a restart of
+ * this process.
  */
 
 import { IntakeState } from './intake-state.js'
 
-/** What the registry holds of a backend server. */
+/** Registry entry of a backend server. */
 export interface BackendRecord {
-  /** New at each start of the backend server. */
+  /** Changes with each start of the backend server. */
   id: string
   service: string
-  /** `IP:PORT`; may be used again by another backend server later. */
+  /** `IP:PORT`; may be reused by another backend server later. */
   address: string
   failureDomain: string
-  /** Requests that it works on at once. */
+  /** Number of requests that it processes concurrently. */
   capacity: number
-  /** It is leaving and gets no new work. */
+  /** It is leaving and is sent no new work. */
   draining: boolean
-  /** When its process started, in epoch milliseconds: a new process may have the id of an earlier one. Absent where it does not say so. */
+  /** Start time of its process in epoch milliseconds, since a new process may reuse the id of an earlier one. Undefined if not reported. */
   born?: number
-  /** Milliseconds for which it was cold, and slow for it, when its entry was written. Absent where it was not. */
+  /** Milliseconds for which the backend server was still cold, and hence slow, when the entry was written. Undefined if it was warm. */
   coldMs?: number
 }
 
-/** An entry of the platform's list, with its place among the list's changes. */
+/** An entry of the platform's list of backend servers, with the revision of its last change. */
 export interface ListedBackend {
   record: BackendRecord
-  /** Rises with every change of the list; at least 1. */
+  /** Increases with every change of the list; at least 1. */
   revision: number
 }
 
-/** One change of the platform's list, as one gateway tells another. */
+/** One change of the platform's list, as gateways report it to each other. */
 export interface BackendChange {
   id: string
   revision: number
-  /** The entry from now on; absent where it has gone. */
+  /** The new entry; undefined if the entry was removed. */
   record?: BackendRecord
-  /** Where the entry has gone: milliseconds for which the gateway that tells it still uses the backend server; absent where it does not. */
+  /** For a removed entry: how many more milliseconds the reporting gateway uses the backend server; undefined if it does not. */
   usedForMs?: number
 }
 
-/** A backend server whose entry has gone, and which still gets work for some time. */
+/** A backend server whose entry was removed, but which is still used for a limited time. */
 export interface LapsingBackend {
   id: string
-  /** Milliseconds for which it is used on. */
+  /** How many more milliseconds it is used. */
   remainingMs: number
 }
 
-/** The platform's list up to one of its changes; it may hold newer entries too. */
+/** A snapshot of the platform's list as of `revision`; it may also contain newer entries. */
 export interface ListedBackends {
   revision: number
   entries: readonly ListedBackend[]
-  /** What has gone from the list and is used on where the list comes from; absent where nothing is. */
+  /** Removed backend servers that the sender of the list still uses; undefined if there are none. */
   lapsing?: readonly LapsingBackend[]
 }
 
-/** Load as a backend server reported it in an answer. */
+/** Load that a backend server reported in a response. */
 export interface BackendLoad {
-  /** Requests at work there, of all gateways. */
+  /** Requests being processed, from all gateways. */
   running: number
-  /** Requests that wait there. */
+  /** Requests in its queue. */
   waiting: number
-  /** Requests that it works on at once. */
+  /** Number of requests that it processes concurrently. */
   capacity: number
 }
 
-/** Names one process of a backend server, also where a later one has its id. */
+/** Identifies one process of a backend server, even if a later process reuses its id. */
 export function lifeOf({ id, born }: BackendRecord): string {
   return born === undefined ? id : `${id}/${born}`
 }
 
-/** A backend server with what this process learned of it. */
+/** A backend server and what this process has learned about it. */
 export class Backend {
-  /** Calls of this process under way there. */
+  /** Calls of this process in flight to it. */
   outstanding = 0
-  /** The load that it reported last. */
+  /** The load that it last reported. */
   load: BackendLoad | undefined
-  /** When it reported that: milliseconds of the process clock. */
+  /** When it reported that load, in milliseconds of the process clock. */
   loadAt = 0
 
-  /** It was removed from the registry and gets no more work, ever: a restart has another id. */
+  /** It was removed from the registry. This is final: a restarted process gets a new `Backend`. */
   removed = false
-  /** Its failure domain is evacuated: it gets no work until that is taken back. */
+  /** Its failure domain is evacuated: it is sent no work until the evacuation is revoked. */
   evacuated = false
 
-  /** Since when it is, or was, cold, and until when: milliseconds of the process clock. */
+  /** Start of its current or last cold period, in milliseconds of the process clock. */
   coldSince = 0
   private coldUntil = 0
 
-  /** Names this one process, also where a later one has its id. */
+  /** Identifies this process of the backend server, see `lifeOf`. */
   readonly life: string
 
   constructor(
     public record: BackendRecord,
-    /** What it said of the requests that it takes. */
+    /** Flow control that it has requested in its responses. */
     readonly intake = new IntakeState(),
   ) {
     this.life = lifeOf(record)
   }
 
-  /** Whether new work may be sent there now. */
+  /** Whether new work may be sent to it. */
   get takesWork(): boolean {
     return !this.removed && !this.record.draining && !this.intake.isLeaving && !this.evacuated
   }
 
-  /** Whether it is cold: it has just started, and withstands few requests. */
+  /** Whether it is cold: it was started recently and can handle only few requests. */
   isCold(now: number): boolean {
     return now < this.coldUntil
   }
 
-  /** It is cold for this many milliseconds from now, at least. */
+  /** Marks it as cold for at least `milliseconds` from now. */
   noteCold(milliseconds: number, now: number): void {
     if (!this.isCold(now))
       this.coldSince = now
@@ -133,7 +134,7 @@
     return this.record.address
   }
 
-  /** The name under which ejection counts its calls. */
+  /** The key under which outlier ejection counts its calls. */
   get backendName(): string {
     return this.life
   }
--- a/packages/gateway/src/connection/backends/http-backend-client.ts
+++ b/packages/gateway/src/connection/backends/http-backend-client.ts
@@ -1,7 +1,7 @@
 /**
- * Calls to backend servers over HTTP/1.1. An answer is taken only if it echoes
- * the request's id; any other one closes its connection. It owns no state but
- * the load that answers report, which it notes at the backend server.
+ * Calls to backend servers over HTTP/1.1. A response is accepted only if it
+ * echoes the id of the request; otherwise its connection is closed. Owns no
+ * state: the load in a response is stored with the backend server.
  */
 import type { Result } from 'ts-results-es'
 import type { Dispatcher } from 'undici'
@@ -14,10 +14,10 @@
 import { CallFailureKind } from './backend-client.js'
 import { CallNotSentError } from './work-call.js'
 
-/** Statuses whose answers end with their head (RFC 9112, section 6.3). */
+/** Statuses whose responses have no body (RFC 9112, section 6.3). */
 const BODYLESS_STATUSES = new Set([204, 304])
 
-/** Runs requests over pooled connections. */
+/** Sends requests over pooled connections. */
 export class HttpBackendClient implements BackendClient {
   constructor(private readonly connections: BackendConnections, private readonly codec: BackendCodec) {}
 
@@ -45,7 +45,7 @@
       return true
     }
     catch {
-      // The reason doesn't matter: the caller counts probes without an answer, and logs the call that it abandons.
+      // The cause is irrelevant: the caller counts failed probes and logs the call that it abandons.
       return false
     }
   }
@@ -54,7 +54,7 @@
     const facts = this.codec.decode(response.statusCode, response.headers)
     if (facts.requestId !== call.requestId) {
       destroyBody(response)
-      return Err({ kind: CallFailureKind.Broken, message: `the answer echoes ${facts.requestId ?? 'no id'}` })
+      return Err({ kind: CallFailureKind.Broken, message: `the response echoes ${facts.requestId ?? 'no id'} instead of ${call.requestId}` })
     }
     if (facts.load) {
       backend.load = facts.load
@@ -63,7 +63,7 @@
     if (facts.coldMs !== undefined)
       backend.noteCold(facts.coldMs, performance.now())
     if (facts.failure) {
-      // The head says all; a body that breaks off closes its connection, which the pool replaces.
+      // The body is not needed. If it is cut off, undici closes the connection and the pool opens another.
       void response.body.dump().catch(() => {})
       return Err({ kind: facts.failure, message: `status ${response.statusCode}` })
     }
@@ -77,16 +77,16 @@
   }
 }
 
-/** Closes the connection of an answer that is of no use. */
+/** Closes the connection of a response that is not used. */
 function destroyBody({ body }: Dispatcher.ResponseData): void {
-  // Destroying fails the body's own stream; without a listener that would end the process.
+  // destroy() emits an error on the body stream; without a listener, it would terminate the process.
   body.on('error', () => {})
   body.destroy()
 }
 
 /**
- * Whether the head says where the body ends: by a length, chunks, or a status
- * that has none (RFC 9112, section 6.3).
+ * Whether the response head delimits the body: by a length, by chunked encoding,
+ * or by a status that has no body (RFC 9112, section 6.3).
  */
 function isFramed({ statusCode, headers }: Dispatcher.ResponseData): boolean {
   const hasFraming = headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined
--- a/packages/gateway/src/connection/backends/intake-gate.ts
+++ b/packages/gateway/src/connection/backends/intake-gate.ts
@@ -1,16 +1,16 @@
 /**
- * The gate that each way to a backend server passes: whether it takes a request
- * now, by its own word.
+ * The flow-control gate for calls to backend servers: whether a backend server
+ * accepts a request at the moment, according to its own notices.
  */
 import type { AnswerHead } from './backend-notice.js'
 import type { Backend } from './backend.js'
 
-/** What each way to a backend server asks and tells of the requests that it takes; implemented by the process. */
+/** Flow control for calls to backend servers; implemented by the process. */
 export interface IntakeGate {
-  /** Milliseconds until a request may be sent there; 0 where one may be now. */
+  /** Milliseconds until a request may be sent to the backend server; 0 if it may be sent now. */
   waitMs: (backend: Backend) => number
-  /** The first byte of a request is about to be written. */
+  /** Called just before the first byte of a request is written. */
   noteSent: (backend: Backend) => void
-  /** The head of an answer came. */
+  /** Called when the head of a response is received. */
   noteAnswer: (backend: Backend, head: AnswerHead) => void
 }
--- a/packages/gateway/src/connection/backends/intake-state.ts
+++ b/packages/gateway/src/connection/backends/intake-state.ts
@@ -1,68 +1,70 @@
 /**
- * What a backend server said of the requests that it takes. It lives as long as
- * the process of the backend server, and is lost with this process.
+ * Flow-control state of one backend server, from the notices in its responses.
+ * It is kept as long as the process of the backend server runs, and is lost when
+ * this process ends.
  */
 import type { AnswerHead, BackendNotice } from './backend-notice.js'
 
 /**
- * Milliseconds by which a peer's word may be older than it seems: it is dated
- * when it is sent, and read when it has come.
+ * Maximum age that a peer's report gains in transit: `ageMs` is computed when the
+ * report is sent, and applied when it is received.
  */
 const MAX_TRANSIT_MS = 500
 
-/** Milliseconds; a rest of more would take a backend server away for good by one wrong number. */
+/** Maximum back-off. Without it, a single wrong number could take a backend server out of service for good. */
 const MAX_REST_MS = 600_000
 
-/** A limit, or its end, as a peer tells it. */
+/** A rate limit, or its end, as reported by a peer. */
 export interface ReportedLimit {
-  /** Requests a second; absent where the limit has ended. */
+  /** Requests per second; undefined if the limit has ended. */
   limitPerSecond?: number
-  /** Milliseconds since the backend server said so. */
+  /** Milliseconds since the backend server reported it. */
   ageMs: number
 }
 
-/** What one backend server said last; times are on the process clock, in milliseconds. */
+/** Latest notices of one backend server; times are in milliseconds of the process clock. */
 export class IntakeState {
-  /** Requests a second that it takes from all gateways together; undefined where it names no limit. */
+  /** Rate limit in requests per second for all gateways together; undefined if there is none. */
   limitPerSecond: number | undefined
-  /** It said that it leaves; nothing ends that but its own end. */
+  /** It has announced that it is leaving; never reset. */
   isLeaving = false
-  /** Until when it wants nothing from this process. */
+  /** End of the back-off that it requested from this process. */
   restUntil = Number.NEGATIVE_INFINITY
-  /** When a request of this process was last sent there. */
+  /** When this process last sent a request to it. */
   lastSentAt = Number.NEGATIVE_INFINITY
-  /** When it named a limit last. */
+  /** When it last reported a rate limit. */
   limitNamedAt = Number.NEGATIVE_INFINITY
-  /** When it named none any more. */
+  /** When its rate limit last ended. */
   private limitEndedAt = Number.NEGATIVE_INFINITY
 
-  /** Milliseconds for which it wants nothing from this process; 0 where it takes requests. */
+  /** Remaining back-off in milliseconds; 0 if it accepts requests. */
   restMs(now: number): number {
     return Math.max(0, this.restUntil - now)
   }
 
-  /** It says that it leaves; returns whether that is new. */
+  /** Records that it is leaving; returns whether this was not known before. */
   takeLeaving(): boolean {
     const isNew = !this.isLeaving
     this.isLeaving = true
     return isNew
   }
 
-  /** It asks for rest. An answer that asks for less, to a call of before, ends none that was asked for. */
+  /** Starts or extends the back-off. A response to an earlier call that requests a shorter one does not shorten it. */
   takeRest(milliseconds: number, now: number): void {
     this.restUntil = Math.max(this.restUntil, now + Math.min(milliseconds, MAX_REST_MS))
   }
 
-  /** The limit, or its end, as peers are told; undefined where it never named one. */
+  /** The rate limit, or its end, as reported to peers; undefined if it never named one. */
   reportLimit(now: number): ReportedLimit | undefined {
     const saidAt = Math.max(this.limitNamedAt, this.limitEndedAt)
     return Number.isFinite(saidAt) ? { limitPerSecond: this.limitPerSecond, ageMs: Math.max(0, now - saidAt) } : undefined
   }
 
   /**
-   * Takes what an answer says. One without a limit ends it only if it answers
-   * work, and its call began after the limit was named: answers overtake one
-   * another. Returns whether the limit changed.
+   * Applies the notice of a response. A response without a rate limit ends the
+   * current one only if it belongs to a request or stage call made after the
+   * limit was reported, since responses may arrive out of order. Returns whether
+   * the limit changed.
    */
   takeLimit({ limitPerSecond }: BackendNotice, { isWork, calledAt }: Pick<AnswerHead, 'isWork' | 'calledAt'>, now: number): boolean {
     const endsLimit = isWork && calledAt >= this.limitNamedAt
@@ -71,7 +73,7 @@
     return this.setLimit(limitPerSecond, now)
   }
 
-  /** Takes what a peer tells, where it is newer than what is known; returns whether the limit changed. */
+  /** Applies a peer's report if it is newer than the known state; returns whether the limit changed. */
   takeReportedLimit({ limitPerSecond, ageMs }: ReportedLimit, now: number): boolean {
     const saidAt = now - ageMs
     if (limitPerSecond === undefined)
--- a/packages/gateway/src/connection/backends/presence-check.ts
+++ b/packages/gateway/src/connection/backends/presence-check.ts
@@ -1,29 +1,29 @@
 /**
- * Asks whether the process of a backend server is there, after a call to it
- * broke: a broken call alone does not tell the end of the process from that of
- * its connection. It keeps no state.
+ * Checks whether the process of a backend server is still running after a call
+ * to it broke: a broken call alone does not show whether the process ended or
+ * only its connection. Stateless.
  */
 import type { Backend } from './backend.js'
 import { connect } from 'node:net'
 import { isConnectionRefused } from '../error-codes.js'
 
-/** Milliseconds until a connection is up. Half fails while a VM is busy, twice delays what follows from the answer. */
+/** Timeout for establishing a connection. 400 ms fails while a VM is busy; 1,600 ms delays the decisions that depend on the result. */
 const CONNECT_TIMEOUT_MS = 800
 
-/** Whether a process is there. */
+/** Result of a presence check. */
 export enum Presence {
-  /** It accepts connections. */
+  /** The process accepts connections. */
   Present = 'present',
-  /** Nobody listens at its address. */
+  /** Connections to its address are refused. */
   Gone = 'gone',
-  /** Its VM did not answer: the process or the way to it may be gone. */
+  /** The VM did not respond: the process may have ended, or the network path may be broken. */
   Unknown = 'unknown',
 }
 
-/** Asks whether the process of a backend server is there. Never rejects. */
+/** Checks whether the process of a backend server is running. Never rejects. */
 export type CheckPresence = (backend: Backend) => Promise<Presence>
 
-/** Asks by a connection that is closed at once. */
+/** Checks by opening a TCP connection, which is closed immediately. */
 export function checkByConnection({ address }: Backend): Promise<Presence> {
   const [host, port] = address.split(':')
   const socket = connect({ host, port: Number(port), timeout: CONNECT_TIMEOUT_MS })
--- a/packages/gateway/src/connection/backends/work-call.ts
+++ b/packages/gateway/src/connection/backends/work-call.ts
@@ -1,17 +1,16 @@
 /**
- * One call that brings work to a backend server, from the choice of the server
- * to the first byte of the request. A call waits in its server's pool while all
- * connections are taken or one is being set up.
+ * A request or stage call to a backend server, from the choice of the backend
+ * server to the first byte sent. A call is queued in the connection pool while
+ * all connections are in use or one is being established.
  *
- * The choice rests on what was known of the server then. It is looked at again
- * where it counts: a call whose server takes no more work, or none now, is
- * turned away just before its first byte, and at once while it waits for a
- * server that leaves. So is a call that its
- * caller abandons while it waits, which undici alone would notice only when a
- * connection is free.
+ * The backend server was chosen by its state at that time, so its state is
+ * checked again: just before the first byte is sent, a call is rejected if its
+ * backend server accepts no more work, or no request at the moment. Queued calls
+ * are rejected as soon as their backend server starts to leave, or when the
+ * caller aborts them, which undici alone would notice only once a connection is
+ * free.
  *
- * It owns nothing but that wait; when the process dies, a call that still
- * waited was never sent.
+ * If the process dies, a call that was still queued was never sent.
  */
 import type { Dispatcher } from 'undici'
 import type { Backend } from './backend.js'
@@ -19,13 +18,13 @@
 import { DecoratorHandler } from 'undici'
 import { CALL_NOT_SENT_CODE } from '../error-codes.js'
 
-/** A call that was turned away before its first byte. */
+/** A call that was rejected before its first byte was sent. */
 export class CallNotSentError extends Error {
   readonly code = CALL_NOT_SENT_CODE
 
   constructor(
     reason: string,
-    /** Its backend server takes work, but no request now. */
+    /** Whether the backend server accepts work in general, but no request at the moment (rate limit or back-off). */
     readonly isWithheld = false,
   ) {
     super(reason)
@@ -33,27 +32,27 @@
   }
 }
 
-/** A call of work: undici's options, and a signal to abandon it. */
+/** undici's request options with a mandatory signal that aborts the call. */
 export type WorkOptions = Dispatcher.RequestOptions & { signal: AbortSignal }
 
-/** How long a call waited, and for whom. */
+/** How long a call waited for a connection to its backend server. */
 export interface CallStart {
   backend: Backend
-  /** Milliseconds from the call to its first byte, or to its being turned away. */
+  /** Milliseconds from the call until its first byte was sent or it was rejected. */
   waitedMs: number
 }
 
-/** Takes notice of calls that wait and start; implemented by the process's log and metrics. */
+/** Observes calls that wait and start; implemented by the process's log and metrics. */
 export interface CallWatch {
-  /** One more call waits for a connection, or one less. */
+  /** The number of calls that wait for a connection has changed by one. */
   waitingChanged: (difference: 1 | -1) => void
-  /** The first byte of a call is about to be written. */
+  /** Called just before the first byte of a call is written. */
   started: (start: CallStart) => void
-  /** A call was turned away because its backend server takes no more work, or none now. */
+  /** A call was rejected because its backend server accepts no more work, or no request at the moment. */
   turnedAway: (start: CallStart) => void
 }
 
-/** A call that waits for its connection, and what ends the wait. */
+/** A call that waits for a connection, and the ways in which the wait can end. */
 export class WorkCall {
   private readonly calledAt = performance.now()
   private notSent: CallNotSentError | undefined
@@ -64,20 +63,19 @@
     private readonly backend: Backend,
     private readonly watch: CallWatch,
     private readonly intake: IntakeGate,
-    /** Called when the call no longer waits. */
+    /** Called when the call stops waiting. */
     private readonly waitEnded: (call: WorkCall) => void,
   ) {
     watch.waitingChanged(1)
   }
 
   /**
-   * Sends the call through a pool; rejects as undici's `request` does, or with
-   * a `CallNotSentError`. What loses the race is settled later and has a
-   * handler here: a call that was turned away rejects in the pool too, when its
-   * turn comes.
+   * Sends the call through a pool; rejects like undici's `request`, or with a
+   * `CallNotSentError`. A call that is rejected here also rejects in the pool
+   * when it reaches the head of the queue; `Promise.race` handles that rejection.
    */
   async send(pool: Dispatcher, options: WorkOptions): Promise<Dispatcher.ResponseData> {
-    const abandon = (): void => this.endUnsent('abandoned before a connection was free')
+    const abandon = (): void => this.endUnsent('call aborted while waiting for a connection')
     const turnedAway = new Promise<never>((_, reject) => {
       this.rejectWait = reject
     })
@@ -92,15 +90,15 @@
     }
   }
 
-  /** Its backend server takes no more work: ends the wait, if it still lasts. */
+  /** Ends the wait, if it has not ended yet, because the backend server accepts no more work. */
   turnAway(): void {
     if (!this.waiting)
       return
     this.watch.turnedAway(this.describe())
-    this.endUnsent(`${this.backend.id} takes no more work`)
+    this.endUnsent(`${this.backend.id} accepts no more work`)
   }
 
-  /** Runs just before the first byte; throws where that must not be written. */
+  /** Runs just before the first byte is written; throws if the call must not be sent. */
   private start(): void {
     if (!this.backend.takesWork)
       this.turnAway()
@@ -115,7 +113,7 @@
 
   private withhold(): void {
     this.watch.turnedAway(this.describe())
-    this.endUnsent(`${this.backend.id} takes no request now`, true)
+    this.endUnsent(`${this.backend.id} accepts no request at the moment`, true)
   }
 
   private endUnsent(reason: string, isWithheld = false): void {
@@ -139,7 +137,7 @@
   }
 }
 
-/** A handler that runs a check just before the first byte of its request; an error of the check ends the request unsent. */
+/** Wraps a handler so that a check runs just before the first byte of its request; if the check throws, the request is not sent. */
 function guardStart(handler: Dispatcher.DispatchHandler, check: () => void): Dispatcher.DispatchHandler {
   const guarded: Dispatcher.DispatchHandler = new DecoratorHandler(handler)
   const startRequest = guarded.onRequestStart?.bind(guarded)
--- a/packages/gateway/src/connection/body-reader.ts
+++ b/packages/gateway/src/connection/body-reader.ts
@@ -1,25 +1,25 @@
 /**
- * Reads the body of a message whole, of a client's request as of a backend
- * server's answer. It holds the body's bytes until the end and no longer.
+ * Reads the entire body of an HTTP message, either a client's request or a
+ * backend server's response. The bytes are buffered until the end of the body.
  */
 import type { Result } from 'ts-results-es'
 import { formatError } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
 
-/** Why a body could not be read whole. */
+/** Why a body could not be read to its end. */
 export enum BodyFailureKind {
   TooLarge = 'too-large',
-  /** The connection ended, or the read was aborted. */
+  /** The connection was closed, or the read was aborted. */
   Broken = 'broken',
 }
 
-/** A body that could not be read whole. */
+/** A body that could not be read to its end. */
 export interface BodyFailure {
   kind: BodyFailureKind
   message: string
 }
 
-/** Reads a body to its end; the rest of one that is too large is not read. */
+/** Reads a body to its end; stops reading once it exceeds the maximum size. */
 export async function readBody(body: AsyncIterable<Buffer>, maxBytes: number): Promise<Result<Buffer, BodyFailure>> {
   const chunks: Buffer[] = []
   let size = 0
@@ -27,7 +27,7 @@
     for await (const chunk of body) {
       size += chunk.length
       if (size > maxBytes)
-        return Err({ kind: BodyFailureKind.TooLarge, message: `larger than ${maxBytes} bytes` })
+        return Err({ kind: BodyFailureKind.TooLarge, message: `body exceeds the limit of ${maxBytes} bytes` })
       chunks.push(chunk)
     }
   }
--- a/packages/gateway/src/connection/clients/client-answer.ts
+++ b/packages/gateway/src/connection/clients/client-answer.ts
@@ -1,25 +1,26 @@
 /**
- * Where a request's answer goes; `ResponseAnswer` writes it to a connection.
+ * Interface for the response to a client's request; implemented by
+ * `ResponseAnswer`.
  */
 import type { RequestError } from '@eidermast/common'
 import type { HeaderList } from '../backends/backend-client.js'
 
-/** The one answer of one request. */
+/** The response to one request. */
 export interface ClientAnswer {
-  /** Whether the head was sent. */
+  /** Whether the response head was sent. */
   readonly started: boolean
-  /** Sends a whole answer. */
+  /** Sends a complete response. */
   sendWhole: (status: number, headers: HeaderList, body: Buffer) => void
-  /** Begins an answer whose body comes in parts. */
+  /** Starts a response whose body is streamed. */
   begin: (status: number, headers: HeaderList) => void
-  /** Begins an answer that ends with its connection, whose end nobody can tell from a cut. */
+  /** Starts a response whose body ends when the connection closes; the client cannot tell its end from a truncation. */
   beginUnframed: (status: number, headers: HeaderList) => void
-  /** Sends a part; waits while the client does not read, rejects where it left. */
+  /** Sends a chunk of the body; waits for backpressure to clear, and rejects if the client has disconnected. */
   send: (bytes: Buffer) => Promise<void>
-  /** Ends an answer that is complete. */
+  /** Ends a complete response. */
   end: () => void
-  /** Closes the connection, so that what was sent does not look whole. */
+  /** Closes the connection, so that the client does not take a partial response for a complete one. */
   breakOff: () => void
-  /** Answers with an error of the gateway's own; only before anything was sent. */
+  /** Responds with an error of the gateway; may only be called before the response was started. */
   fail: (error: RequestError) => void
 }
--- a/packages/gateway/src/connection/clients/client-codec.ts
+++ b/packages/gateway/src/connection/clients/client-codec.ts
@@ -1,41 +1,41 @@
 /**
- * How clients write requests and read errors; the platform's adapter brings the
- * implementation.
+ * Interface for decoding client requests and encoding errors; the platform's
+ * adapter implements it.
  */
 import type { RequestError } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
 import type { HeaderList } from '../backends/backend-client.js'
 
-/** One part of a prompt; several requests may begin with the same parts. */
+/** One part of a prompt; different requests may share a prefix of parts. */
 export interface PromptPart {
   id: string
   tokens: number
 }
 
-/** What a request's head says. */
+/** The decoded head of a client's request. */
 export interface ClientRequestHead {
   requestId: string
   host: string
-  /** The key of its client account, if it sent one. */
+  /** API key of its client account, if the client sent one. */
   key: string | undefined
-  /** Milliseconds that the client will wait from the start of its request. */
+  /** Milliseconds from the start of the request after which the client gives up. */
   deadlineMs: number | undefined
-  /** In order; empty for requests without a prompt. */
+  /** In order; empty if the request has no prompt. */
   promptParts: PromptPart[]
-  /** Items of each stage. */
+  /** Number of items of each stage. */
   stageItems: number[]
-  /** What stages without inputs work on. */
+  /** Input of the stages that depend on no other stage. */
   stageKey: string
-  /** The stream goes on after this event. */
+  /** The client resumes its stream after this event. */
   lastEventId: string | undefined
-  /** Headers that are passed on. */
+  /** Headers to forward to the backend server. */
   headers: HeaderList
 }
 
-/** Decodes heads and encodes errors. */
+/** Decodes request heads and encodes errors. */
 export interface ClientCodec {
-  /** A head, or what is wrong with it. */
+  /** Decodes a head, or returns why it is invalid. */
   readHead: (rawHeaders: readonly string[]) => Result<ClientRequestHead, string>
-  /** Status and headers of an error of the gateway's own. */
+  /** Status and headers of the response to an error of the gateway. */
   errorHead: (error: RequestError, requestId: string | undefined) => { status: number, headers: HeaderList }
 }
--- a/packages/gateway/src/connection/clients/client-request.ts
+++ b/packages/gateway/src/connection/clients/client-request.ts
@@ -1,24 +1,24 @@
 /**
- * A client's request as the server below hands it to the request path, and the
- * interface through which it does so.
+ * A client's request as `ClientServer` passes it to the request path, and the
+ * interface that the request path implements.
  */
 import type { ClientAnswer } from './client-answer.js'
 import type { ClientRequestHead } from './client-codec.js'
 
-/** A request that was read whole. */
+/** A request that was read completely. */
 export interface ClientRequest {
   method: string
-  /** Path with its query. */
+  /** Path including the query string. */
   path: string
   head: ClientRequestHead
-  /** Absent where the client sent neither a length nor chunks. */
+  /** Undefined if the request has neither a length nor chunks. */
   body: Buffer | undefined
-  /** When its head was read: milliseconds of the process clock. */
+  /** When its head was read, in milliseconds of the process clock. */
   arrivedAt: number
 }
 
-/** Answers requests; implemented by the request path. */
+/** Handles requests; implemented by the request path. */
 export interface RequestHandler {
-  /** Sends exactly one answer, or breaks it off; the signal aborts when the client leaves. */
+  /** Sends exactly one response, or cuts it off; the signal is aborted when the client disconnects. */
   serve: (request: ClientRequest, answer: ClientAnswer, signal: AbortSignal) => Promise<void>
 }
--- a/packages/gateway/src/connection/clients/client-server.ts
+++ b/packages/gateway/src/connection/clients/client-server.ts
@@ -1,8 +1,8 @@
 /**
- * The clients' side: one HTTP/1.1 server that reads requests, hands them to the
- * request path, and stops in order. It owns the listener, the connections and
- * the count of requests without an answer; when the process dies, connections
- * break, and the platform's balancer sends what comes next elsewhere.
+ * HTTP/1.1 server for clients: reads requests, passes them to the request path,
+ * and shuts down gracefully. Owns the listener, the client connections and the
+ * number of requests in flight. If the process dies, connections break and the
+ * platform's load balancer sends new requests to other gateways.
  */
 import type { EventLog } from '@eidermast/common'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
@@ -18,19 +18,20 @@
 import { readRequest } from './request-reader.js'
 import { ResponseAnswer } from './response-answer.js'
 
-/** Limits until a configuration brings its own. Ordinary values, in force for the first moments only. */
+/** Limits until the first configuration is received. */
 const DEFAULT_LIMITS: ClientLimits = { maxHeaderBytes: 16_384, maxBodyBytes: 4_194_304, headerTimeoutMs: 3000, idleTimeoutMs: 15_000 }
-/** Bytes; Node fixes this at the server's start. Above any limit that is configured, which is checked beside it. */
+/** Node's limit, which is fixed when the server is created. It is higher than any configurable limit; the configured one is checked when a request is read. */
 const MAX_HEADER_BYTES = 65_536
-/** Milliseconds between Node's looks at overdue heads: they are cut off at most this much late. */
+/** Interval of Node's check for overdue request heads: they are timed out at most this much late. */
 const CONNECTION_CHECK_MS = 500
 /**
- * Connections that wait to be accepted. Fewer are refused when a peer's clients
- * all come at once; the kernel may hold it lower.
+ * Backlog of connections to be accepted. With a shorter one, connections are
+ * refused when all clients of a failed peer reconnect at once. The kernel may
+ * cap it.
  */
 const LISTEN_BACKLOG = 1024
 
-/** Serves clients until it is drained. */
+/** Serves clients until it is closed. */
 export class ClientServer {
   private readonly server: Server
   private limits = DEFAULT_LIMITS
@@ -51,12 +52,12 @@
     configuration.onChange(table => this.applyLimits(table.configuration.limits))
   }
 
-  /** Requests that have no answer yet. */
+  /** Number of requests in flight. */
   get activeRequests(): number {
     return this.active
   }
 
-  /** Listens; rejects where the address cannot be bound. */
+  /** Starts listening; rejects if the address cannot be bound. */
   listen(port: number, host: string): Promise<void> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject)
@@ -64,18 +65,18 @@
     })
   }
 
-  /** Serves on; each answer asks its client to close the connection. */
+  /** Keeps serving requests, but asks clients to close their connections with each response. */
   beginDrain(): void {
     this.draining = true
   }
 
-  /** Closes idle connections; requests that still come are refused and may be retried elsewhere. */
+  /** Closes idle connections and rejects new requests, which clients may retry at another gateway. */
   refuseNew(): void {
     this.refusing = true
     this.server.closeIdleConnections()
   }
 
-  /** Closes the listener and idle connections; answers under way go on. */
+  /** Closes the listener and idle connections; responses in flight are completed. */
   close(): void {
     this.refusing = true
     this.server.close()
@@ -121,10 +122,10 @@
     if (answer.started)
       answer.breakOff()
     else
-      answer.fail(createError(ErrorKind.Internal, 'the gateway failed'))
+      answer.fail(createError(ErrorKind.Internal, 'internal error of the gateway'))
   }
 
-  /** Answers bytes that are no request, or a head that came too late. */
+  /** Responds to data that is not valid HTTP, or to a request head that timed out. */
   private refuseUnreadable(error: Error, socket: Duplex): void {
     this.log.write('client-error', { error: error.message })
     if (socket.writable)
@@ -134,7 +135,7 @@
   }
 }
 
-/** A signal that aborts when the client leaves before its answer is complete. */
+/** A signal that is aborted when the client disconnects before the response is complete. */
 function watchClient(response: ServerResponse): AbortSignal {
   const leaving = new AbortController()
   response.on('close', () => {
--- a/packages/gateway/src/connection/clients/error-status.ts
+++ b/packages/gateway/src/connection/clients/error-status.ts
@@ -1,22 +1,23 @@
 /**
- * Decides the status of an error that this gateway answers by itself.
+ * Decides the HTTP status of an error that the gateway responds with.
  *
- * Inputs: the kind of the error, and what of the request ran.
- * Rule: the status of the kind; 502 in place of a status that promises that
- * the request has not run, where part of it ran or may have run.
- * Why: clients retry any request after such a promise, also one that may run
- * only once.
+ * Inputs: the kind of the error, and which part of the request was executed.
+ * Rule: the default status of the kind; but 502 instead of a status that
+ * guarantees that the request was not executed, if any part of it was or may
+ * have been executed.
+ * Why: clients retry any request after such a status, even one that must not be
+ * executed twice.
  * Log event: `request-ended`.
  */
 import type { RequestError } from '@eidermast/common'
 import { ERROR_ANSWERS, Ran } from '@eidermast/common'
 
-/** Statuses that promise that the request has not run and never will. */
+/** Statuses that guarantee that the request was not and will not be executed. */
 const PROMISE_STATUSES = new Set([408, 421, 429, 503])
-/** A status that promises nothing. */
+/** A status without that guarantee. */
 const NO_PROMISE_STATUS = 502
 
-/** The status of an error's answer. */
+/** The HTTP status for an error. */
 export function chooseErrorStatus({ kind, ran }: Pick<RequestError, 'kind' | 'ran'>): number {
   const { status } = ERROR_ANSWERS[kind]
   return PROMISE_STATUSES.has(status) && ran !== Ran.None ? NO_PROMISE_STATUS : status
--- a/packages/gateway/src/connection/clients/request-reader.ts
+++ b/packages/gateway/src/connection/clients/request-reader.ts
@@ -1,15 +1,15 @@
 /**
- * Decides whether a client's request is read and accepted, before any route is
- * looked up.
+ * Decides whether a client's request is accepted, before its route is looked up.
  *
- * Inputs: the decoded head or what is wrong with it, the size of head and body
- * (bytes), the configured limits, whether this gateway refuses new requests.
- * Rule: a faulty head, a head or body over its limit, and a request that comes
- * after the drain are rejected; the checks that need no body come first, so that
- * a body that is of no use isn't read.
- * Why: what is over a limit must not be held in memory, and a gateway that is
- * about to close its listener can't promise an answer.
- * Log event: none; the kind and message of the error are in the answer.
+ * Inputs: the decoded head or the reason why it is invalid, the sizes of head and
+ * body (bytes), the configured limits, and whether this gateway rejects new
+ * requests.
+ * Rule: requests with an invalid head, with a head or body over the limit, or
+ * received after the drain are rejected. Checks that do not need the body come
+ * first, so that the body of a rejected request is not read.
+ * Why: data over a limit must not be buffered in memory, and a gateway that is
+ * about to close its listener cannot guarantee a response.
+ * Log event: none; kind and message of the error are in the response.
  */
 import type { RequestError } from '@eidermast/common'
 import type { IncomingMessage } from 'node:http'
@@ -22,25 +22,25 @@
 import { BodyFailureKind, readBody } from '../body-reader.js'
 
 /**
- * Milliseconds until a client that met a stopping gateway retries. Short, since
- * another gateway takes it at once.
+ * Retry delay for clients whose request is rejected by a gateway that is shutting
+ * down. Short, since another gateway accepts the request immediately.
  */
 const STOPPING_RETRY_MS = 100
-/** Bytes beside a header's name and value on the wire: colon, space and line end. */
+/** Bytes in addition to a header's name and value on the wire: colon, space and CRLF. */
 const HEADER_SEPARATOR_BYTES = 4
 
-/** What a request is read by. */
+/** What is needed besides the message to read a request. */
 export interface ReadParts {
-  /** The decoded head, or what is wrong with it. */
+  /** The decoded head, or why it is invalid. */
   head: Result<ClientRequestHead, string>
   limits: ClientLimits
-  /** New requests are refused: this gateway is about to close. */
+  /** Whether new requests are rejected because this gateway is about to close. */
   refusing: boolean
-  /** When the head was read: milliseconds of the process clock. */
+  /** When the head was read, in milliseconds of the process clock. */
   arrivedAt: number
 }
 
-/** Reads a request whole, or returns the error that rejects it; undefined where the client left while it sent. */
+/** Reads a request to its end, or returns the error to reject it with; undefined if the client disconnected while sending it. */
 export async function readRequest(message: IncomingMessage, parts: ReadParts): Promise<Result<ClientRequest, RequestError> | undefined> {
   const { limits, arrivedAt } = parts
   const head = checkHead(message, parts)
@@ -53,8 +53,8 @@
   if (body.isOk())
     return Ok({ ...request, body: body.value })
   if (body.error.kind === BodyFailureKind.TooLarge)
-    return Err(createError(ErrorKind.BodyTooLarge, `send at most ${limits.maxBodyBytes} bytes`))
-  // The connection broke while the client sent: nobody waits for an answer.
+    return Err(createError(ErrorKind.BodyTooLarge, `request body exceeds the limit of ${limits.maxBodyBytes} bytes`))
+  // The connection broke while the request was being sent, so there is no one to respond to.
   return undefined
 }
 
@@ -62,9 +62,9 @@
   if (head.isErr())
     return Err(createError(ErrorKind.InvalidRequest, head.error))
   if (headBytes(message) > limits.maxHeaderBytes)
-    return Err(createError(ErrorKind.HeadersTooLarge, `send at most ${limits.maxHeaderBytes} bytes of headers`))
+    return Err(createError(ErrorKind.HeadersTooLarge, `request line and headers exceed the limit of ${limits.maxHeaderBytes} bytes`))
   if (refusing)
-    return Err(createError(ErrorKind.Stopping, 'this gateway is stopping; come back', { retryAfterMs: STOPPING_RETRY_MS }))
+    return Err(createError(ErrorKind.Stopping, 'the gateway is shutting down; retry the request', { retryAfterMs: STOPPING_RETRY_MS }))
   return Ok(head.value)
 }
 
--- a/packages/gateway/src/connection/clients/response-answer.ts
+++ b/packages/gateway/src/connection/clients/response-answer.ts
@@ -1,7 +1,7 @@
 /**
- * Writes the one answer of a request to its client's connection. It lives as
- * long as the response, which Node owns; when the process dies, the connection
- * breaks and an answer that isn't complete doesn't look so.
+ * Writes the response to a client's request. Exists as long as Node's
+ * `ServerResponse`. If the process dies, the connection breaks, so that clients
+ * do not take a partial response for a complete one.
  */
 import type { RequestError } from '@eidermast/common'
 import type { ServerResponse } from 'node:http'
@@ -9,13 +9,13 @@
 import type { ClientAnswer } from './client-answer.js'
 import type { ClientCodec } from './client-codec.js'
 
-/** Answers over HTTP/1.1. */
+/** Responds over HTTP/1.1. */
 export class ResponseAnswer implements ClientAnswer {
   constructor(
     private readonly response: ServerResponse,
     private readonly codec: ClientCodec,
     private readonly requestId: string | undefined,
-    /** Whether the client shall close its connection after this answer. */
+    /** Whether the client should close its connection after this response. */
     private readonly closing: () => boolean,
   ) {}
 
@@ -42,7 +42,7 @@
 
   async send(bytes: Buffer): Promise<void> {
     if (this.response.destroyed)
-      throw new Error('the client left')
+      throw new Error('client disconnected')
     if (this.response.write(bytes))
       return
     await new Promise<void>((resolve) => {
@@ -65,7 +65,7 @@
     this.sendWhole(status, [...headers, ['content-type', 'application/json']], body)
   }
 
-  /** Fails a request that was not read to its end; its connection cannot be used again. */
+  /** Responds with an error to a request that was not read to its end; its connection cannot be reused. */
   reject(error: RequestError): void {
     this.response.setHeader('connection', 'close')
     this.fail(error)
--- a/packages/gateway/src/connection/connection-headers.ts
+++ b/packages/gateway/src/connection/connection-headers.ts
@@ -1,9 +1,9 @@
 /**
- * Headers that concern one connection only and are never passed on, in either
- * direction (RFC 9110, section 7.6.1).
+ * Hop-by-hop headers: they apply to a single connection and are never forwarded,
+ * in either direction (RFC 9110, section 7.6.1).
  */
 
-/** Names in lower case. */
+/** In lower case. */
 const CONNECTION_HEADERS = [
   'connection',
   'keep-alive',
@@ -16,7 +16,10 @@
   'upgrade',
 ]
 
-/** Names, in lower case, that are not passed on; those that `Connection` lists are among them. Takes names and values in turn. */
+/**
+ * The hop-by-hop headers of a message in lower case, including those that its
+ * `Connection` header lists. `rawHeaders` alternates names and values.
+ */
 export function connectionHeaders(rawHeaders: readonly string[]): Set<string> {
   const names = new Set(CONNECTION_HEADERS)
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
--- a/packages/gateway/src/connection/error-codes.ts
+++ b/packages/gateway/src/connection/error-codes.ts
@@ -1,12 +1,12 @@
 /**
- * Reads the codes of connection errors, of Node's sockets as of undici's
- * client, in one place.
+ * Classifies connection errors by their codes, both those of Node's sockets and
+ * those of undici.
  */
 
-/** Code of a call that this process turned away before its first byte. */
+/** Code of the error for a call that this process rejected before sending its first byte. */
 export const CALL_NOT_SENT_CODE = 'ERR_CALL_NOT_SENT'
 
-/** Codes of errors that come before a request's first byte is sent: no connection, or none that may be used. */
+/** Codes of errors that occur before the first byte of a request is sent: no connection could be established, or the pool is closed. */
 const NOT_SENT_CODES = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -19,7 +19,7 @@
   CALL_NOT_SENT_CODE,
 ])
 
-/** The code of an error; undefined where it has none. */
+/** The code of an error; undefined if it has none. */
 export function errorCode(error: unknown): string | undefined {
   const code = error instanceof Error && 'code' in error ? error.code : undefined
   return typeof code === 'string' ? code : undefined
@@ -31,12 +31,12 @@
   return code !== undefined && NOT_SENT_CODES.has(code)
 }
 
-/** Whether the peer reset an established connection. */
+/** Whether the remote end reset an established connection. */
 export function isConnectionReset(error: unknown): boolean {
   return errorCode(error) === 'ECONNRESET'
 }
 
-/** Whether nobody listens at the address; tRPC's client keeps the error among the causes of its own. */
+/** Whether the connection was refused because nothing listens at the address. tRPC's client wraps the socket error, so the chain of causes is searched. */
 export function isConnectionRefused(error: unknown): boolean {
   for (let cause = error; cause instanceof Error; cause = cause.cause) {
     if (errorCode(cause) === 'ECONNREFUSED')
--- a/packages/gateway/src/connection/peers/crash-exchange.ts
+++ b/packages/gateway/src/connection/peers/crash-exchange.ts
@@ -1,34 +1,34 @@
 /**
- * The part of a heartbeat and of its answer that tells crashes, as it stands on
- * the wire. Releases that do not know it leave it out.
+ * Wire format of the crash reports in heartbeats and their responses. Releases
+ * that do not support them omit this part.
  */
 import * as z from 'zod'
 
-/** Reports of requests under which backend servers ended, as gateways write them for each other. */
+/** Reports of requests during which backend servers crashed, as exchanged by gateways. */
 export const crashReportsSchema = z.object({
   crashes: z.array(z.object({
     fingerprint: z.string(),
-    /** The life of the backend server that ended. */
+    /** Process of the backend server that crashed (`life`). */
     backend: z.string(),
     /** Epoch milliseconds. */
     at: z.number(),
-    /** Name of the gateway that saw it. */
+    /** Name of the gateway that observed the crash. */
     gateway: z.string(),
   })).default([]),
   answers: z.array(z.object({ fingerprint: z.string(), at: z.number() })).default([]),
 })
 
-/** What a gateway tells a peer of crashes. */
+/** Crash reports from one gateway to another, with the sequence numbers that acknowledge them. */
 export const crashExchangeSchema = z.object({
-  /** Up to which number the receiver has the sender's reports, as the sender knows it: those below begin after it. */
+  /** Last report of the sender that the receiver has acknowledged; `reports` starts after it. */
   after: z.number(),
-  /** Number of the newest report that the sender knows. */
+  /** Sequence number of the sender's newest report. */
   sequence: z.number(),
-  /** Up to which number the sender has the receiver's reports. */
+  /** Sequence number of the receiver's last report that the sender has received. */
   seen: z.number(),
-  /** The sender's reports that the receiver has not confirmed; absent where there are none. */
+  /** Reports of the sender that the receiver has not acknowledged; omitted if there are none. */
   reports: crashReportsSchema.optional(),
 })
 
-/** What a gateway tells a peer of crashes. */
+/** Crash reports from one gateway to another. */
 export type CrashExchangeMessage = z.infer<typeof crashExchangeSchema>
--- a/packages/gateway/src/connection/peers/intake-message.ts
+++ b/packages/gateway/src/connection/peers/intake-message.ts
@@ -1,19 +1,18 @@
 /**
- * What gateways tell each other of the requests that backend servers take, as
- * heartbeats and their answers carry it.
+ * Wire format of the flow-control notices of backend servers that gateways share
+ * in heartbeats and their responses.
  */
 import type { ReportedLimit } from '../backends/intake-state.js'
 import * as z from 'zod'
 
-/** The limit of one backend server, or its end. */
+/** The rate limit of one backend server, or its end. */
 export interface LimitMessage extends ReportedLimit {
   /** Id of the backend server. */
   backend: string
-  /** Names its process, also where a later one has its id. */
+  /** Identifies its process, even if a later process reuses its id. */
   life: string
 }
 
-/** Checks the limit of one backend server. */
 export const limitMessageSchema = z.object({
   backend: z.string(),
   life: z.string(),
@@ -21,13 +20,12 @@
   ageMs: z.number().nonnegative(),
 })
 
-/** A backend server that says in its answers that it leaves. */
+/** A backend server that has announced that it is leaving. */
 export interface LeavingMessage {
   /** Id of the backend server. */
   backend: string
-  /** Names its process, also where a later one has its id. */
+  /** Identifies its process, even if a later process reuses its id. */
   life: string
 }
 
-/** Checks a backend server that leaves. */
 export const leavingMessageSchema = z.object({ backend: z.string(), life: z.string() })
--- a/packages/gateway/src/connection/peers/member.ts
+++ b/packages/gateway/src/connection/peers/member.ts
@@ -2,13 +2,13 @@
  * A gateway as its peers address it.
  */
 
-/** A gateway and where its peers reach it. */
+/** A gateway and the address for its peers. */
 export interface Member {
   name: string
   /** `IP:PORT` for its peers. */
   address: string
-  /** Where its VM is; absent for gateways of releases that do not tell it. */
+  /** Failure domain of its VM; undefined for gateways whose release does not report it. */
   failureDomain?: string
-  /** Cores that it may use, also a part of one; absent as above. */
+  /** Number of CPU cores that it may use, possibly fractional; undefined for gateways whose release does not report it. */
   coreShare?: number
 }
--- a/packages/gateway/src/connection/peers/peer-clients.ts
+++ b/packages/gateway/src/connection/peers/peer-clients.ts
@@ -1,7 +1,7 @@
 /**
- * Calls to other gateways. It owns one connection pool for all of them until
- * the process ends; calls under way break with it, and the peers notice.
- * Each call rejects where the peer does not answer in time.
+ * Calls to other gateways over a shared connection pool, which is closed when the
+ * process ends; peers detect that calls in flight break. Every call rejects if the
+ * peer does not respond in time.
  */
 import type { TRPCClient } from '@trpc/client'
 import type { Result } from 'ts-results-es'
@@ -15,31 +15,31 @@
 import { Agent } from 'undici'
 import { decodeHeartbeatReply, decodeListedBackends, decodePreparationReply, encodeHeartbeat, encodePreparationRequest } from './peer-messages.js'
 
-/** Milliseconds until a connection is up. Half suspects busy gateways, twice notices dead ones late. */
+/** Timeout for establishing a connection. At 150 ms, busy gateways are suspected; at 600 ms, dead ones are detected late. */
 const CONNECT_TIMEOUT_MS = 300
 /**
- * Milliseconds that an idle connection is kept: longer than the pause between
- * heartbeats, so that they need no new one.
+ * How long an idle connection is kept. Longer than the interval between
+ * heartbeats, so that they reuse connections.
  */
 const IDLE_TIMEOUT_MS = 10_000
 /**
- * Milliseconds for the answer to a heartbeat. Half suspects busy gateways,
- * twice notices frozen ones late.
+ * Timeout of a heartbeat. At 225 ms, busy gateways are suspected; at 900 ms,
+ * frozen ones are detected late.
  */
 const HEARTBEAT_TIMEOUT_MS = 450
 /**
- * Milliseconds for what a peer holds, its configuration or its list of backend
- * servers. Both may be large; what is late is asked for again after the next
+ * Timeout for fetching a peer's configuration or list of backend servers. Both
+ * may be large; after a timeout, they are requested again following the next
  * heartbeat.
  */
 const HELD_STATE_TIMEOUT_MS = 1500
-/** Milliseconds to free results. Results that aren't freed end by themselves. */
+/** Timeout for the release of results. Results that are not released expire. */
 const RELEASE_TIMEOUT_MS = 1000
 
-/** The one status of an answer without an error. */
+/** Status of successful responses. */
 const OK_STATUS = 200
 
-/** A call as tRPC's link describes it. */
+/** Request options of tRPC's link. */
 interface PeerCallOptions {
   method: 'GET' | 'POST'
   headers: Record<string, string>
@@ -47,14 +47,14 @@
   signal?: AbortSignal
 }
 
-/** What tRPC's link reads of an answer. */
+/** The parts of a response that tRPC's link reads. */
 interface PeerAnswer {
   ok: boolean
   status: number
   json: () => Promise<unknown>
 }
 
-/** Clients by address, made at first use and kept until the process ends. */
+/** Clients by peer address, created on first use and kept until the process ends. */
 export class PeerClients {
   private readonly agent = new Agent({
     connect: { timeout: CONNECT_TIMEOUT_MS, autoSelectFamily: false },
@@ -70,7 +70,7 @@
     return decodeHeartbeatReply(await this.of(member).greet.mutate(encodeHeartbeat(heartbeat), { signal }))
   }
 
-  /** The peer's configuration; null while it knows none. */
+  /** The peer's configuration; null if it has none. */
   configuration(member: Member): Promise<ConfigurationRecord | null> {
     return this.of(member).configuration.query(undefined, { signal: AbortSignal.timeout(HELD_STATE_TIMEOUT_MS) })
   }
@@ -81,7 +81,7 @@
     return decodeListedBackends(await this.of(member).backends.query(undefined, { signal }))
   }
 
-  /** Does the stage work of a request at a peer; takes as long as the signal allows. */
+  /** Runs the stage work of a request at a peer; limited only by the signal. */
   async prepare(member: Member, request: PreparationRequest, signal: AbortSignal): Promise<Result<PreparedInputs, PreparationFailure>> {
     return decodePreparationReply(await this.of(member).prepare.mutate(encodePreparationRequest(request), { signal }))
   }
@@ -101,7 +101,7 @@
     const client = createTRPCClient<PeerRouter>({
       links: [httpLink({
         url: `http://${member.address}`,
-        // tRPC types its fetch by the DOM.
+        // tRPC declares its fetch option with DOM types.
         fetch: (url, options) => this.fetch(url as string, options as PeerCallOptions) as never,
       })],
     })
@@ -109,7 +109,7 @@
     return client
   }
 
-  /** The part of `fetch` that tRPC's link needs, without the web's streams. */
+  /** The subset of `fetch` that tRPC's link needs, without web streams. */
   private async fetch(url: string, options: PeerCallOptions): Promise<PeerAnswer> {
     const { origin, pathname, search } = new URL(url)
     const { statusCode, body } = await this.agent.request({ ...options, origin, path: `${pathname}${search}` })
--- a/packages/gateway/src/connection/peers/peer-handler.ts
+++ b/packages/gateway/src/connection/peers/peer-handler.ts
@@ -1,12 +1,12 @@
 /**
- * Answers calls between gateways: reads one HTTP request, runs its procedure,
- * and writes what tRPC's HTTP link expects. It owns nothing beyond a request.
+ * HTTP handler for calls between gateways: reads a request, runs its procedure
+ * and writes the response in the format of tRPC's HTTP link. Stateless.
  *
- * tRPC's own handler turns each request into the web's request and stream types
- * first. Without them, and with undici's `request` in place of `fetch` at the
- * client, a heartbeat costs 0.24 ms of processor time on both sides together, and
- * 0.82 ms before (3,000 calls in one warm process), which a coordinator of small
- * VMs lacks in a burst.
+ * tRPC's own HTTP handler first converts each request to web `Request` and
+ * stream objects. Without this conversion, and with undici's `request` instead
+ * of `fetch` in the client, a heartbeat takes 0.24 ms of CPU time on both sides
+ * together instead of 0.82 ms (3,000 calls in a warm process). A coordinator on
+ * small VMs needs that CPU time during bursts.
  */
 import type { AnyTRPCRouter } from '@trpc/server'
 import type { IncomingMessage, RequestListener, ServerResponse } from 'node:http'
@@ -14,18 +14,18 @@
 import { getHTTPStatusCodeFromError } from '@trpc/server/http'
 import { readBody } from '../body-reader.js'
 
-/** Bytes of one call. Far above stage work that is handed over, and a bound on what a broken peer may fill. */
+/** Maximum size of a call. Far larger than the stage work in a handover; bounds the memory that a faulty peer can occupy. */
 const MAX_CALL_BYTES = 4_000_000
-/** Any base completes the path of a request for `URL`. */
+/** Base for parsing request paths with `URL`; its value is irrelevant. */
 const BASE_URL = 'http://gateway'
 
-/** A call as its message describes it. */
+/** The procedure that a request calls. */
 interface ProcedureCall {
   path: string
   type: 'query' | 'mutation'
 }
 
-/** Creates the listener of a server for peers. */
+/** Creates the request listener of the server for peers. */
 export function createPeerHandler(router: AnyTRPCRouter): RequestListener {
   return (message, response) => void answer(router, message, response)
 }
--- a/packages/gateway/src/connection/peers/peer-messages.ts
+++ b/packages/gateway/src/connection/peers/peer-messages.ts
@@ -1,7 +1,7 @@
 /**
- * Messages between gateways, as they stand on the wire. Two releases run side
- * by side during a rolling restart, so the field names of the first release
- * stay; they are decoded here, once, into the types of the rest of the code.
+ * Wire format of messages between gateways. During a rolling upgrade, two
+ * releases run side by side, so fields keep their names from the first release;
+ * this module converts them to the types used everywhere else.
  */
 import type { Result } from 'ts-results-es'
 import type { EvacuationOrder } from '../../version/evacuation-order.js'
@@ -20,31 +20,31 @@
   name: z.string(),
   /** `IP:PORT` for its peers. */
   address: z.string(),
-  /** Configuration version that the sender holds. */
+  /** Version of the configuration that the sender has. */
   version: z.number(),
-  /** Offset up to which the sender has the list of backend servers; absent in releases that do not pass it on. */
+  /** Offset up to which the sender has the list of backend servers; omitted by releases that do not share the list. */
   backends: z.number().optional(),
-  /** Era of that offset; absent where it is 0, and in releases that know none. */
+  /** Era of that offset; omitted if it is 0, and by releases without eras. */
   backendsEra: z.number().optional(),
-  /** Crashes that the sender tells; checked by whoever takes it. */
+  /** Crash reports; validated where they are processed. */
   crashes: z.unknown().optional(),
-  /** Orders about failure domains that the sender knows; absent where it knows none, and in releases that do not pass them on. */
+  /** Evacuation orders that the sender knows; omitted if there are none, and by releases that do not share them. */
   evacuations: z.array(evacuationSchema).optional(),
-  /** Limits of backend servers that changed lately; absent where none did, and in releases that do not pass them on. */
+  /** Recently changed rate limits of backend servers; omitted if there are none, and by releases that do not share them. */
   limits: z.array(limitMessageSchema).optional(),
-  /** Backend servers that say in their answers that they leave; absent where none does, and in releases that do not pass it on. */
+  /** Backend servers that have announced that they are leaving; omitted if there are none, and by releases that do not share them. */
   leaving: z.array(leavingMessageSchema).optional(),
 })
 
-/** A gateway's heartbeat to another, as it stands on the wire. */
+/** Wire format of a heartbeat. */
 type HeartbeatMessage = z.infer<typeof heartbeatFields>
 
-/** A gateway's heartbeat to another. */
+/** A heartbeat from one gateway to another. */
 export interface Heartbeat {
   name: string
   address: string
   version: number
-  /** Revision of the sender's list of backend servers; absent in releases that do not pass it on. */
+  /** Revision of the sender's list of backend servers; undefined for releases that do not share the list. */
   backends?: number
   crashes?: unknown
   evacuations?: EvacuationOrder[]
@@ -52,10 +52,9 @@
   leaving?: LeavingMessage[]
 }
 
-/** Checks a heartbeat and decodes it. */
+/** Validates and decodes a heartbeat. */
 export const heartbeatSchema = heartbeatFields.transform(decodeHeartbeat)
 
-/** Encodes a heartbeat. */
 export function encodeHeartbeat(heartbeat: Heartbeat): HeartbeatMessage {
   return { ...heartbeat, ...encodePlace(heartbeat.backends) }
 }
@@ -64,63 +63,59 @@
   return rest.backends === undefined ? rest : { ...rest, backends: decodePlace(rest.backends, backendsEra) }
 }
 
-/** Answer to a heartbeat. */
+/** Response to a heartbeat. */
 export interface HeartbeatReply {
-  /** Configuration version that the peer holds. */
+  /** Version of the configuration that the peer has. */
   version: number
-  /** Revision of the peer's list of backend servers; absent in releases that do not pass it on. */
+  /** Revision of the peer's list of backend servers; undefined for releases that do not share the list. */
   backends?: number
-  /** The changes of that list since the revision of the heartbeat, where the peer still knows them all. */
+  /** Changes to that list since the revision in the heartbeat, if the peer still has all of them. */
   backendChanges?: BackendChange[]
-  /** Crashes that the peer tells; absent where it has none to tell, and in releases that do not. */
+  /** Crash reports; undefined if there are none, and for releases that do not share them. */
   crashes?: CrashExchangeMessage
-  /** Orders about failure domains that the peer knows; absent where it knows none, and in releases that do not pass them on. */
+  /** Evacuation orders that the peer knows; undefined if there are none, and for releases that do not share them. */
   evacuations?: EvacuationOrder[]
-  /** Limits of backend servers that changed lately; absent where none did, and in releases that do not pass them on. */
+  /** Recently changed rate limits of backend servers; undefined if there are none, and for releases that do not share them. */
   limits?: LimitMessage[]
-  /** Backend servers that say in their answers that they leave; absent where none does, and in releases that do not pass it on. */
+  /** Backend servers that have announced that they are leaving; undefined if there are none, and for releases that do not share them. */
   leaving?: LeavingMessage[]
-  /** Its source of backend servers does not answer; absent where it does, and in releases that do not say so. */
+  /** Whether the peer's source of backend servers is unavailable; undefined if it is available, and for releases that do not report it. */
   sourceAway?: boolean
-  /** It is stopping: the coordinator's role passes to another gateway. */
+  /** The peer is shutting down, so another gateway takes over as coordinator. */
   stopping: boolean
-  /** It is short of processor time: the role passes to a gateway that is not, where there is one. */
+  /** The peer is short of CPU time; another gateway takes over as coordinator if there is one that is not. */
   slow: boolean
-  /** Place of its announcement in the directory; absent while it does not know it. */
+  /** Position of its announcement in the directory; undefined while it is unknown. */
   announcementOrder?: number
 }
 
-/** Answer to a heartbeat as it stands on the wire: revisions are offsets of one era. */
+/** Wire format of the response to a heartbeat: revisions are sent as offsets within one era. */
 export interface HeartbeatReplyMessage extends HeartbeatReply {
   backendsEra?: number
 }
 
-/** Encodes the answer to a heartbeat. */
 export function encodeHeartbeatReply(reply: HeartbeatReply): HeartbeatReplyMessage {
   const { era } = positionOf(reply.backends ?? 0)
   const backendChanges = reply.backendChanges?.map(change => ({ ...change, revision: offsetIn(era, change.revision) }))
   return { ...reply, ...encodePlace(reply.backends), backendChanges }
 }
 
-/** Decodes the answer to a heartbeat. */
 export function decodeHeartbeatReply({ backendsEra, ...reply }: HeartbeatReplyMessage): HeartbeatReply {
   const backendChanges = reply.backendChanges?.map(change => ({ ...change, revision: decodePlace(change.revision, backendsEra) }))
   return { ...reply, backends: decodePlace(reply.backends, backendsEra), backendChanges }
 }
 
-/** The list of backend servers as it stands on the wire: revisions are offsets of one era, absent where it is 0. */
+/** Wire format of the list of backend servers: revisions are sent as offsets within one era, which is omitted if it is 0. */
 export interface ListedBackendsMessage extends ListedBackends {
   era?: number
 }
 
-/** Encodes the list of backend servers. */
 export function encodeListedBackends(list: ListedBackends): ListedBackendsMessage {
   const { era, offset } = positionOf(list.revision)
   const entries = list.entries.map(entry => ({ ...entry, revision: offsetIn(era, entry.revision) }))
   return { ...list, revision: offset, era: era || undefined, entries }
 }
 
-/** Decodes the list of backend servers. */
 export function decodeListedBackends({ era, ...list }: ListedBackendsMessage): ListedBackends {
   const entries = list.entries.map(entry => ({ ...entry, revision: decodePlace(entry.revision, era) }))
   return { ...list, revision: decodePlace(list.revision, era), entries }
@@ -137,7 +132,7 @@
   return (offset === undefined ? undefined : revisionAt({ era, offset })) as Offset
 }
 
-/** The offset of a revision in an era; 0, before all of that era, for one of an earlier era. */
+/** The offset of a revision in an era. For a revision of an earlier era it is 0, which precedes all offsets of the era. */
 function offsetIn(era: number, revision: number): number {
   const position = positionOf(revision)
   return position.era === era ? position.offset : 0
@@ -160,14 +155,14 @@
     service: z.string(),
     dependsOn: z.array(z.number().int()),
     resultBytes: z.number(),
-    /** Items of the stage. */
+    /** Number of items of the stage. */
     pieces: z.number().int(),
   })),
   key: z.string(),
   priority: z.number(),
   targetMs: z.number(),
   deadlineMs: z.number(),
-  /** The request is a retry. */
+  /** Whether the request is a retry. */
   returning: z.boolean(),
   /** Failure domain of the backend server that will read the results. */
   zone: z.string(),
@@ -178,7 +173,7 @@
   progress: z.array(progressSchema).optional(),
 })
 
-/** A preparation request on the wire. */
+/** Wire format of a preparation request. */
 export type PreparationRequestMessage = z.infer<typeof requestSchema>
 
 type ProgressMessage = z.infer<typeof progressSchema>
@@ -187,15 +182,14 @@
   progress?: ProgressMessage[]
 }
 
-/** How stage work ended, on the wire. */
+/** Wire format of the outcome of a preparation request. */
 export type PreparationReplyMessage
   = | { prepared: { handles: string[], zone: string, bytes: number, engine?: string } }
     | { failure: FailureMessage }
 
-/** Checks a preparation request and decodes it. */
+/** Validates and decodes a preparation request. */
 export const preparationRequestSchema = requestSchema.transform(decodeRequest)
 
-/** Encodes a preparation request. */
 export function encodePreparationRequest(request: PreparationRequest): PreparationRequestMessage {
   const { stages, isRetry, failureDomain, progress, ...rest } = request
   return {
@@ -218,7 +212,7 @@
   }
 }
 
-/** Encodes how stage work ended. */
+/** Encodes the outcome of a preparation request. */
 export function encodePreparationReply(result: Result<PreparedInputs, PreparationFailure>): PreparationReplyMessage {
   if (result.isOk()) {
     const { failureDomain, ...rest } = result.value
@@ -228,7 +222,7 @@
   return { failure: { ...failure, progress: progress?.map(encodeProgress) } }
 }
 
-/** Decodes how stage work ended. */
+/** Decodes the outcome of a preparation request. */
 export function decodePreparationReply(message: PreparationReplyMessage): Result<PreparedInputs, PreparationFailure> {
   if ('prepared' in message) {
     const { zone, ...rest } = message.prepared
--- a/packages/gateway/src/connection/peers/peer-router.ts
+++ b/packages/gateway/src/connection/peers/peer-router.ts
@@ -1,7 +1,8 @@
 /**
- * Procedures between gateways, by tRPC. It owns no state; the process that
- * implements `PeerService` does. Procedures and fields are on the wire between
- * releases: their names stay, and `peer-messages` decodes them.
+ * tRPC procedures between gateways. Stateless; the process implements
+ * `PeerService`. The names of procedures and fields are part of the protocol
+ * between releases and must not change; `peer-messages.ts` maps the fields to
+ * internal names.
  */
 import type { Result } from 'ts-results-es'
 import type { ConfigurationRecord } from '../../version/configuration-holder.js'
@@ -15,23 +16,23 @@
 
 const trpc = initTRPC.create()
 
-/** What a gateway answers to its peers. */
+/** What a gateway provides to its peers. */
 export interface PeerService {
   heartbeat: (heartbeat: Heartbeat) => HeartbeatReply
-  /** The configuration in force; undefined while none is known. */
+  /** The configuration in force; undefined if there is none yet. */
   configuration: () => ConfigurationRecord | undefined
-  /** The list of backend servers; its revision is 0 while none is known. */
+  /** The list of backend servers; its revision is 0 if the list is not known yet. */
   backends: () => ListedBackends
-  /** Does the stage work of a request; the signal aborts when the calling gateway leaves or abandons the call. */
+  /** Runs the stage work of a request; the signal is aborted when the calling gateway disconnects or cancels the call. */
   prepare: (request: PreparationRequest, signal: AbortSignal) => Promise<Result<PreparedInputs, PreparationFailure>>
-  /** Frees the results of requests; ids that aren't known are ignored. */
+  /** Releases the results of requests; unknown ids are ignored. */
   release: (requestIds: string[]) => void
 }
 
-/** The procedures of one gateway. */
+/** Creates the router with the procedures of one gateway. */
 export function createPeerRouter(service: PeerService) {
   return trpc.router({
-    // The heartbeat's name on the wire since the first release.
+    // Heartbeats have had this procedure name since the first release.
     greet: trpc.procedure.input(heartbeatSchema).mutation(({ input }) => encodeHeartbeatReply(service.heartbeat(input))),
     configuration: trpc.procedure.query(() => service.configuration() ?? null),
     backends: trpc.procedure.query(() => encodeListedBackends(service.backends())),
@@ -43,5 +44,5 @@
   })
 }
 
-/** The type that clients are made from. */
+/** Router type from which the peer clients are derived. */
 export type PeerRouter = ReturnType<typeof createPeerRouter>
--- a/packages/gateway/src/connection/peers/preparation.ts
+++ b/packages/gateway/src/connection/peers/preparation.ts
@@ -1,35 +1,35 @@
 /**
- * The stage work of one request as it is asked of a coordinator, and its
- * outcome. The coordinator is this gateway or another one; `peer-messages`
+ * The stage work of one request, as requested from a coordinator, and its
+ * outcome. The coordinator may be this gateway or another one; `peer-messages.ts`
  * encodes these types for calls between gateways.
  */
 import type { Result } from 'ts-results-es'
 import type { PromptPart } from '../clients/client-codec.js'
 
-/** One preparing stage of a request. */
+/** One preparatory stage of a request. */
 export interface PreparationStage {
   service: string
-  /** Numbers of the stages whose results this one reads. */
+  /** Indexes of the stages whose results this one reads. */
   dependsOn: number[]
   /** Expected size of one result, in bytes. */
   resultBytes: number
-  /** Number of items; 0 where the request needs none. */
+  /** Number of items; 0 if the request does not need the stage. */
   items: number
 }
 
-/** A result of a stage, as one coordinator hands it to the next. */
+/** A stage result, as handed over from one coordinator to the next. */
 export interface StageProgressResult {
   handle: string
-  /** Id of the backend server that holds it. */
+  /** Id of the backend server that stores it. */
   backend: string
   bytes: number
   /** Milliseconds until it expires. */
   remainingMs: number
 }
 
-/** A stage that an earlier coordinator has finished; its results are empty where all their readers have fetched them. */
+/** A stage that an earlier coordinator has completed; `results` is empty if all their readers have fetched them. */
 export interface StageProgress {
-  /** Number of the stage in its route. */
+  /** Index of the stage in its route. */
   stage: number
   results: StageProgressResult[]
 }
@@ -38,71 +38,71 @@
 export interface PreparationRequest {
   requestId: string
   stages: PreparationStage[]
-  /** Input of the stages that read no results. */
+  /** Input of the stages that depend on no other stage. */
   key: string
-  /** 0 is the most urgent. */
+  /** 0 is the highest priority. */
   priority: number
-  /** Milliseconds left until an answer misses its target; negative where it has. */
+  /** Milliseconds left to meet the target latency; negative if it has been missed. */
   targetMs: number
-  /** Milliseconds left until the client stops waiting. */
+  /** Milliseconds left until the client's deadline. */
   deadlineMs: number
-  /** The client was refused before and sent the request again. */
+  /** The client repeats a request that was rejected before. */
   isRetry: boolean
   /** Failure domain of the backend server that will read the results. */
   failureDomain: string
-  /** The same for each time that its client sends it; absent in requests of releases that do not tell it. */
+  /** Identical each time that the client sends the request; undefined for releases that do not send it. */
   fingerprint?: string
-  /** The service that answers the request. */
+  /** The service that the request is for. */
   service?: string
-  /** Parts of its prompt in order; absent where it has none. */
+  /** Parts of its prompt in order; undefined if it has none. */
   prompt?: PromptPart[]
-  /** Name of the shard that does the work (`stage-shard.ts`). @default all */
+  /** Name of the shard that does the work, see `stage-shard.ts`. @default all */
   shard?: string
-  /** Stages that an earlier coordinator has finished and handed over. */
+  /** Stages that an earlier coordinator has completed and handed over. */
   progress?: StageProgress[]
 }
 
-/** Results for the request's backend server. */
+/** Stage results for the backend server of the request. */
 export interface PreparedInputs {
   handles: string[]
-  /** Failure domain in which most of their bytes are. */
+  /** Failure domain that holds most of their bytes. */
   failureDomain: string
   /** Size of all results, in bytes. */
   bytes: number
-  /** Id of the model engine that shall read them, where the coordinator chose one. */
+  /** Id of the model engine that should read them, if the coordinator chose one. */
   engine?: string
 }
 
-/** Why stage work ended without results. */
+/** Why stage work failed. */
 export enum PreparationFailureKind {
-  /** It cannot end before its deadline. */
+  /** It cannot be completed before its deadline. */
   TooLate = 'too-late',
-  /** It would miss its target behind the work that waits; nothing was started. */
+  /** It would miss its target because of queued work; nothing was started. */
   Overloaded = 'overloaded',
-  /** A stage's service is unknown. The value is on the wire between gateways. */
+  /** No backend server of a stage's service is known. The value is part of the protocol between gateways. */
   NoBackend = 'no-replica',
   /** Items failed repeatedly. */
   Failed = 'failed',
-  /** The coordinator is stopping; the next one continues the work. */
+  /** The coordinator is shutting down; the next one continues the work. */
   HandedOver = 'handed-over',
   /** The request was cancelled. */
   Cancelled = 'cancelled',
 }
 
-/** Stage work that ended without results. Nothing that must not be repeated has run. */
+/** Failed stage work. Nothing that must not be repeated was executed. */
 export interface PreparationFailure {
   kind: PreparationFailureKind
   message: string
-  /** Milliseconds after which a retry is worth while. */
+  /** Milliseconds after which a retry is likely to succeed. */
   retryAfterMs: number
-  /** Finished stages, where the work is handed over. */
+  /** Completed stages, if the work is handed over. */
   progress?: StageProgress[]
 }
 
 /** Runs the stage work of requests. */
 export interface Preparer {
-  /** Ends with a failure of kind `cancelled` when the signal aborts. */
+  /** Fails with kind `cancelled` when the signal is aborted. */
   prepare: (request: PreparationRequest, signal: AbortSignal) => Promise<Result<PreparedInputs, PreparationFailure>>
-  /** Frees the results of a request; does nothing where it has none. */
+  /** Releases the results of a request; does nothing if there are none. */
   release: (requestId: string) => void
 }
--- a/packages/gateway/src/connection/peers/stage-shard.ts
+++ b/packages/gateway/src/connection/peers/stage-shard.ts
@@ -1,7 +1,8 @@
 /**
- * A shard of the stage work: the stage backend servers and model engines of some
- * failure domains, which one gateway coordinates. Its name says which domains
- * they are, so that gateways need not agree on a division beforehand.
+ * A shard of the stage work: the stage backend servers and model engines of
+ * certain failure domains, which are coordinated by one gateway. The name of a
+ * shard lists its failure domains, so that gateways need not agree on a partition
+ * beforehand.
  */
 
 /** Separates the failure domains in the name of a shard. */
@@ -15,21 +16,21 @@
   readonly failureDomains: readonly string[]
 }
 
-/** All stage work together. */
+/** The shard that covers all stage work. */
 export const WHOLE_SHARD: StageShard = { name: '', failureDomains: [] }
 
-/** The shard of some failure domains. */
+/** Creates the shard of the given failure domains. */
 export function createShard(failureDomains: readonly string[]): StageShard {
   const sorted = [...failureDomains].sort()
   return { name: sorted.join(SEPARATOR), failureDomains: sorted }
 }
 
-/** The shard that a peer named. */
+/** Decodes a shard from its name. */
 export function decodeShard(name: string): StageShard {
   return name === '' ? WHOLE_SHARD : createShard(name.split(SEPARATOR))
 }
 
-/** Whether what lies in a failure domain belongs to a shard. */
+/** Whether a failure domain belongs to a shard. */
 export function isInShard({ failureDomains }: StageShard, failureDomain: string | undefined): boolean {
   return failureDomains.length === 0 || (failureDomain !== undefined && failureDomains.includes(failureDomain))
 }
--- a/packages/gateway/src/version/configuration-holder.ts
+++ b/packages/gateway/src/version/configuration-holder.ts
@@ -1,33 +1,34 @@
 /**
- * Decides which version of the configuration is in force at this process, and
+ * Decides which version of the configuration is in force in this process, and
  * holds it.
  *
- * Inputs: texts from the platform's store and from peers, in any order and as
- * often as they come.
- * Rule: a text that can be decoded and has a higher version number replaces the
- * one held; any other is passed over.
- * Why: sources are late by different times, so only the number tells which is
- * newer; a faulty text must not take the last good one out of service.
- * Log events: `configuration` (taken, from which source), `configuration-rejected`.
+ * Inputs: configuration texts from the platform's store and from peers, in any
+ * order and possibly repeated.
+ * Rule: a valid text with a higher version number replaces the current one; any
+ * other is ignored.
+ * Why: the delays of the sources differ, so only the version number shows which
+ * text is newer; and an invalid text must not replace the last valid one.
+ * Log events: `configuration` (accepted, and from which source),
+ * `configuration-rejected`.
  *
- * State: the newest version since the process began. A new process has none and
- * serves no requests until a source brings one.
+ * State: the newest version since the process started. A new process has none and
+ * serves no requests until it receives one.
  */
 import type { EventLog } from '@eidermast/common'
 import type { Configuration } from './configuration.js'
 import { formatError } from '@eidermast/common'
 import { RouteTable } from './route-table.js'
 
-/** A configuration as its source wrote it, so that it can be passed on to peers unchanged. */
+/** A configuration in its original text, so that it is forwarded to peers unchanged. */
 export interface ConfigurationRecord {
   version: number
   text: string
 }
 
-/** Reads a configuration's text; throws an error that names what is wrong. */
+/** Decodes a configuration text; throws an error that describes the first problem. */
 export type ConfigurationDecoder = (text: string) => Configuration
 
-/** Holds the newest configuration seen. */
+/** Holds the newest configuration received. */
 export class ConfigurationHolder {
   private currentTable: RouteTable | undefined
   private currentRecord: ConfigurationRecord | undefined
@@ -35,29 +36,29 @@
 
   constructor(private readonly decode: ConfigurationDecoder, private readonly log: EventLog) {}
 
-  /** The version in force, indexed for requests; undefined while none is known. */
+  /** The current version, indexed for requests; undefined if there is none yet. */
   get table(): RouteTable | undefined {
     return this.currentTable
   }
 
-  /** The version in force as its source wrote it; undefined while none is known. */
+  /** The current version in its original text; undefined if there is none yet. */
   get record(): ConfigurationRecord | undefined {
     return this.currentRecord
   }
 
-  /** Version in force; 0 while none is known. */
+  /** Number of the current version; 0 if there is none yet. */
   get version(): number {
     return this.currentRecord?.version ?? 0
   }
 
-  /** Calls back for each version taken from now on, after it is in force. */
+  /** Registers a listener that is called for each new version, after it has come into force. */
   onChange(listener: (table: RouteTable) => void): void {
     this.listeners.push(listener)
   }
 
   /**
-   * Takes a text if it is valid and newer, and returns whether it did; a faulty
-   * one is logged and the last good one stays.
+   * Accepts a text if it is valid and newer, and returns whether it did. An
+   * invalid text is logged, and the current version stays in force.
    */
   offer(text: string, source: string): boolean {
     const configuration = this.read(text, source)
--- a/packages/gateway/src/version/configuration.ts
+++ b/packages/gateway/src/version/configuration.ts
@@ -1,114 +1,114 @@
 /**
- * What operators publish: routes, services, client accounts and limits, held
- * whole under one version. The adapter decodes the platform's text into these
- * types; nothing changes them afterwards.
+ * Operator configuration: routes, services, client accounts and limits under one
+ * version number. The platform's adapter decodes the configuration text into
+ * these types, which are immutable afterwards.
  */
 
-/** A service that a route may use, and its share of the route's requests. */
+/** A service of a route, and its share of the route's requests. */
 export interface WeightedService {
   service: string
-  /** Relative share; 0 is never chosen. */
+  /** Relative weight; a service with weight 0 is never chosen. */
   weight: number
 }
 
-/** One preparing stage of a route; stages are numbered by their place in the list. */
+/** One preparatory stage of a route; stages are identified by their index in the list. */
 export interface StageDefinition {
   service: string
-  /** Numbers of the stages whose results this one reads. */
+  /** Indexes of the stages whose results this one reads. */
   dependsOn: number[]
-  /** About the size of one result, in bytes. */
+  /** Approximate size of one result, in bytes. */
   resultBytes: number
 }
 
-/** How requests of one host and path prefix are served. */
+/** How requests for a host and path prefix are served. */
 export interface Route {
   name: string
   host: string
-  /** Begins and ends with a slash. */
+  /** Starts and ends with a slash. */
   pathPrefix: string
-  /** The answer is a stream of events. */
+  /** Whether the response is an event stream. */
   streaming: boolean
-  /** Whether a request may run more than once. */
+  /** Whether a request may be executed more than once. */
   repeatable: boolean
-  /** Whether a stream may go on at another backend server after its last event. */
+  /** Whether a stream can be resumed at another backend server after its last event. */
   resumable: boolean
-  /** Maximum time that a request is held, in milliseconds. */
+  /** Maximum duration of a request, in milliseconds. */
   timeoutMs: number
-  /** The time within which an answer is worth most, in milliseconds. */
+  /** Target latency of responses, in milliseconds. */
   targetLatencyMs: number
-  /** Maximum pause between events of an answer that is in time, in milliseconds. */
+  /** Target for the maximum gap between events of a stream, in milliseconds. */
   targetGapMs: number
-  /** 0 is the most urgent. */
+  /** 0 is the highest priority. */
   priority: number
   services: WeightedService[]
-  /** Maximum number of backend servers at which one request may run. */
+  /** Maximum number of backend servers that one request may be sent to. */
   maxAttempts: number
   stages: StageDefinition[]
-  /** Served without a key. */
+  /** Whether requests need no API key. */
   public: boolean
 }
 
-/** Limits of a backend server that makes stage results. */
+/** Limits of a backend server of a stage service. */
 export interface StageLimits {
-  /** Calls at work at once. */
+  /** Maximum number of concurrent calls. */
   concurrency: number
-  /** Maximum number of items in one call. */
+  /** Maximum number of items per call. */
   batch: number
-  /** Fixed time of a call, in milliseconds. */
+  /** Fixed duration of a call, in milliseconds. */
   callMs: number
-  /** Further time of each item, in milliseconds. */
+  /** Additional duration per item, in milliseconds. */
   itemMs: number
   /** Memory for results, in bytes. */
   resultMemoryBytes: number
-  /** How long a result is kept after its call, in milliseconds. */
+  /** How long a result is stored after its call, in milliseconds. */
   resultLifetimeMs: number
-  /** Speed at which results are fetched, in megabits a second. */
+  /** Bandwidth for fetching results, in megabits per second. */
   bandwidthMbps: number
 }
 
-/** Limits of a model backend server. */
+/** Limits of a backend server that runs a model engine. */
 export interface EngineLimits {
-  /** Requests at work at once. */
+  /** Maximum number of concurrent requests. */
   concurrency: number
-  /** Tokens that its memory holds. */
+  /** Capacity of its KV cache, in tokens. */
   memoryTokens: number
 }
 
 /** A pool of backend servers. */
 export interface Service {
   name: string
-  /** Connections that one backend server takes from all callers together. */
+  /** Maximum number of connections that one backend server accepts from all gateways together. */
   maxConnections: number
   engine?: EngineLimits
   stage?: StageLimits
   /** How long a backend server is cold after its start, in milliseconds. @default 0 */
   coldStartMs?: number
-  /** Requests a second that a cold backend server withstands from all callers together; absent where there is no bound. */
+  /** Requests per second that a cold backend server can handle from all gateways together; undefined if there is no limit. */
   coldPerSecond?: number
 }
 
-/** Bounds on what a client may send and how long it may take. */
+/** Size limits and timeouts for client connections. */
 export interface ClientLimits {
-  /** Request line and headers together. */
+  /** Maximum size of request line and headers together. */
   maxHeaderBytes: number
   maxBodyBytes: number
-  /** How long a head may take to come. */
+  /** Timeout for receiving a request head. */
   headerTimeoutMs: number
-  /** How long an idle connection is kept. */
+  /** Timeout for idle connections. */
   idleTimeoutMs: number
 }
 
-/** A customer with its keys. */
+/** A client account with its API keys. */
 export interface ClientAccount {
   name: string
   keys: string[]
-  /** Goes before the route's priority. */
+  /** Takes precedence over the route's priority. */
   priority?: number
 }
 
-/** The whole configuration under one version. */
+/** The complete configuration under one version number. */
 export interface Configuration {
-  /** Higher is newer. */
+  /** Higher numbers are newer. */
   version: number
   routes: Route[]
   services: Service[]
--- a/packages/gateway/src/version/evacuation-order.ts
+++ b/packages/gateway/src/version/evacuation-order.ts
@@ -1,21 +1,21 @@
 /**
- * An operator's order about one failure domain: nothing more is sent to its
- * backend servers, until the order is taken back.
+ * Operator orders to evacuate a failure domain: no new work is sent to its
+ * backend servers until the order is revoked.
  */
 
-/** The newest order about a failure domain. */
+/** The latest order for a failure domain. */
 export interface EvacuationOrder {
   failureDomain: string
-  /** Whether the failure domain is evacuated; false where that was taken back. */
+  /** Whether the failure domain is evacuated; false if the evacuation was revoked. */
   evacuated: boolean
-  /** Place of the order among the operator's records: of two orders the one with the higher revision is the newer. */
+  /** Position of the order in the operator's records; the order with the higher revision is the newer one. */
   revision: number
 }
 
-/** The orders in force at one moment, as the operator's records hold them. */
+/** The evacuation orders in force as of a revision of the operator's records. */
 export interface EvacuationOrders {
-  /** Up to which of the operator's records they are known. */
+  /** Revision up to which the operator's records have been read. */
   revision: number
-  /** One for each failure domain that is evacuated. */
+  /** One order per evacuated failure domain. */
   orders: readonly EvacuationOrder[]
 }
--- a/packages/gateway/src/version/route-table.ts
+++ b/packages/gateway/src/version/route-table.ts
@@ -1,24 +1,24 @@
 /**
- * Decides within one version of the configuration which route a path belongs
- * to, which service takes a request of it, and how urgent a request is.
+ * Decides, for one version of the configuration, which route a path belongs to,
+ * which service receives a request of the route, and the priority of a request.
  *
- * Inputs: host and path, the route's weights, the priorities of route and
- * client account; all of the one version.
- * Rule: the longest matching path prefix of the host. Services by their weights.
- * A client account's priority goes before its route's, which orders requests of
- * accounts that are alike.
- * Why accounts first: a route's priority alone would let one account's urgent
- * route hold back every account that is more urgent.
+ * Inputs: host and path, the weights of the route's services, the priorities of
+ * route and client account; all from the same version.
+ * Rule: the longest matching path prefix of the host; services by their
+ * weights. The priority of the client account takes precedence over that of the
+ * route, which only orders requests of accounts with equal priority.
+ * Why accounts first: if only the route's priority counted, a single account
+ * could use a high-priority route to delay all accounts with a higher priority.
  * Log event: `request-ended` (`route`), `route` (`service`).
  *
- * It is built once for each version and isn't changed.
+ * Built once per version, and immutable.
  */
 import type { ClientAccount, Configuration, Route, Service } from './configuration.js'
 
 /**
- * Levels of routes that one level of client accounts weighs as much as. Twice
- * as many would leave no level for routes, since backend servers know ten in
- * all; half as many would let routes outweigh accounts.
+ * Number of route priorities per account priority. With twice as many, no levels
+ * would be left for routes, since backend servers support ten levels in total;
+ * with half as many, routes would outweigh accounts.
  */
 const ROUTE_LEVELS = 3
 
@@ -27,7 +27,7 @@
   private readonly routesByHost = new Map<string, Route[]>()
   private readonly accountsByKey = new Map<string, ClientAccount>()
   private readonly servicesByName = new Map<string, Service>()
-  /** The lowest number among the priorities of client accounts. */
+  /** Highest priority (lowest number) of all client accounts. */
   private readonly mostUrgentAccount: number
 
   constructor(readonly configuration: Configuration) {
@@ -44,28 +44,28 @@
     this.mostUrgentAccount = Math.min(...configuration.accounts.map(account => account.priority ?? 0))
   }
 
-  /** Whether requests on routes that are not public need a key. */
+  /** Whether requests need an API key, except on public routes. */
   get needsKeys(): boolean {
     return this.configuration.accounts.length > 0
   }
 
-  /** The route with the longest prefix that begins the path, among those of the host. */
+  /** The route of the host with the longest path prefix that matches. */
   findRoute(host: string, path: string): Route | undefined {
     return this.routesByHost.get(host.toLowerCase())?.find(route => path.startsWith(route.pathPrefix))
   }
 
-  /** The client account that holds a key. */
+  /** The client account that an API key belongs to. */
   findAccount(key: string): ClientAccount | undefined {
     return this.accountsByKey.get(key)
   }
 
-  /** Priority of a request, 0 the most urgent. */
+  /** Priority of a request; 0 is the highest. */
   priorityOf(route: Route, account: ClientAccount | undefined): number {
     const accountLevel = account ? (account.priority ?? 0) - this.mostUrgentAccount : 0
     return accountLevel * ROUTE_LEVELS + route.priority
   }
 
-  /** A service by its name; undefined where the version has none of that name. */
+  /** A service by name; undefined if this version does not define it. */
   findService(name: string): Service | undefined {
     return this.servicesByName.get(name)
   }
@@ -80,7 +80,7 @@
   }
 }
 
-/** Picks one of a route's services by weight; `position` lies in [0, 1). Undefined where no service has a weight. */
+/** Chooses a service of a route by weight; `position` lies in [0, 1). Undefined if all weights are 0. */
 export function pickService(route: Route, position: number): string | undefined {
   const total = route.services.reduce((sum, entry) => sum + entry.weight, 0)
   let remaining = position * total
