--- a/test/gateway/configuration-holder.test.ts
+++ b/test/gateway/configuration-holder.test.ts
@@ -5,8 +5,8 @@
 
 const SEED = 20261202
 
-describe('the configuration in force', () => {
-  test('only rises, whatever the order and the source', () => {
+describe('the configuration version in force', () => {
+  test('only increases, regardless of order and source', () => {
     const decode = (text: string) => createConfiguration({ version: Number(text) })
     fc.assert(fc.property(fc.array(fc.nat(30), { minLength: 1 }), (versions) => {
       const holder = new ConfigurationHolder(decode, createLog().log)
@@ -19,7 +19,7 @@
     }), { seed: SEED })
   })
 
-  test('stays when a faulty one comes, and the fault is logged', () => {
+  test('stays in force when an invalid configuration is received, which is logged', () => {
     const { log, lines } = createLog()
     const holder = new ConfigurationHolder((text) => {
       if (text === 'bad')
--- a/test/gateway/peer-calls.test.ts
+++ b/test/gateway/peer-calls.test.ts
@@ -49,33 +49,33 @@
 })
 
 describe('a call between gateways', () => {
-  test('brings a heartbeat and its answer', async () => {
+  test('delivers a heartbeat and returns its response', async () => {
     expect(await clients.heartbeat(peer, HEARTBEAT)).toEqual({ version: 7, stopping: false, slow: true })
     expect(service.heartbeat).toHaveBeenCalledWith(HEARTBEAT)
   })
 
-  test('brings a configuration, and null where there is none', async () => {
+  test('returns the configuration, or null if there is none', async () => {
     expect(await clients.configuration(peer)).toBeNull()
     service.configuration.mockReturnValueOnce({ version: 4, text: '{}' } as never)
     expect(await clients.configuration(peer)).toEqual({ version: 4, text: '{}' })
   })
 
-  test('brings the list of backend servers', async () => {
+  test('returns the list of backend servers', async () => {
     expect(await clients.backends(peer)).toEqual(BACKENDS)
   })
 
-  test('brings stage work and how it ended', async () => {
+  test('delivers a preparation request and returns its outcome', async () => {
     const result = await clients.prepare(peer, REQUEST, new AbortController().signal)
     expect(result.unwrapErr()).toEqual(OVERLOADED)
     expect(service.prepare.mock.calls[0][0]).toEqual(REQUEST)
   })
 
-  test('brings releases', async () => {
+  test('delivers released request ids', async () => {
     await clients.release(peer, ['request-1', 'request-2'])
     expect(service.release).toHaveBeenCalledWith(['request-1', 'request-2'])
   })
 
-  test('that its caller abandons aborts the work at the peer', async () => {
+  test('aborts the work at the peer when the caller aborts the call', async () => {
     const aborted = vi.fn()
     service.prepare.mockImplementationOnce((_request, signal) => new Promise(() => signal.addEventListener('abort', aborted)))
     const abandon = new AbortController()
@@ -86,7 +86,7 @@
     await vi.waitFor(() => expect(aborted).toHaveBeenCalledOnce())
   })
 
-  test('that was answered aborts nothing', async () => {
+  test('aborts nothing at the peer after the response was sent', async () => {
     const aborted = vi.fn()
     service.prepare.mockImplementationOnce(async (_request, signal) => {
       signal.addEventListener('abort', aborted)
@@ -98,19 +98,19 @@
     expect(aborted).not.toHaveBeenCalled()
   })
 
-  test('rejects with the reason where the peer fails', async () => {
+  test('rejects with the error message of the peer', async () => {
     service.heartbeat.mockImplementationOnce(() => {
-      throw new Error('no answer today')
+      throw new Error('heartbeat handler failed')
     })
-    await expect(clients.heartbeat(peer, HEARTBEAT)).rejects.toThrow('no answer today')
+    await expect(clients.heartbeat(peer, HEARTBEAT)).rejects.toThrow('heartbeat handler failed')
   })
 
   test.each([
-    ['of an unknown procedure', 'unknown', '{}', 404],
-    ['with input of another shape', 'greet', '{"name":1}', 400],
-    ['that is no JSON', 'greet', '{', 400],
+    ['to an unknown procedure', 'unknown', '{}', 404],
+    ['with input that violates the schema', 'greet', '{"name":1}', 400],
+    ['with invalid JSON', 'greet', '{', 400],
     ['with too large an input', 'greet', `"${'x'.repeat(4_000_001)}"`, 400],
-  ])('%s is refused', async (_name, path, body, status) => {
+  ])('%s is rejected', async (_name, path, body, status) => {
     const response = await request(`http://${peer.address}/${path}`, { method: 'POST', headers: { 'content-type': 'application/json' }, body })
     expect(response.statusCode).toBe(status)
     expect(await response.body.json()).toHaveProperty('error')
--- a/test/gateway/peer-messages.test.ts
+++ b/test/gateway/peer-messages.test.ts
@@ -25,7 +25,7 @@
   progress: [{ stage: 0, results: [{ handle: 'h-1', backend: 'backend-1', bytes: 10, remainingMs: 90 }] }],
 }
 
-/** As the first release sends it. */
+/** Wire format of `REQUEST`, unchanged since the first release. */
 const REQUEST_MESSAGE = {
   requestId: 'id-1',
   stages: [
@@ -45,33 +45,33 @@
   return JSON.parse(JSON.stringify(value))
 }
 
-describe('messages between gateways of two releases', () => {
-  test('pass the shard of a request on, and need none', () => {
+describe('messages between gateways of different releases', () => {
+  test('include the shard of a request, which is optional', () => {
     const message = { ...REQUEST_MESSAGE, shard: 'a+b' }
     expect(preparationRequestSchema.parse(message)).toMatchObject({ shard: 'a+b' })
     expect(preparationRequestSchema.parse(REQUEST_MESSAGE).shard).toBeUndefined()
     expect(overTheWire(encodePreparationRequest({ ...REQUEST, shard: 'a+b' }))).toStrictEqual(message)
   })
 
-  test('encode a preparation request as the first release does', () => {
+  test('encode a preparation request in the format of the first release', () => {
     expect(overTheWire(encodePreparationRequest(REQUEST))).toStrictEqual(REQUEST_MESSAGE)
     expect(preparationRequestSchema.parse(REQUEST_MESSAGE)).toEqual(REQUEST)
   })
 
-  test('carry a prompt for releases that choose the engine by it', () => {
+  test('include the prompt for releases that choose the engine by it', () => {
     const prompt = { service: 'model', prompt: [{ id: 'part', tokens: 3 }] }
     expect(overTheWire(encodePreparationRequest({ ...REQUEST, ...prompt }))).toStrictEqual({ ...REQUEST_MESSAGE, ...prompt })
     expect(preparationRequestSchema.parse({ ...REQUEST_MESSAGE, ...prompt })).toEqual({ ...REQUEST, ...prompt })
   })
 
   test.each([
-    ['that passes its list of backend servers on', { name: 'gateway-b', address: '127.0.0.1:1', version: 3, backends: 9 }],
-    ['that does not', { name: 'gateway-b', address: '127.0.0.1:1', version: 3 }],
-  ])('take the heartbeat of a release %s', (_name, heartbeat) => {
+    ['with a revision of its list of backend servers', { name: 'gateway-b', address: '127.0.0.1:1', version: 3, backends: 9 }],
+    ['without one', { name: 'gateway-b', address: '127.0.0.1:1', version: 3 }],
+  ])('decode a heartbeat of a release %s', (_name, heartbeat) => {
     expect(heartbeatSchema.parse(overTheWire(heartbeat))).toStrictEqual(heartbeat)
   })
 
-  test('leave progress out where there is none', () => {
+  test('omit the progress if there is none', () => {
     const { progress, ...message } = REQUEST_MESSAGE
     expect(overTheWire(encodePreparationRequest({ ...REQUEST, progress: undefined }))).toStrictEqual(message)
     expect(preparationRequestSchema.parse(message).progress).toBeUndefined()
@@ -84,7 +84,7 @@
       { prepared: { handles: ['h-1'], zone: 'domain-a', bytes: 10 } },
     ],
     [
-      'prepared inputs with the engine that shall read them',
+      'prepared inputs with the engine that should read them',
       Ok({ handles: ['h-1'], failureDomain: 'domain-a', bytes: 10, engine: 'engine-1' }),
       { prepared: { handles: ['h-1'], zone: 'domain-a', bytes: 10, engine: 'engine-1' } },
     ],
@@ -98,7 +98,7 @@
       Err({ kind: PreparationFailureKind.NoBackend, message: 'none', retryAfterMs: 800 }),
       { failure: { kind: 'no-replica', message: 'none', retryAfterMs: 800 } },
     ],
-  ])('encode and decode %s as the first release does', (_name, result, message) => {
+  ])('encode and decode %s in the format of the first release', (_name, result, message) => {
     expect(overTheWire(encodePreparationReply(result))).toStrictEqual(message)
     const decoded = decodePreparationReply(message as never)
     expect(decoded.isOk()).toBe(result.isOk())
--- a/test/gateway/route-table.test.ts
+++ b/test/gateway/route-table.test.ts
@@ -10,14 +10,14 @@
   const table = new RouteTable(createConfiguration({ routes: [URGENT, OTHER], accounts: [FIRST, SECOND] }))
 
   test.each([
-    ['of a more urgent route among requests of one client account', [URGENT, FIRST], [OTHER, FIRST]],
-    ['of a more urgent client account whatever the routes', [OTHER, FIRST], [URGENT, SECOND]],
-    ['of a route without a client account by its route', [URGENT, undefined], [OTHER, undefined]],
-  ] as const)('goes first %s', (_name, [route, account], [otherRoute, otherAccount]) => {
+    ['by route priority among requests of the same client account', [URGENT, FIRST], [OTHER, FIRST]],
+    ['by account priority, regardless of route priority', [OTHER, FIRST], [URGENT, SECOND]],
+    ['by route priority without a client account', [URGENT, undefined], [OTHER, undefined]],
+  ] as const)('is higher %s', (_name, [route, account], [otherRoute, otherAccount]) => {
     expect(table.priorityOf(route, account)).toBeLessThan(table.priorityOf(otherRoute, otherAccount))
   })
 
-  test('is the route\'s own where all client accounts are alike', () => {
+  test('equals the route priority if all client accounts have the same priority', () => {
     expect(table.priorityOf(OTHER, FIRST)).toBe(OTHER.priority)
   })
 })
@@ -40,7 +40,7 @@
     expect(table.findRoute(host, path)?.name).toBe(name)
   })
 
-  test('choose services by weight, and never one without weight', () => {
+  test('choose services in proportion to their weights, and never one with weight 0', () => {
     const services = [{ service: 'none', weight: 0 }, { service: 'most', weight: 90 }, { service: 'few', weight: 10 }]
     const route = createRoute({ services })
     const picked = Array.from({ length: 1000 }, (_, index) => pickService(route, index / 1000))
--- a/test/platform/backend-client.test.ts
+++ b/test/platform/backend-client.test.ts
@@ -21,7 +21,7 @@
 let connections: BackendConnections | undefined
 let intake: IntakeGate
 
-/** A backend server that writes raw bytes for each request that it gets. */
+/** Starts a backend server that writes raw bytes in response to each request. */
 async function startBackend(respond: (socket: Socket, request: number) => void): Promise<Backend> {
   let requests = 0
   server = createServer((socket) => {
@@ -56,8 +56,8 @@
   server?.close()
 })
 
-describe('an answer of a backend server', () => {
-  test('is handed on with its head and body', async () => {
+describe('a response of a backend server', () => {
+  test('is returned with its head and body', async () => {
     const bytes = answer('200 OK', { 'Server-Signature': 's', 'Replica-Load': '2,1,6' }, 'whole')
     const backend = await startBackend(socket => socket.write(bytes))
     const result = (await createClient().run(backend, CALL, NEVER)).unwrap()
@@ -68,21 +68,21 @@
   })
 
   test.each([
-    ['echoes another id', answer('200 OK', { 'Attempt-Id': 'id-0' }, 'x'), CallFailureKind.Broken],
-    ['echoes no id', 'HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx', CallFailureKind.Broken],
-    ['is no answer', 'nonsense\r\n\r\n', CallFailureKind.Broken],
-    ['is a refusal', answer('503 Full', { 'Not-Executed': '1' }), CallFailureKind.Refused],
-    ['is of another backend server', answer('421 Misdirected', {}), CallFailureKind.Misdirected],
-    ['says that an input is gone', answer('409 Conflict', { 'Not-Executed': '1' }), CallFailureKind.InputGone],
-  ])('that %s is reported as that', async (_name, bytes, kind) => {
+    ['echoes another request id', answer('200 OK', { 'Attempt-Id': 'id-0' }, 'x'), CallFailureKind.Broken],
+    ['echoes no request id', 'HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx', CallFailureKind.Broken],
+    ['is not valid HTTP', 'nonsense\r\n\r\n', CallFailureKind.Broken],
+    ['rejects the request as not executed', answer('503 Full', { 'Not-Executed': '1' }), CallFailureKind.Refused],
+    ['comes from another backend server', answer('421 Misdirected', {}), CallFailureKind.Misdirected],
+    ['reports a missing input', answer('409 Conflict', { 'Not-Executed': '1' }), CallFailureKind.InputGone],
+  ])('that %s is reported as a failure of the matching kind', async (_name, bytes, kind) => {
     const backend = await startBackend(socket => socket.write(bytes))
     expect((await createClient().run(backend, CALL, NEVER)).unwrapErr().kind).toBe(kind)
   })
 
   test.each([
-    ['with a length', answer('200 OK', { 'Content-Length': '10' }).replace('\r\n\r\n', '\r\n\r\nhalf')],
-    ['in chunks', 'HTTP/1.1 200 OK\r\nAttempt-Id: id-1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n'],
-  ])('%s that breaks off never looks whole', async (_name, bytes) => {
+    ['with a content length', answer('200 OK', { 'Content-Length': '10' }).replace('\r\n\r\n', '\r\n\r\nhalf')],
+    ['with chunked encoding', 'HTTP/1.1 200 OK\r\nAttempt-Id: id-1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n'],
+  ])('%s that is cut off is never reported as complete', async (_name, bytes) => {
     const backend = await startBackend((socket) => {
       socket.write(bytes)
       setTimeout(() => socket.destroy(), 30)
@@ -91,13 +91,13 @@
     await expect(readAll(result.body)).rejects.toThrow()
   })
 
-  test('without a length ends with its connection', async () => {
+  test('without a content length ends when the connection closes', async () => {
     const backend = await startBackend(socket => socket.end('HTTP/1.1 200 OK\r\nAttempt-Id: id-1\r\n\r\nwhole'))
     const result = (await createClient().run(backend, CALL, NEVER)).unwrap()
     expect(await readAll(result.body)).toBe('whole')
   })
 
-  test('without a length that is reset never looks whole', async () => {
+  test('without a content length whose connection is reset is never reported as complete', async () => {
     const backend = await startBackend((socket) => {
       socket.write('HTTP/1.1 200 OK\r\nAttempt-Id: id-1\r\nConnection: close\r\n\r\nhalf')
       setTimeout(() => socket.resetAndDestroy(), 30)
@@ -106,7 +106,7 @@
     await expect(readAll(result.body)).rejects.toThrow()
   })
 
-  test('that comes twice spoils its own connection alone', async () => {
+  test('that is sent twice affects only its own connection', async () => {
     const backend = await startBackend((socket, request) => {
       const own = answer('200 OK', { 'Attempt-Id': `id-${request}` }, `body-${request}`)
       socket.write(request === 1 ? own + answer('200 OK', { 'Attempt-Id': 'id-1' }, 'surplus') : own)
@@ -118,7 +118,7 @@
     expect(await readAll(second.body)).toBe('body-2')
   })
 
-  test('that comes late, in the place of the next one, does not answer it', async () => {
+  test('that arrives late is not taken for the response to the next request', async () => {
     const backend = await startBackend((socket, request) => {
       socket.write(answer('200 OK', { 'Attempt-Id': 'id-1' }, `body-${request}`))
     })
@@ -128,19 +128,19 @@
   })
 })
 
-describe('a call that gets no answer', () => {
-  test('may have run where its bytes were sent', async () => {
+describe('a call without a response', () => {
+  test('may have been executed if it was sent', async () => {
     const backend = await startBackend(socket => socket.destroy())
     expect((await createClient().run(backend, CALL, NEVER)).unwrapErr().kind).toBe(CallFailureKind.Broken)
   })
 
-  test('has not run where nobody listens', async () => {
+  test('was not sent if the connection is refused', async () => {
     const backend = await startBackend(() => {})
     await new Promise(resolve => server!.close(resolve))
     expect((await createClient().run(backend, CALL, NEVER)).unwrapErr().kind).toBe(CallFailureKind.NotSent)
   })
 
-  test('may have run where this process abandoned it', async () => {
+  test('may have been executed if this process aborted it after sending it', async () => {
     const backend = await startBackend(() => {})
     const ending = new AbortController()
     setTimeout(() => ending.abort(), 50)
@@ -155,7 +155,7 @@
   let client: HttpBackendClient
   let ending: AbortController
 
-  /** A backend server whose connections are all taken by calls that it never answers. */
+  /** Occupies all connections of the backend server with calls that it never responds to. */
   beforeEach(async () => {
     received = 0
     backend = await startBackend((_, request) => void (received = request))
@@ -166,14 +166,14 @@
     await vi.waitFor(() => expect(received).toBe(CONNECTIONS))
   })
 
-  /** Frees the connections and shows that nothing more was sent through them. */
+  /** Frees the connections and checks that no further request was sent over them. */
   async function expectNothingMore(): Promise<void> {
     ending.abort()
     await wait(100)
     expect(received).toBe(CONNECTIONS)
   }
 
-  test('ends at once, as not sent, when it is abandoned', async () => {
+  test('ends immediately as not sent when it is aborted', async () => {
     const abandoning = new AbortController()
     const waiting = client.run(backend, CALL, abandoning.signal)
     abandoning.abort()
@@ -182,7 +182,7 @@
   })
 
   test.each([
-    ['begins to leave', () => {
+    ['starts to leave', () => {
       backend.record.draining = true
       connections!.turnAwayWaiting(backend)
     }],
@@ -190,7 +190,7 @@
       backend.removed = true
       connections!.forget(backend)
     }],
-  ])('is turned away when its backend server %s, requests and stage work alike', async (_name, leave) => {
+  ])('is rejected when its backend server %s, for requests and stage calls alike', async (_name, leave) => {
     const stages = new HttpStageClient(connections!, new PlatformLog(createLog().log))
     const waiting = client.run(backend, CALL, NEVER)
     const stageCall = stages.run(backend, [{ requestId: 'id-1', stage: 0, index: 0, remainingMs: 1000 }], NEVER)
@@ -200,7 +200,7 @@
     await expectNothingMore()
   })
 
-  test('is not written where its backend server began to leave and nothing has turned it away yet', async () => {
+  test('is not sent if its backend server has started to leave and the queue has not been rejected yet', async () => {
     const waiting = client.run(backend, CALL, NEVER)
     backend.record.draining = true
     ending.abort()
@@ -208,7 +208,7 @@
     expect(received).toBe(CONNECTIONS)
   })
 
-  test('is not written where its backend server takes no request at that moment, by its own word', async () => {
+  test('is not sent if its backend server accepts no request at the moment', async () => {
     const waiting = client.run(backend, CALL, NEVER)
     intake.waitMs = () => 500
     ending.abort()
@@ -216,7 +216,7 @@
     expect(received).toBe(CONNECTIONS)
   })
 
-  test('is not begun at a backend server that is leaving, while probes still reach it', async () => {
+  test('is rejected immediately if its backend server is leaving, which can still be probed', async () => {
     ending.abort()
     backend.record.draining = true
     expect((await client.run(backend, CALL, NEVER)).unwrapErr().kind).toBe(CallFailureKind.Leaving)
--- a/test/platform/clients-that-leave.test.ts
+++ b/test/platform/clients-that-leave.test.ts
@@ -1,7 +1,7 @@
 /**
- * What clients may rely on in calm: work for one that left ends soon, a ready
- * gateway takes new connections however busy it is, and a stream that pauses is
- * not broken off.
+ * Behaviour that clients rely on during normal operation: work for a client that
+ * disconnected ends soon, a ready gateway accepts new connections under load, and
+ * a paused stream is not cut off.
  */
 import type { ServerResponse } from 'node:http'
 import type { StartedGateway } from './support/in-process-gateway.js'
@@ -14,11 +14,11 @@
 import { STAGE_LIMITS } from './support/stand-in-stages.js'
 import { StandInStore } from './support/stand-in-store.js'
 
-/** Milliseconds after a client's leaving within which nothing of its request is sent or worked on any more (the platform's rules). */
+/** Time after a client disconnects within which the work on its request must end; from then on nothing is sent for it (required by the platform). */
 const GONE_MS = 500
-/** Milliseconds until a request is well under way. */
+/** Time after which a request is in progress. */
 const UNDER_WAY_MS = 250
-/** Calls of a stage last for longer than that, and end. */
+/** Duration of a stage call; longer than UNDER_WAY_MS. */
 const STAGE_MS = 500
 const ROUTE = { Host: 'host.example', TimeoutMs: 6000, TargetLatencyMs: 3000, MaxAttempts: 2 }
 const CONFIGURATION = {
@@ -28,7 +28,7 @@
     { ...ROUTE, Name: 'stream', PathPrefix: '/stream/', Type: 'streaming', Service: 'model', MaxAttempts: 1 },
     { ...ROUTE, Name: 'staged', PathPrefix: '/staged/', Type: 'streaming', Service: 'model', MaxAttempts: 1, Phases: [{ Service: 'encode', WatchRevision: [], SizeBytes: 1000 }] },
   ],
-  // Two connections to the only backend server: a third request waits for one.
+  // Gives the gateway two connections to the only backend server, so that a third request waits.
   Services: [{ Name: 'plain', MaxConnections: 4 }, { Name: 'model', MaxConnections: 40 }, { Name: 'encode', MaxConnections: 40, Segments: STAGE_LIMITS }],
   Limits: { MaxHeaderBytes: 8000, MaxBodyBytes: 1000, HeaderTimeoutMs: 3000, IdleTimeoutMs: 5000 },
 }
@@ -61,7 +61,7 @@
   await Promise.all([store.stop(), ...[plain, model, encode].map(backend => backend.stop())])
 })
 
-/** Sends a request and reads its answer; rejects where it was aborted. */
+/** Sends a request and reads its response; rejects if it was aborted. */
 async function send(path: string, signal?: AbortSignal): Promise<number> {
   const headers = { 'host': 'host.example', 'attempt-id': path, 'deadline-ms': '5000', 'chunk-count': '1', 'chunk-key': 'key' }
   const response = await request(`${gateway.address}${path}`, { headers, signal })
@@ -69,7 +69,7 @@
   return response.statusCode
 }
 
-/** Sends a request, and leaves while it is under way. */
+/** Sends a request and disconnects while it is in progress. */
 async function sendAndLeave(path: string): Promise<void> {
   const leaving = new AbortController()
   const sent = expect(send(path, leaving.signal)).rejects.toThrow()
@@ -83,10 +83,10 @@
   response.write('id: 1\ndata: 1\n\n')
 }
 
-describe('for a client that left', () => {
+describe('for a client that disconnected', () => {
   test.each([
-    ['that waits for its answer', '/plain/x', () => plain],
-    ['whose stream is under way', '/stream/x', () => model],
+    ['that waits for its response', '/plain/x', () => plain],
+    ['whose stream has started', '/stream/x', () => model],
   ])('the work on a request %s ends', async (_name, path, backendOf) => {
     const left = vi.fn()
     const backend = backendOf()
@@ -100,7 +100,7 @@
     expect(backend.seen).toHaveLength(1)
   })
 
-  test('nothing is sent to the backend server that would have read its stages', async () => {
+  test('nothing is sent to the backend server that would have read the stage results', async () => {
     encode.respond = async (_, response) => {
       await wait(STAGE_MS)
       response.end(JSON.stringify({ Items: [{ PromptHandle: 'encoder/1' }] }))
@@ -110,7 +110,7 @@
     expect(model.seen.filter(({ path }) => path.startsWith('/staged/'))).toEqual([])
   })
 
-  test('nothing is sent where its request waited for a connection', async () => {
+  test('nothing is sent if the request was waiting for a connection', async () => {
     plain.respond = hang(() => {})
     const occupying = new AbortController()
     const others = ['/plain/1', '/plain/2'].map(path => expect(send(path, occupying.signal)).rejects.toThrow())
@@ -124,7 +124,7 @@
 })
 
 describe('a gateway that is ready', () => {
-  test('takes new connections while many requests hang', async () => {
+  test('accepts new connections while many requests are in progress', async () => {
     model.respond = hang(() => {})
     const leaving = new AbortController()
     const hanging = Array.from({ length: 40 }, (_, number) => expect(send(`/stream/${number}`, leaving.signal)).rejects.toThrow())
@@ -136,8 +136,8 @@
   })
 })
 
-describe('a stream in calm', () => {
-  test('is not broken off while it pauses, since its backend server answers probes', async () => {
+describe('a stream during normal operation', () => {
+  test('is not cut off while it pauses, as long as its backend server responds to probes', async () => {
     model.respond = async (seen, response) => {
       if (seen.path.startsWith('/-/'))
         return void response.end('{}')
--- a/test/platform/leaving-answers.test.ts
+++ b/test/platform/leaving-answers.test.ts
@@ -3,12 +3,13 @@
 import { afterEach, beforeEach, describe, expect, test, vi } from 'vitest'
 import { NoticeDeployment } from './support/notice-deployment.js'
 
-/** Milliseconds after such an answer from which a gateway that passed it on sends no new request (settings, `drain-ms`). */
+/** Time after a response with `Server-Leaving` after which a gateway sends no new request (setting `drain-ms`). */
 const DRAIN_MS = 2000
+/** Duration for which requests are sent. */
 const PLAY_MS = 5000
-/** Milliseconds in which heartbeats have told all gateways. */
+/** Time within which heartbeats have informed all gateways. */
 const PASSED_ON_WITHIN_MS = 1000
-/** Milliseconds; far below the deadline of the requests. */
+/** Far below the deadline of the requests. */
 const REFUSED_WITHIN_MS = 300
 const POOL_SIZE = 4
 const REQUESTS_PER_SECOND = 40
@@ -21,8 +22,8 @@
 })
 afterEach(() => deployment.stop())
 
-describe('a backend server that says in its answers that it leaves, while the list holds it ready', () => {
-  test('gets no request that a client sent later than the drain bound after such an answer', async () => {
+describe('a backend server that announces in its responses that it is leaving, while the list still shows it as ready', () => {
+  test('receives no request sent by a client later than the drain time after such a response', async () => {
     const [backend] = deployment.pool
     backend.notice = { headers: { 'Server-Leaving': '1' } }
     await deployment.sendFor(PLAY_MS, REQUESTS_PER_SECOND)
@@ -31,7 +32,7 @@
     expect(late).toEqual([])
   })
 
-  test('gets nothing from gateways that it never answered, soon after it answered one of them', async () => {
+  test('soon receives nothing from gateways that it has not responded to', async () => {
     const [backend] = deployment.pool
     backend.notice = { headers: { 'Server-Leaving': '1' } }
     await vi.waitFor(async () => {
@@ -44,7 +45,7 @@
     expect(backend.arrivals.length).toBe(seen)
   })
 
-  test('gets no stage work either, and its results are still read and deleted', async () => {
+  test('receives no stage work, while its results are still read and deleted', async () => {
     const [backend, other] = deployment.stages
     backend.notice = { headers: { 'Server-Leaving': '1' } }
     const answers = await deployment.sendFor(PLAY_MS, REQUESTS_PER_SECOND / 4, '/staged/x')
@@ -54,7 +55,7 @@
     expect(answers.filter(({ status }) => status !== 200)).toEqual([])
   })
 
-  test('ends no answer that is under way, and costs callers nothing', async () => {
+  test('completes its responses in flight, and no request fails', async () => {
     const [backend] = deployment.pool
     backend.notice = { headers: { 'Server-Leaving': '1' } }
     const answers = await deployment.sendFor(DRAIN_MS, REQUESTS_PER_SECOND)
@@ -62,8 +63,8 @@
   })
 })
 
-describe('a service whose backend servers all say that they leave', () => {
-  test('answers at once that nothing ran', async () => {
+describe('a service whose backend servers are all leaving', () => {
+  test('rejects requests immediately as not executed', async () => {
     for (const backend of deployment.pool)
       backend.notice = { headers: { 'Server-Leaving': '1' } }
     await deployment.sendFor(DRAIN_MS, REQUESTS_PER_SECOND)
--- a/test/platform/limited-backends.test.ts
+++ b/test/platform/limited-backends.test.ts
@@ -3,24 +3,25 @@
 import { NoticeDeployment } from './support/notice-deployment.js'
 import { mostWithin } from './support/notice-pool.js'
 
-/** Milliseconds after the first naming of a limit from which on the bound holds (settings, `contact-ms`). */
+/** Time after the first report of a limit after which it is enforced (setting `contact-ms`). */
 const CONTACT_MS = 3000
-/** Milliseconds after its answer from which on a gateway counts as told. */
+/** Time after a response after which a gateway is regarded as informed. */
 const TOLD_AFTER_MS = 500
-/** Milliseconds over which requests are counted. */
+/** Length of the window over which requests are counted. */
 const SPAN_MS = 4000
+/** Duration for which requests are sent. */
 const PLAY_MS = 9000
 const POOL_SIZE = 10
 const REQUESTS_PER_SECOND = 60
 const REPORT_PATH = '/-/report'
-/** Milliseconds in which each gateway has had a turn at a backend server that named a limit. */
+/** Time within which each gateway has had a turn at a rate-limited backend server. */
 const RECOVERY_MS = 5000
-/** Part of the limits that is used: one gateway more than there are has its share. */
+/** Fraction of the limits that is used: each gateway's share is computed for one gateway more than there are. */
 const USED_SHARE = 0.6
-/** Milliseconds; far below the deadline of the requests. */
+/** Far below the deadline of the requests. */
 const REFUSED_WITHIN_MS = 300
 
-/** Requests in a span that a limit allows, from all gateways that were told. */
+/** Number of requests from all informed gateways that a limit allows within a window. */
 function allowedIn(limitPerSecond: number): number {
   return 1.5 * limitPerSecond * SPAN_MS / 1000 + 5
 }
@@ -33,12 +34,12 @@
 })
 afterEach(() => deployment.stop())
 
-describe('a backend server that names a limit of requests a second', () => {
+describe('a backend server that reports a rate limit', () => {
   test.each([
     { limited: 1, limit: 1 },
     { limited: 3, limit: 1.3 },
     { limited: POOL_SIZE, limit: 2 },
-  ])('gets no more from all gateways together: $limited of ten name $limit', async ({ limited, limit }) => {
+  ])('receives no more than that from all gateways together: $limited of ten report $limit', async ({ limited, limit }) => {
     const named = deployment.pool.slice(0, limited)
     const namedAt = performance.now()
     for (const backend of named)
@@ -49,7 +50,7 @@
     expect(Math.max(...most)).toBeLessThanOrEqual(allowedIn(limit))
   })
 
-  test('gets no more calls of stage work and deletions of results than it names', async () => {
+  test('receives no more stage calls and deletions of results than the limit', async () => {
     const limit = 1.5
     for (const backend of deployment.stages)
       backend.notice = { headers: { 'Server-Limit': String(limit) } }
@@ -61,7 +62,7 @@
     }
   })
 
-  test('is used as before soon after it names none any more', async () => {
+  test('is used as before soon after it stops reporting the limit', async () => {
     const [backend] = deployment.pool
     backend.notice = { headers: { 'Server-Limit': '1' } }
     await deployment.sendFor(CONTACT_MS, REQUESTS_PER_SECOND)
@@ -73,15 +74,15 @@
     expect(backend.arrivals.length - seen).toBeGreaterThan(share / 2)
   })
 
-  test('costs its callers nothing while others have room', async () => {
+  test('causes no failed requests while others have capacity', async () => {
     deployment.pool[0].notice = { headers: { 'Server-Limit': '1' } }
     const answers = await deployment.sendFor(CONTACT_MS, REQUESTS_PER_SECOND)
     expect(answers.filter(({ status }) => status !== 200)).toEqual([])
   })
 })
 
-describe('requests to a service whose backend servers all name a limit', () => {
-  test('are served as far as the limits go, and refused at once for others, with a time to come back', async () => {
+describe('requests to a service whose backend servers all report a rate limit', () => {
+  test('are served up to the limits, and otherwise rejected immediately with a retry delay', async () => {
     const limit = 3
     for (const backend of deployment.pool)
       backend.notice = { headers: { 'Server-Limit': String(limit) } }
--- a/test/platform/resting-backends.test.ts
+++ b/test/platform/resting-backends.test.ts
@@ -4,24 +4,25 @@
 import { NoticeDeployment } from './support/notice-deployment.js'
 import { mostWithin } from './support/notice-pool.js'
 
-/** Seconds of rest that a backend server asks for. */
+/** Back-off that a backend server requests (`Retry-After`). */
 const REST_S = 3
-/** Milliseconds after the answer from which on the rest binds. */
+/** Time after the response after which the back-off is enforced. */
 const BINDS_AFTER_MS = 500
-/** Requests that may reach a backend server from one gateway in a rest. */
+/** Maximum number of requests from one gateway to a backend server during a back-off. */
 const ALLOWED = 2
+/** Duration for which requests are sent. */
 const PLAY_MS = 8000
-/** Milliseconds; with the time until all gateways are told less than a rest. */
+/** Less than a back-off even with the time until all gateways are informed. */
 const MEASURED_MS = 400
 const POOL_SIZE = 10
 const REQUESTS_PER_SECOND = 40
-/** Above the measured rate, so that all gateways are told well within one rest. */
+/** Higher than the measured rate, so that all gateways are informed well within one back-off. */
 const SET_UP_REQUESTS_PER_SECOND = 120
 const SET_UP_ROUND_MS = 50
-/** Milliseconds; with MEASURED_MS less than a rest. */
+/** Together with MEASURED_MS less than a back-off. */
 const SET_UP_TIMEOUT_MS = 2500
 const REPORT_PATH = '/-/report'
-/** Milliseconds; far below the deadline of the requests. */
+/** Far below the deadline of the requests. */
 const REFUSED_WITHIN_MS = 300
 
 let deployment: NoticeDeployment
@@ -32,7 +33,7 @@
 })
 afterEach(() => deployment.stop())
 
-/** The most requests that a backend server got from one gateway in a rest that it had asked that gateway for. */
+/** The maximum number of requests that a backend server received from one gateway during a back-off requested from that gateway. */
 function mostInRest({ arrivals, turnedAwayAt }: NoticeBackend): number {
   const inRest = ({ gateway, at }: Arrival): Arrival[] => arrivals.filter(later =>
     later.gateway === gateway && later.at > at + BINDS_AFTER_MS && later.at < at + REST_S * 1000)
@@ -40,10 +41,11 @@
 }
 
 /**
- * Sends until each of these backend servers has turned each gateway away. The others
- * hold their answers meanwhile: a gateway calls the backend server with the fewest
- * calls of its own under way, so that each request goes to one that has not yet
- * turned it away, and no choice is left to chance.
+ * Sends requests until each of the given backend servers has rejected a request of
+ * each gateway. The other backend servers hold back their responses meanwhile:
+ * since a gateway chooses the backend server with the fewest of its own calls in
+ * flight, each request goes to one that has not rejected it yet, and the set-up
+ * does not depend on chance.
  */
 async function sendUntilAllAreTold(resting: readonly NoticeBackend[]): Promise<void> {
   const told = ({ turnedAwayAt }: NoticeBackend): number => new Set(turnedAwayAt.map(({ gateway }) => gateway)).size
@@ -66,8 +68,8 @@
   }
 }
 
-describe('a backend server that turns a gateway away and asks for rest', () => {
-  test.each([1, 8])('gets two requests from it at most until the rest is over: %i of ten', async (resting) => {
+describe('a backend server that rejects a gateway\'s request and requests a back-off', () => {
+  test.each([1, 8])('receives at most two more requests from it until the back-off ends: %i of ten', async (resting) => {
     const named = deployment.pool.slice(0, resting)
     for (const backend of named)
       backend.notice = { headers: { 'Retry-After': String(REST_S) }, turnsAway: true }
@@ -76,7 +78,7 @@
     expect(Math.max(...named.map(mostInRest))).toBeLessThanOrEqual(ALLOWED)
   })
 
-  test('gets no call of stage work from the coordinator that it turned away, nor deletions of results', async () => {
+  test('receives neither stage calls nor deletions of results from the coordinator that it rejected', async () => {
     for (const backend of deployment.stages)
       backend.notice = { headers: { 'Retry-After': String(REST_S) }, turnsAway: true }
     await deployment.sendFor(PLAY_MS, REQUESTS_PER_SECOND, '/staged/x')
@@ -87,7 +89,7 @@
     }
   })
 
-  test('gets requests again when its rest is over', async () => {
+  test('receives requests again when the back-off has ended', async () => {
     const [backend] = deployment.pool
     backend.notice = { headers: { 'Retry-After': String(REST_S) }, turnsAway: true }
     await deployment.sendFor(1000, REQUESTS_PER_SECOND)
@@ -98,19 +100,19 @@
     expect(backend.arrivals.length).toBeGreaterThan(seen)
   })
 
-  test('costs callers nothing while others take their requests, once gateways have been told', async () => {
+  test('causes no failed requests while others accept them, once all gateways are informed', async () => {
     const resting = deployment.pool.slice(0, POOL_SIZE / 2)
     for (const backend of resting)
       backend.notice = { headers: { 'Retry-After': String(REST_S) }, turnsAway: true }
-    // Until then the retry budget may end requests that several turn away.
+    // Before that, the retry budget may fail requests that several backend servers reject.
     await sendUntilAllAreTold(resting)
     const answers = await deployment.sendFor(MEASURED_MS, REQUESTS_PER_SECOND)
     expect(answers.filter(({ status }) => status !== 200)).toEqual([])
   })
 })
 
-describe('requests to a service whose backend servers all ask for rest', () => {
-  test.each(['/plain/x', '/staged/x'])('are refused at once, with the time until the first of them takes requests: %s', async (path) => {
+describe('requests to a service whose backend servers all request a back-off', () => {
+  test.each(['/plain/x', '/staged/x'])('are rejected immediately, with the time until the first back-off ends as retry delay: %s', async (path) => {
     for (const backend of deployment.pool)
       backend.notice = { headers: { 'Retry-After': String(REST_S) }, turnsAway: true }
     await sendUntilAllAreTold(deployment.pool)
--- a/test/platform/support/notice-deployment.ts
+++ b/test/platform/support/notice-deployment.ts
@@ -1,6 +1,6 @@
 /**
- * Gateways before a pool of backend servers that say what they take, and
- * clients that send to the gateways in turn.
+ * Gateways and a pool of backend servers that send flow-control notices, and a
+ * client that sends requests to the gateways in turn.
  */
 import type { StartedGateway } from './in-process-gateway.js'
 import type { NoticeBackend } from './notice-pool.js'
@@ -15,7 +15,7 @@
 const SERVICE = 'plain'
 const GATEWAYS = 3
 const STAGE_BACKENDS = 2
-/** Milliseconds that a backend server works on a request. */
+/** Time that a backend server takes for a request. */
 const WORK_MS = 10
 const DEADLINE_MS = 2000
 const STAGE_SERVICE = 'encode'
@@ -30,23 +30,23 @@
   Limits: { MaxHeaderBytes: 8000, MaxBodyBytes: 1000, HeaderTimeoutMs: 3000, IdleTimeoutMs: 5000 },
 }
 
-/** An answer as its client got it. */
+/** A response as the client received it. */
 export interface Answer {
   requestId: string
   status: number
-  /** Seconds; absent where the answer names none. */
+  /** Seconds; undefined if the response has no `Retry-After`. */
   retryAfter: number | undefined
   tookMs: number
 }
 
-/** Gateways, their store and the pool. */
+/** Gateways, their store and the backend servers. */
 export class NoticeDeployment {
   readonly store = new StandInStore()
   pool: NoticeBackend[] = []
-  /** The backend servers of the stage service. */
+  /** Backend servers of the stage service. */
   stages: NoticeBackend[] = []
   gateways: StartedGateway[] = []
-  /** When each request was sent by its client, in milliseconds of the test's clock. */
+  /** When the client sent each request, in milliseconds of the test's clock. */
   readonly sentAt = new Map<string, number>()
   private sent = 0
 
@@ -69,7 +69,7 @@
     await Promise.all([this.store.stop(), ...[...this.pool, ...this.stages].map(({ stand }) => stand.stop())])
   }
 
-  /** Sends requests at a rate for some time; returns their answers. */
+  /** Sends requests at a fixed rate for `forMs`; returns the responses. */
   async sendFor(forMs: number, perSecond: number, path = '/plain/x'): Promise<Answer[]> {
     const answers: Promise<Answer>[] = []
     const endAt = performance.now() + forMs
--- a/test/platform/support/notice-pool.ts
+++ b/test/platform/support/notice-pool.ts
@@ -1,7 +1,7 @@
 /**
- * A pool of stand-in backend servers whose answers carry notices of what they take:
- * each adds headers of the test's choice, and turns requests away. Every request
- * is kept with the gateway that sent it and the answer that it got.
+ * A pool of stand-in backend servers whose responses contain flow-control notices:
+ * each adds the headers that the test sets, and may reject requests. Every request
+ * is recorded with the gateway that sent it.
  */
 import type { Respond, SeenRequest } from './stand-in-backend.js'
 import type { StandInStore } from './stand-in-store.js'
@@ -10,28 +10,28 @@
 
 const SERVER_TOPIC = 'keyed.servers'
 const REPORT_PATH = '/-/report'
-/** Separates the name of a gateway from the rest of a request's id. */
+/** Separates the gateway's name from the rest of a request id. */
 const NAME_END = '~'
 
-/** The id of a request that shows which gateway its client sent it to. */
+/** Creates a request id that contains the gateway that the client sends the request to. */
 export function requestIdAt(gateway: string, number: number): string {
   return `${gateway}${NAME_END}${number}`
 }
 
-/** The gateway that the id of a request names. */
+/** The gateway that a request id contains. */
 function senderById(seen: SeenRequest): string {
   return String(seen.headers['attempt-id']).split(NAME_END)[0]
 }
 
-/** What a backend server says in an answer. */
+/** The flow-control notice in a backend server's responses. */
 export interface Notice {
-  /** Headers beside the usual ones. */
+  /** Headers in addition to the usual ones. */
   headers: Record<string, string>
-  /** The request is turned away, as not run. @default false */
+  /** Whether requests are rejected as not executed. @default false */
   turnsAway?: boolean
 }
 
-/** A request as a backend server got it. */
+/** A request as received by a backend server. */
 export interface Arrival {
   gateway: string
   requestId: string
@@ -40,33 +40,33 @@
   at: number
 }
 
-/** A time in which a backend server said the same in all its answers. */
+/** A period during which a backend server sent the same notice in all its responses. */
 export interface NoticePeriod {
   notice: Notice
   /** Milliseconds of the test's clock. */
   from: number
   to: number
-  /** When each gateway was first answered so, in milliseconds of the test's clock. */
+  /** When each gateway first received the notice, in milliseconds of the test's clock. */
   toldAt: Map<string, number>
 }
 
-/** How a backend server is wrapped. */
+/** Options of `NoticeBackend`. */
 export interface NoticeBackendOptions {
-  /** Milliseconds of work before an answer. @default 0 */
+  /** Milliseconds until a response is sent. @default 0 */
   workMs?: number
   /** @default answerWhole */
   respond?: Respond
-  /** The gateway that sent a request. @default by the request's id, see `requestIdAt` */
+  /** Determines the gateway that sent a request. @default from the request id, see `requestIdAt` */
   senderOf?: (seen: SeenRequest) => string
 }
 
-/** One backend server whose answers carry a notice. */
+/** A backend server whose responses contain a notice. */
 export class NoticeBackend {
   readonly arrivals: Arrival[] = []
-  /** Requests that were turned away, at the time of the answer. */
+  /** Rejected requests, with the time of the response. */
   readonly turnedAwayAt: Arrival[] = []
   readonly periods: NoticePeriod[] = []
-  /** Its answers to requests, but not to reports, wait until this is resolved. @default none wait */
+  /** Responses, except those to report requests, are held back until this promise is resolved. @default not held back */
   heldUntil: Promise<void> | undefined
 
   constructor(readonly stand: StandInBackend, { workMs = 0, respond = answerWhole(), senderOf = senderById }: NoticeBackendOptions = {}) {
@@ -87,7 +87,7 @@
     }
   }
 
-  /** What it says in its answers from now on. */
+  /** The notice in its responses from now on. */
   set notice(notice: Notice | undefined) {
     const now = performance.now()
     const current = this.periods.at(-1)
@@ -102,17 +102,17 @@
     return current?.to === Number.POSITIVE_INFINITY ? current.notice : undefined
   }
 
-  /** When each gateway was first answered with the newest notice, in milliseconds of the test's clock. */
+  /** When each gateway first received the latest notice, in milliseconds of the test's clock. */
   get toldAt(): ReadonlyMap<string, number> {
     return this.periods.at(-1)?.toldAt ?? new Map()
   }
 
-  /** Requests, later than `fromAt`, of gateways that had been told this long before, in milliseconds. */
+  /** Requests since `fromAt` from gateways that had received the notice at least `toldBeforeMs` earlier. */
   arrivalsOfTold(toldBeforeMs: number, fromAt: number): Arrival[] {
     return this.arrivals.filter(({ gateway, at }) => at >= fromAt && at >= (this.toldAt.get(gateway) ?? Number.POSITIVE_INFINITY) + toldBeforeMs)
   }
 
-  /** Notes that a gateway is answered with what is said now. */
+  /** Returns the current notice, and records that the gateway receives it. */
   private tell(gateway: string): Notice | undefined {
     const { notice } = this
     const told = this.periods.at(-1)?.toldAt
@@ -122,7 +122,7 @@
   }
 }
 
-/** The most arrivals in any span of some milliseconds. */
+/** The maximum number of arrivals within any window of `spanMs`. */
 export function mostWithin(arrivals: readonly Arrival[], spanMs: number): number {
   const times = arrivals.map(({ at }) => at).toSorted((left, right) => left - right)
   let first = 0
@@ -133,17 +133,17 @@
   }, 0)
 }
 
-/** What differs between pools. */
+/** Options of `startNoticePool`. */
 export interface NoticePoolOptions {
   service: string
   size: number
-  /** Milliseconds of work before an answer. */
+  /** Milliseconds until a response is sent. */
   workMs: number
   /** @default answerWhole */
   respond?: Respond
 }
 
-/** Starts backend servers of a service and lists them in the store. */
+/** Starts the backend servers of a service and adds them to the list in the store. */
 export async function startNoticePool(store: StandInStore, { service, size, workMs, respond }: NoticePoolOptions): Promise<NoticeBackend[]> {
   return Promise.all(Array.from({ length: size }, async (_, index) => {
     const stand = new StandInBackend(`${service}-${index}`, service)
