--- a/packages/gateway/src/connection/backends/backend-client.ts
+++ b/packages/gateway/src/connection/backends/backend-client.ts
@@ -30,7 +30,7 @@
 }
 
 /** A backend server's response: its head, and its body as a stream. */
-export interface BackendAnswer {
+export interface BackendResponse {
   status: number
   /** Headers for the client. */
   headers: HeaderList
@@ -73,13 +73,13 @@
 /** Sends requests to backend servers. */
 export interface BackendClient {
   /** Calls a backend server and resolves as soon as the response head is received. Never rejects. */
-  run: (backend: Backend, call: BackendCall, signal: AbortSignal) => Promise<Result<BackendAnswer, CallFailure>>
+  run: (backend: Backend, call: BackendCall, signal: AbortSignal) => Promise<Result<BackendResponse, CallFailure>>
   /** Whether the backend server responds at all within `timeoutMs`. */
   probe: (backend: Backend, timeoutMs: number) => Promise<boolean>
 }
 
 /** What a response head says about the call. */
-export interface AnswerFacts {
+export interface ResponseMetadata {
   /** The request id that the response echoes. */
   requestId: string | undefined
   /** Undefined if the response is the result of the request itself. */
@@ -99,7 +99,7 @@
   /** Encodes the headers of a call. */
   encode: (backend: Backend, call: BackendCall) => HeaderList
   /** Decodes a response head. */
-  decode: (status: number, headers: Record<string, string | string[] | undefined>) => AnswerFacts
+  decode: (status: number, headers: Record<string, string | string[] | undefined>) => ResponseMetadata
   /** Reads the flow-control notice of a response to any call, including stage calls and probes. */
   readNotice: ReadNotice
 }
--- a/packages/gateway/src/connection/backends/backend-connections.ts
+++ b/packages/gateway/src/connection/backends/backend-connections.ts
@@ -8,7 +8,7 @@
 import type { Dispatcher } from 'undici'
 import type { Backend } from './backend.js'
 import type { IntakeGate } from './intake-gate.js'
-import type { CallWatch, WorkOptions } from './work-call.js'
+import type { CallObserver, WorkOptions } from './work-call.js'
 import { buildConnector, Pool } from 'undici'
 import { isConnectionReset } from '../error-codes.js'
 import { CallNotSentError, WorkCall } from './work-call.js'
@@ -44,11 +44,11 @@
 /** Replaces `ECONNRESET`, which undici treats as the regular end of a response without a length. */
 const RESET_CODE = 'ERR_BACKEND_RESET'
 
-const connectPlainly = buildConnector({ timeout: CONNECT_TIMEOUT_MS, autoSelectFamily: false })
+const connectSocket = buildConnector({ timeout: CONNECT_TIMEOUT_MS, autoSelectFamily: false })
 
 /** Connects; a later reset of the connection fails the response in flight, however its body is delimited. */
-function connectWatchingResets(options: buildConnector.Options, callback: buildConnector.Callback): void {
-  connectPlainly(options, (...args) => {
+function connectWithResetCode(options: buildConnector.Options, callback: buildConnector.Callback): void {
+  connectSocket(options, (...args) => {
     const [, socket] = args
     socket?.prependListener('error', (error: NodeJS.ErrnoException) => {
       if (isConnectionReset(error))
@@ -70,11 +70,11 @@
   /** Calls that wait for a connection, by process of their backend server. */
   private readonly waiting = new Map<string, Set<WorkCall>>()
   /** Timers that close the pools of removed backend servers. */
-  private readonly closing = new Map<string, NodeJS.Timeout>()
+  private readonly closeTimers = new Map<string, NodeJS.Timeout>()
 
   constructor(
     private readonly share: ConnectionShare,
-    private readonly watch: CallWatch,
+    private readonly observer: CallObserver,
     private readonly intake: IntakeGate,
   ) {}
 
@@ -84,34 +84,34 @@
    * work, or no request at the moment.
    */
   async sendWork(backend: Backend, options: WorkOptions): Promise<Dispatcher.ResponseData> {
-    if (!backend.takesWork || options.signal.aborted)
+    if (!backend.acceptsWork || options.signal.aborted)
       throw new CallNotSentError(`${backend.id} accepts no new work, or the call was aborted`)
     const calls = this.waiting.get(backend.life) ?? new Set()
     this.waiting.set(backend.life, calls)
-    const call = new WorkCall(backend, this.watch, this.intake, ended => void calls.delete(ended))
+    const call = new WorkCall(backend, this.observer, this.intake, ended => void calls.delete(ended))
     calls.add(call)
-    return this.watchAnswer(backend, true, () => call.send(this.of(backend), options))
+    return this.observeResponse(backend, true, () => call.send(this.poolOf(backend), options))
   }
 
   /** Like `sendProbe`, for the deletion of results, which counts towards the rate limit of the backend server. */
   async sendDeletion(backend: Backend, options: Dispatcher.RequestOptions): Promise<Dispatcher.ResponseData> {
-    this.intake.noteSent(backend)
+    this.intake.recordSent(backend)
     return this.sendProbe(backend, options)
   }
 
   /** Sends a probe or requests a report; rejects like undici's `request`. */
   async sendProbe(backend: Backend, options: Dispatcher.RequestOptions): Promise<Dispatcher.ResponseData> {
-    return this.watchAnswer(backend, false, () => this.of(backend).request(options))
+    return this.observeResponse(backend, false, () => this.poolOf(backend).request(options))
   }
 
   /** Rejects the calls that wait for a connection to a backend server that accepts no more work. */
-  turnAwayWaiting(backend: Backend): void {
+  rejectWaiting(backend: Backend): void {
     for (const call of this.waiting.get(backend.life) ?? [])
-      call.turnAway()
+      call.reject()
   }
 
   /** The pool of a backend server, opened on first use. Throws if the backend server was removed and its pool is closed. */
-  of(backend: Backend): Pool {
+  poolOf(backend: Backend): Pool {
     const existing = this.pools.get(backend.life)
     if (existing)
       return existing
@@ -123,33 +123,33 @@
   }
 
   /** Handles the removal of a backend server: rejects waiting calls, and lets calls in flight finish before the pool is closed. */
-  forget(backend: Backend): void {
-    this.turnAwayWaiting(backend)
+  remove(backend: Backend): void {
+    this.rejectWaiting(backend)
     this.waiting.delete(backend.life)
     if (this.pools.has(backend.life))
-      this.closing.set(backend.life, setTimeout(() => this.closePool(backend.life), CLOSE_DELAY_MS).unref())
+      this.closeTimers.set(backend.life, setTimeout(() => this.closePool(backend.life), CLOSE_DELAY_MS).unref())
   }
 
   /** Closes all pools immediately, which cuts off calls in flight. */
   async close(): Promise<void> {
-    for (const timer of this.closing.values())
+    for (const timer of this.closeTimers.values())
       clearTimeout(timer)
     // destroy() rejects only if the pool is already closed.
     await Promise.all([...this.pools.values()].map(pool => pool.destroy().catch(() => {})))
   }
 
   /** Sends a call and passes the head of its response to the intake gate. */
-  private async watchAnswer(backend: Backend, isWork: boolean, send: () => Promise<Dispatcher.ResponseData>): Promise<Dispatcher.ResponseData> {
+  private async observeResponse(backend: Backend, isWork: boolean, send: () => Promise<Dispatcher.ResponseData>): Promise<Dispatcher.ResponseData> {
     const calledAt = performance.now()
     const response = await send()
-    this.intake.noteAnswer(backend, { status: response.statusCode, headers: response.headers, isWork, calledAt })
+    this.intake.handleResponse(backend, { status: response.statusCode, headers: response.headers, isWork, calledAt })
     return response
   }
 
   private closePool(life: string): void {
     const pool = this.pools.get(life)
     this.pools.delete(life)
-    this.closing.delete(life)
+    this.closeTimers.delete(life)
     // close() rejects only if the pool was already destroyed, in which case there is nothing left to close.
     void pool?.close().catch(() => {})
   }
@@ -160,7 +160,7 @@
   return new Pool(`http://${address}`, {
     connections,
     pipelining: 1,
-    connect: connectWatchingResets,
+    connect: connectWithResetCode,
     keepAliveTimeout: IDLE_TIMEOUT_MS,
     keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
     headersTimeout: 0,
--- a/packages/gateway/src/connection/backends/backend-notice.ts
+++ b/packages/gateway/src/connection/backends/backend-notice.ts
@@ -14,15 +14,15 @@
 }
 
 /** Response headers, with names in lower case. */
-export type AnswerHeaders = Record<string, string | string[] | undefined>
+export type ResponseHeaders = Record<string, string | string[] | undefined>
 
 /** Reads the notice from the head of a response. */
-export type ReadNotice = (status: number, headers: AnswerHeaders) => BackendNotice
+export type ReadNotice = (status: number, headers: ResponseHeaders) => BackendNotice
 
 /** The head of a response, and the call that it belongs to. */
-export interface AnswerHead {
+export interface ResponseHead {
   status: number
-  headers: AnswerHeaders
+  headers: ResponseHeaders
   /** Whether the call was a request or a stage call, whose response states all limits in force; a probe's may omit them. */
   isWork: boolean
   /** When the call was made, in milliseconds of the process clock. */
--- a/packages/gateway/src/connection/backends/backend.ts
+++ b/packages/gateway/src/connection/backends/backend.ts
@@ -102,7 +102,7 @@
   }
 
   /** Whether new work may be sent to it. */
-  get takesWork(): boolean {
+  get acceptsWork(): boolean {
     return !this.removed && !this.record.draining && !this.intake.isLeaving && !this.evacuated
   }
 
@@ -112,7 +112,7 @@
   }
 
   /** Marks it as cold for at least `milliseconds` from now. */
-  noteCold(milliseconds: number, now: number): void {
+  markCold(milliseconds: number, now: number): void {
     if (!this.isCold(now))
       this.coldSince = now
     this.coldUntil = Math.max(this.coldUntil, now + milliseconds)
--- a/packages/gateway/src/connection/backends/http-backend-client.ts
+++ b/packages/gateway/src/connection/backends/http-backend-client.ts
@@ -5,7 +5,7 @@
  */
 import type { Result } from 'ts-results-es'
 import type { Dispatcher } from 'undici'
-import type { BackendAnswer, BackendCall, BackendClient, BackendCodec, CallFailure } from './backend-client.js'
+import type { BackendCall, BackendClient, BackendCodec, BackendResponse, CallFailure } from './backend-client.js'
 import type { BackendConnections } from './backend-connections.js'
 import type { Backend } from './backend.js'
 import { formatError } from '@eidermast/common'
@@ -21,7 +21,7 @@
 export class HttpBackendClient implements BackendClient {
   constructor(private readonly connections: BackendConnections, private readonly codec: BackendCodec) {}
 
-  async run(backend: Backend, call: BackendCall, signal: AbortSignal): Promise<Result<BackendAnswer, CallFailure>> {
+  async run(backend: Backend, call: BackendCall, signal: AbortSignal): Promise<Result<BackendResponse, CallFailure>> {
     try {
       const response = await this.connections.sendWork(backend, {
         method: call.method as Dispatcher.HttpMethod,
@@ -50,26 +50,26 @@
     }
   }
 
-  private readHead(backend: Backend, call: BackendCall, response: Dispatcher.ResponseData): Result<BackendAnswer, CallFailure> {
-    const facts = this.codec.decode(response.statusCode, response.headers)
-    if (facts.requestId !== call.requestId) {
+  private readHead(backend: Backend, call: BackendCall, response: Dispatcher.ResponseData): Result<BackendResponse, CallFailure> {
+    const metadata = this.codec.decode(response.statusCode, response.headers)
+    if (metadata.requestId !== call.requestId) {
       destroyBody(response)
-      return Err({ kind: CallFailureKind.Broken, message: `the response echoes ${facts.requestId ?? 'no id'} instead of ${call.requestId}` })
+      return Err({ kind: CallFailureKind.Broken, message: `the response echoes ${metadata.requestId ?? 'no id'} instead of ${call.requestId}` })
     }
-    if (facts.load) {
-      backend.load = facts.load
+    if (metadata.load) {
+      backend.load = metadata.load
       backend.loadAt = performance.now()
     }
-    if (facts.coldMs !== undefined)
-      backend.noteCold(facts.coldMs, performance.now())
-    if (facts.failure) {
+    if (metadata.coldMs !== undefined)
+      backend.markCold(metadata.coldMs, performance.now())
+    if (metadata.failure) {
       // The body is not needed. If it is cut off, undici closes the connection and the pool opens another.
       void response.body.dump().catch(() => {})
-      return Err({ kind: facts.failure, message: `status ${response.statusCode}` })
+      return Err({ kind: metadata.failure, message: `status ${response.statusCode}` })
     }
     return Ok({
       status: response.statusCode,
-      headers: facts.headers,
+      headers: metadata.headers,
       framed: isFramed(response),
       body: response.body as AsyncIterable<Buffer>,
       destroy: () => destroyBody(response),
@@ -98,7 +98,7 @@
   if (error instanceof CallNotSentError && error.isWithheld)
     return { kind: CallFailureKind.Withheld, message }
   if (error instanceof CallNotSentError)
-    return { kind: backend.takesWork ? CallFailureKind.AbandonedUnsent : CallFailureKind.Leaving, message }
+    return { kind: backend.acceptsWork ? CallFailureKind.AbandonedUnsent : CallFailureKind.Leaving, message }
   if (signal.aborted)
     return { kind: CallFailureKind.Aborted, message }
   return { kind: isNotSent(error) ? CallFailureKind.NotSent : CallFailureKind.Broken, message }
--- a/packages/gateway/src/connection/backends/intake-gate.ts
+++ b/packages/gateway/src/connection/backends/intake-gate.ts
@@ -2,7 +2,7 @@
  * The flow-control gate for calls to backend servers: whether a backend server
  * accepts a request at the moment, according to its own notices.
  */
-import type { AnswerHead } from './backend-notice.js'
+import type { ResponseHead } from './backend-notice.js'
 import type { Backend } from './backend.js'
 
 /** Flow control for calls to backend servers; implemented by the process. */
@@ -10,7 +10,7 @@
   /** Milliseconds until a request may be sent to the backend server; 0 if it may be sent now. */
   waitMs: (backend: Backend) => number
   /** Called just before the first byte of a request is written. */
-  noteSent: (backend: Backend) => void
+  recordSent: (backend: Backend) => void
   /** Called when the head of a response is received. */
-  noteAnswer: (backend: Backend, head: AnswerHead) => void
+  handleResponse: (backend: Backend, head: ResponseHead) => void
 }
--- a/packages/gateway/src/connection/backends/intake-state.ts
+++ b/packages/gateway/src/connection/backends/intake-state.ts
@@ -3,7 +3,7 @@
  * It is kept as long as the process of the backend server runs, and is lost when
  * this process ends.
  */
-import type { AnswerHead, BackendNotice } from './backend-notice.js'
+import type { BackendNotice, ResponseHead } from './backend-notice.js'
 
 /**
  * Maximum age that a peer's report gains in transit: `ageMs` is computed when the
@@ -12,7 +12,7 @@
 const MAX_TRANSIT_MS = 500
 
 /** Maximum back-off. Without it, a single wrong number could take a backend server out of service for good. */
-const MAX_REST_MS = 600_000
+const MAX_BACKOFF_MS = 600_000
 
 /** A rate limit, or its end, as reported by a peer. */
 export interface ReportedLimit {
@@ -29,35 +29,35 @@
   /** It has announced that it is leaving; never reset. */
   isLeaving = false
   /** End of the back-off that it requested from this process. */
-  restUntil = Number.NEGATIVE_INFINITY
+  backoffUntil = Number.NEGATIVE_INFINITY
   /** When this process last sent a request to it. */
   lastSentAt = Number.NEGATIVE_INFINITY
   /** When it last reported a rate limit. */
-  limitNamedAt = Number.NEGATIVE_INFINITY
+  limitReportedAt = Number.NEGATIVE_INFINITY
   /** When its rate limit last ended. */
   private limitEndedAt = Number.NEGATIVE_INFINITY
 
   /** Remaining back-off in milliseconds; 0 if it accepts requests. */
   restMs(now: number): number {
-    return Math.max(0, this.restUntil - now)
+    return Math.max(0, this.backoffUntil - now)
   }
 
   /** Records that it is leaving; returns whether this was not known before. */
-  takeLeaving(): boolean {
+  markLeaving(): boolean {
     const isNew = !this.isLeaving
     this.isLeaving = true
     return isNew
   }
 
   /** Starts or extends the back-off. A response to an earlier call that requests a shorter one does not shorten it. */
-  takeRest(milliseconds: number, now: number): void {
-    this.restUntil = Math.max(this.restUntil, now + Math.min(milliseconds, MAX_REST_MS))
+  startBackoff(milliseconds: number, now: number): void {
+    this.backoffUntil = Math.max(this.backoffUntil, now + Math.min(milliseconds, MAX_BACKOFF_MS))
   }
 
   /** The rate limit, or its end, as reported to peers; undefined if it never named one. */
   reportLimit(now: number): ReportedLimit | undefined {
-    const saidAt = Math.max(this.limitNamedAt, this.limitEndedAt)
-    return Number.isFinite(saidAt) ? { limitPerSecond: this.limitPerSecond, ageMs: Math.max(0, now - saidAt) } : undefined
+    const latestReportAt = Math.max(this.limitReportedAt, this.limitEndedAt)
+    return Number.isFinite(latestReportAt) ? { limitPerSecond: this.limitPerSecond, ageMs: Math.max(0, now - latestReportAt) } : undefined
   }
 
   /**
@@ -66,33 +66,33 @@
    * limit was reported, since responses may arrive out of order. Returns whether
    * the limit changed.
    */
-  takeLimit({ limitPerSecond }: BackendNotice, { isWork, calledAt }: Pick<AnswerHead, 'isWork' | 'calledAt'>, now: number): boolean {
-    const endsLimit = isWork && calledAt >= this.limitNamedAt
+  updateLimit({ limitPerSecond }: BackendNotice, { isWork, calledAt }: Pick<ResponseHead, 'isWork' | 'calledAt'>, now: number): boolean {
+    const endsLimit = isWork && calledAt >= this.limitReportedAt
     if (limitPerSecond === undefined)
       return endsLimit && this.endLimit(calledAt)
     return this.setLimit(limitPerSecond, now)
   }
 
   /** Applies a peer's report if it is newer than the known state; returns whether the limit changed. */
-  takeReportedLimit({ limitPerSecond, ageMs }: ReportedLimit, now: number): boolean {
-    const saidAt = now - ageMs
+  mergeReportedLimit({ limitPerSecond, ageMs }: ReportedLimit, now: number): boolean {
+    const reportedAt = now - ageMs
     if (limitPerSecond === undefined)
-      return saidAt - MAX_TRANSIT_MS > this.limitNamedAt && this.endLimit(saidAt)
-    return saidAt > Math.max(this.limitNamedAt, this.limitEndedAt) && this.setLimit(limitPerSecond, saidAt)
+      return reportedAt - MAX_TRANSIT_MS > this.limitReportedAt && this.endLimit(reportedAt)
+    return reportedAt > Math.max(this.limitReportedAt, this.limitEndedAt) && this.setLimit(limitPerSecond, reportedAt)
   }
 
-  private setLimit(limitPerSecond: number, saidAt: number): boolean {
+  private setLimit(limitPerSecond: number, reportedAt: number): boolean {
     const changed = limitPerSecond !== this.limitPerSecond
     this.limitPerSecond = limitPerSecond
-    this.limitNamedAt = saidAt
+    this.limitReportedAt = reportedAt
     return changed
   }
 
-  private endLimit(saidAt: number): boolean {
+  private endLimit(reportedAt: number): boolean {
     if (this.limitPerSecond === undefined)
       return false
     this.limitPerSecond = undefined
-    this.limitEndedAt = saidAt
+    this.limitEndedAt = reportedAt
     return true
   }
 }
--- a/packages/gateway/src/connection/backends/work-call.ts
+++ b/packages/gateway/src/connection/backends/work-call.ts
@@ -43,13 +43,13 @@
 }
 
 /** Observes calls that wait and start; implemented by the process's log and metrics. */
-export interface CallWatch {
+export interface CallObserver {
   /** The number of calls that wait for a connection has changed by one. */
   waitingChanged: (difference: 1 | -1) => void
   /** Called just before the first byte of a call is written. */
   started: (start: CallStart) => void
   /** A call was rejected because its backend server accepts no more work, or no request at the moment. */
-  turnedAway: (start: CallStart) => void
+  rejected: (start: CallStart) => void
 }
 
 /** A call that waits for a connection, and the ways in which the wait can end. */
@@ -61,12 +61,12 @@
 
   constructor(
     private readonly backend: Backend,
-    private readonly watch: CallWatch,
+    private readonly observer: CallObserver,
     private readonly intake: IntakeGate,
     /** Called when the call stops waiting. */
     private readonly waitEnded: (call: WorkCall) => void,
   ) {
-    watch.waitingChanged(1)
+    observer.waitingChanged(1)
   }
 
   /**
@@ -75,14 +75,14 @@
    * when it reaches the head of the queue; `Promise.race` handles that rejection.
    */
   async send(pool: Dispatcher, options: WorkOptions): Promise<Dispatcher.ResponseData> {
-    const abandon = (): void => this.endUnsent('call aborted while waiting for a connection')
-    const turnedAway = new Promise<never>((_, reject) => {
+    const abandon = (): void => this.rejectUnsent('call aborted while waiting for a connection')
+    const rejection = new Promise<never>((_, reject) => {
       this.rejectWait = reject
     })
     const guarded = pool.compose(dispatch => (call, handler) => dispatch(call, guardStart(handler, () => this.start())))
     options.signal.addEventListener('abort', abandon)
     try {
-      return await Promise.race([guarded.request(options), turnedAway])
+      return await Promise.race([guarded.request(options), rejection])
     }
     finally {
       options.signal.removeEventListener('abort', abandon)
@@ -91,32 +91,32 @@
   }
 
   /** Ends the wait, if it has not ended yet, because the backend server accepts no more work. */
-  turnAway(): void {
+  reject(): void {
     if (!this.waiting)
       return
-    this.watch.turnedAway(this.describe())
-    this.endUnsent(`${this.backend.id} accepts no more work`)
+    this.observer.rejected(this.describe())
+    this.rejectUnsent(`${this.backend.id} accepts no more work`)
   }
 
   /** Runs just before the first byte is written; throws if the call must not be sent. */
   private start(): void {
-    if (!this.backend.takesWork)
-      this.turnAway()
+    if (!this.backend.acceptsWork)
+      this.reject()
     else if (this.waiting && this.intake.waitMs(this.backend) > 0)
       this.withhold()
     if (this.notSent)
       throw this.notSent
     this.endWait()
-    this.intake.noteSent(this.backend)
-    this.watch.started(this.describe())
+    this.intake.recordSent(this.backend)
+    this.observer.started(this.describe())
   }
 
   private withhold(): void {
-    this.watch.turnedAway(this.describe())
-    this.endUnsent(`${this.backend.id} accepts no request at the moment`, true)
+    this.observer.rejected(this.describe())
+    this.rejectUnsent(`${this.backend.id} accepts no request at the moment`, true)
   }
 
-  private endUnsent(reason: string, isWithheld = false): void {
+  private rejectUnsent(reason: string, isWithheld = false): void {
     if (!this.waiting)
       return
     this.notSent = new CallNotSentError(reason, isWithheld)
@@ -128,7 +128,7 @@
     if (!this.waiting)
       return
     this.waiting = false
-    this.watch.waitingChanged(-1)
+    this.observer.waitingChanged(-1)
     this.waitEnded(this)
   }
 
--- a/packages/gateway/src/process/backend-registry.ts
+++ b/packages/gateway/src/process/backend-registry.ts
@@ -71,14 +71,14 @@
 
   /** Backend servers of a service that accept new work. */
   available(service: string): Backend[] {
-    return [...this.byService.get(service) ?? []].filter(backend => backend.takesWork)
+    return [...this.byService.get(service) ?? []].filter(backend => backend.acceptsWork)
   }
 
   /** Number of backend servers of a service that accept new work, by failure domain. */
   countByDomain(service: string): Map<string, number> {
     const counts = new Map<string, number>()
-    for (const { takesWork, failureDomain } of this.byService.get(service) ?? []) {
-      if (takesWork)
+    for (const { acceptsWork, failureDomain } of this.byService.get(service) ?? []) {
+      if (acceptsWork)
         counts.set(failureDomain, (counts.get(failureDomain) ?? 0) + 1)
     }
     return counts
@@ -229,7 +229,7 @@
   private markCold(backend: Backend, milliseconds: number): void {
     if (milliseconds <= 0)
       return
-    backend.noteCold(milliseconds, performance.now())
+    backend.markCold(milliseconds, performance.now())
     this.log.backendCold(backend.record, milliseconds)
   }
 
--- a/packages/gateway/src/process/call-reporter.ts
+++ b/packages/gateway/src/process/call-reporter.ts
@@ -1,7 +1,7 @@
 /**
  * Reports the connection wait of calls to metrics and log. Stateless.
  */
-import type { CallStart, CallWatch } from '../connection/backends/work-call.js'
+import type { CallObserver, CallStart } from '../connection/backends/work-call.js'
 import type { GatewayLog } from './gateway-log.js'
 import type { GatewayMetrics } from './gateway-metrics.js'
 
@@ -13,7 +13,7 @@
 const LATE_CALL_THRESHOLD_MS = 300
 
 /** Counts calls and logs those that are delayed or turned away. */
-export class CallReporter implements CallWatch {
+export class CallReporter implements CallObserver {
   constructor(private readonly metrics: GatewayMetrics, private readonly log: GatewayLog) {}
 
   waitingChanged(difference: 1 | -1): void {
@@ -26,7 +26,7 @@
       this.log.workSentLate(start)
   }
 
-  turnedAway(start: CallStart): void {
+  rejected(start: CallStart): void {
     this.metrics.countTurnedAway()
     this.log.workTurnedAway(start)
   }
--- a/packages/gateway/src/process/gateway.ts
+++ b/packages/gateway/src/process/gateway.ts
@@ -100,7 +100,7 @@
     this.readiness = new Readiness(this.gatewayLog)
     this.members.onShardChange(shard => this.handleCoordinatorChange(shard))
     this.configuration.onChange(table => this.stageCoordinators.applyConfiguration(table))
-    this.registry.listen({ removed: backend => this.connections.forget(backend), stateChanged: backend => this.handleBackendStateChange(backend) })
+    this.registry.listen({ removed: backend => this.connections.remove(backend), stateChanged: backend => this.handleBackendStateChange(backend) })
   }
 
   /**
@@ -195,8 +195,8 @@
   }
 
   private handleBackendStateChange(backend: Backend): void {
-    if (!backend.takesWork)
-      this.connections.turnAwayWaiting(backend)
+    if (!backend.acceptsWork)
+      this.connections.rejectWaiting(backend)
   }
 
   private createStageCoordinators(): StageCoordinators {
--- a/packages/gateway/src/process/intake/backend-intakes.ts
+++ b/packages/gateway/src/process/intake/backend-intakes.ts
@@ -16,7 +16,7 @@
  *
  * Owns no state: what a backend server reported is kept with its registry entry.
  */
-import type { AnswerHead, BackendNotice, ReadNotice } from '../../connection/backends/backend-notice.js'
+import type { BackendNotice, ReadNotice, ResponseHead } from '../../connection/backends/backend-notice.js'
 import type { Backend } from '../../connection/backends/backend.js'
 import type { IntakeGate } from '../../connection/backends/intake-gate.js'
 import type { LimitTurns } from '../../request/attempts/limit-turns.js'
@@ -49,19 +49,19 @@
     return Math.max(backend.intake.restMs(performance.now()), this.limitTurns.waitMs(backend))
   }
 
-  noteSent({ intake }: Backend): void {
+  recordSent({ intake }: Backend): void {
     intake.lastSentAt = performance.now()
   }
 
-  noteAnswer(backend: Backend, head: AnswerHead): void {
+  handleResponse(backend: Backend, head: ResponseHead): void {
     const notice = this.readNotice(head.status, head.headers)
     this.updateLimit(backend, notice, head)
-    if (notice.isLeaving && backend.intake.takeLeaving()) {
+    if (notice.isLeaving && backend.intake.markLeaving()) {
       this.leavingExchange.note(backend)
       this.handleLeaving(backend, OWN_ANSWER_SOURCE)
     }
     if (notice.restMs !== undefined) {
-      backend.intake.takeRest(notice.restMs, performance.now())
+      backend.intake.startBackoff(notice.restMs, performance.now())
       this.log.backendAskedForRest(backend, notice.restMs)
     }
   }
@@ -71,9 +71,9 @@
     this.registry.noteLeaving(backend)
   }
 
-  private updateLimit(backend: Backend, notice: BackendNotice, head: AnswerHead): void {
+  private updateLimit(backend: Backend, notice: BackendNotice, head: ResponseHead): void {
     const previous = backend.intake.limitPerSecond
-    if (!backend.intake.takeLimit(notice, head, performance.now()))
+    if (!backend.intake.updateLimit(notice, head, performance.now()))
       return
     this.limitExchange.note(backend)
     this.log.backendLimitChanged(backend, previous, OWN_ANSWER_SOURCE)
--- a/packages/gateway/src/process/intake/leaving-exchange.ts
+++ b/packages/gateway/src/process/intake/leaving-exchange.ts
@@ -41,7 +41,7 @@
   receive(messages: readonly LeavingMessage[], peer: string): void {
     for (const { backend: id, life } of messages) {
       const backend = this.registry.find(id)
-      if (backend?.life !== life || !backend.intake.takeLeaving())
+      if (backend?.life !== life || !backend.intake.markLeaving())
         continue
       this.note(backend)
       this.onLeaving(backend, peer)
--- a/packages/gateway/src/process/intake/limit-exchange.ts
+++ b/packages/gateway/src/process/intake/limit-exchange.ts
@@ -44,7 +44,7 @@
       if (backend?.life !== message.life)
         continue
       const previous = backend.intake.limitPerSecond
-      if (!backend.intake.takeReportedLimit(message, now))
+      if (!backend.intake.mergeReportedLimit(message, now))
         continue
       this.note(backend)
       this.onChange(backend, previous, peer)
--- a/packages/gateway/src/request/attempts/backend-attempt.ts
+++ b/packages/gateway/src/request/attempts/backend-attempt.ts
@@ -5,7 +5,7 @@
  * If the process dies, both connections break, so that the client can tell that
  * the response is incomplete.
  */
-import type { BackendAnswer, BackendCall, BackendClient, CallFailure } from '../../connection/backends/backend-client.js'
+import type { BackendCall, BackendClient, BackendResponse, CallFailure } from '../../connection/backends/backend-client.js'
 import type { Backend } from '../../connection/backends/backend.js'
 import type { ClientAnswer } from '../../connection/clients/client-answer.js'
 import type { BufferedResponse } from '../responses/response-relay.js'
@@ -89,7 +89,7 @@
     }
   }
 
-  private handleResponse(answer: BackendAnswer): Promise<AttemptResult> | AttemptResult {
+  private handleResponse(answer: BackendResponse): Promise<AttemptResult> | AttemptResult {
     if (this.deps.request.route.streaming && answer.status < SUCCESS_STATUS_END)
       return this.relay(answer)
     if (this.deps.answer.started)
@@ -97,7 +97,7 @@
     return this.bufferAndSend(answer)
   }
 
-  private async relay(answer: BackendAnswer): Promise<AttemptResult> {
+  private async relay(answer: BackendResponse): Promise<AttemptResult> {
     const ended = await relayStream(answer, this.deps.answer, {
       controller: this.controller,
       remainingMs: this.remainingMs(),
@@ -108,13 +108,13 @@
   }
 
   /** Rejects a non-streaming response to a resumed stream, whose head has already been sent. */
-  private rejectNonStream(answer: BackendAnswer): AttemptResult {
+  private rejectNonStream(answer: BackendResponse): AttemptResult {
     answer.destroy()
     return broken(`got status ${answer.status} while resuming a stream that has already started`)
   }
 
   /** Buffers the whole response before sending it, so that a truncated one is never framed as complete. */
-  private async bufferAndSend(answer: BackendAnswer): Promise<AttemptResult> {
+  private async bufferAndSend(answer: BackendResponse): Promise<AttemptResult> {
     const whole = await bufferResponse(answer, this.controller, this.remainingMs())
     if (whole.isErr())
       return broken(whole.error)
--- a/packages/gateway/src/request/request-log.ts
+++ b/packages/gateway/src/request/request-log.ts
@@ -63,7 +63,7 @@
       outstanding: backend.outstanding,
       running: backend.load?.running,
       limitPerSecond: backend.intake.limitPerSecond,
-      limitAgeMs: backend.intake.limitPerSecond === undefined ? undefined : Math.round(performance.now() - backend.intake.limitNamedAt),
+      limitAgeMs: backend.intake.limitPerSecond === undefined ? undefined : Math.round(performance.now() - backend.intake.limitReportedAt),
       saidLeaving: backend.intake.isLeaving || undefined,
       restMs: Math.round(backend.intake.restMs(performance.now())) || undefined,
       loadAgeMs: backend.load ? Math.round(performance.now() - backend.loadAt) : undefined,
--- a/packages/gateway/src/request/responses/response-relay.ts
+++ b/packages/gateway/src/request/responses/response-relay.ts
@@ -6,7 +6,7 @@
  * incomplete event; if the process dies, both are lost and the connections break.
  */
 import type { Result } from 'ts-results-es'
-import type { BackendAnswer } from '../../connection/backends/backend-client.js'
+import type { BackendResponse } from '../../connection/backends/backend-client.js'
 import type { ClientAnswer } from '../../connection/clients/client-answer.js'
 import type { Probe } from './stall-detector.js'
 import { formatError } from '@eidermast/common'
@@ -25,13 +25,13 @@
 
 /** A non-streaming response that was read to its end. */
 export interface BufferedResponse {
-  answer: BackendAnswer
+  answer: BackendResponse
   body: Buffer
 }
 
 /** Buffers a response; returns an error if it breaks off, is too large or takes longer than `remainingMs`. */
 export async function bufferResponse(
-  answer: BackendAnswer,
+  answer: BackendResponse,
   controller: AbortController,
   remainingMs: number,
 ): Promise<Result<BufferedResponse, string>> {
@@ -66,7 +66,7 @@
 }
 
 /** Forwards the events of one response; returns an error if it breaks off, is truncated or runs out of time. */
-export async function relayStream(answer: BackendAnswer, client: ClientAnswer, options: RelayOptions): Promise<Result<void, string>> {
+export async function relayStream(answer: BackendResponse, client: ClientAnswer, options: RelayOptions): Promise<Result<void, string>> {
   const { controller } = options
   const timer = setTimeout(() => controller.abort(), atLeastOneMs(options.remainingMs))
   const stallDetector = new StallDetector(options.probe, () => controller.abort())
@@ -89,7 +89,7 @@
   }
 }
 
-function beginStream(answer: BackendAnswer, client: ClientAnswer): void {
+function beginStream(answer: BackendResponse, client: ClientAnswer): void {
   if (client.started)
     return
   if (answer.framed)
@@ -99,7 +99,7 @@
 }
 
 async function forwardEvents(
-  answer: BackendAnswer,
+  answer: BackendResponse,
   client: ClientAnswer,
   stallDetector: StallDetector,
   onEvent: RelayOptions['onEvent'],
--- a/test/gateway/backend-list.test.ts
+++ b/test/gateway/backend-list.test.ts
@@ -124,14 +124,14 @@
     list.upsert(createEntry('encode-b', 11))
     list.upsert(createEntry('encode-a', 12))
     list.unlist('encode-a', 14)
-    expect(registry.find('encode-a')?.takesWork).toBe(false)
+    expect(registry.find('encode-a')?.acceptsWork).toBe(false)
     expect(registry.find('encode-b')).toBeUndefined()
   })
 
   test('does not revert an entry that was newer than the revision of its whole list', () => {
     list.replaceAll({ revision: 10, entries: [createEntry('encode-a', 16, { draining: true })] })
     list.adopt({ revision: 14, entries: [createEntry('encode-a', 3)] }, PEER)
-    expect(registry.find('encode-a')?.takesWork).toBe(false)
+    expect(registry.find('encode-a')?.acceptsWork).toBe(false)
     list.adopt({ revision: 15, entries: [] }, PEER)
     expect(registry.find('encode-a')).toBeDefined()
   })
--- a/test/gateway/backend-registry.test.ts
+++ b/test/gateway/backend-registry.test.ts
@@ -102,13 +102,13 @@
   test('is updated by a response that arrives while its entry is removed', () => {
     const { intake } = registry.find('encode-a')!
     registry.remove('encode-a', 'list entry was removed')
-    intake.takeLeaving()
+    intake.markLeaving()
     registry.upsert(RECORD)
     expect(isUsed()).toBe(false)
   })
 
   test('excludes a process that announced its leaving, whatever its list entry says later', () => {
-    registry.find('encode-a')!.intake.takeLeaving()
+    registry.find('encode-a')!.intake.markLeaving()
     registry.upsert({ ...RECORD, capacity: 5 })
     expect(isUsed()).toBe(false)
     registry.replaceAll([])
@@ -119,7 +119,7 @@
   test('does not apply to a later process of the backend server', () => {
     registry.upsert({ ...RECORD, born: 1 })
     registry.find('encode-a')!.intake.limitPerSecond = 2
-    registry.find('encode-a')!.intake.takeLeaving()
+    registry.find('encode-a')!.intake.markLeaving()
     registry.upsert({ ...RECORD, born: 2 })
     expect(registry.find('encode-a')!.intake.limitPerSecond).toBeUndefined()
     expect(isUsed()).toBe(true)
--- a/test/gateway/cold-backends.test.ts
+++ b/test/gateway/cold-backends.test.ts
@@ -56,7 +56,7 @@
 
   test('is cold for as long as its responses report', () => {
     list.replaceAll({ revision: 5, entries: [listed({ id: 'warm' })] })
-    registry.find('warm')!.noteCold(500, performance.now())
+    registry.find('warm')!.markCold(500, performance.now())
     expect([isCold('warm', 400), isCold('warm', 501)]).toEqual([true, false])
   })
 })
--- a/test/gateway/cold-pace.test.ts
+++ b/test/gateway/cold-pace.test.ts
@@ -20,7 +20,7 @@
 /** A gateway that learned of the start at `heardAt`; each has its own copy of the backend server. */
 function createSender(name: string, ratePerSecond: number, heardAt: number): Sender {
   const backend = createBackend({ id: 'engine-a' })
-  backend.noteCold(COLD_MS, heardAt)
+  backend.markCold(COLD_MS, heardAt)
   return { pace: new ColdPace(name, () => ratePerSecond), backend }
 }
 
@@ -84,7 +84,7 @@
   test('get a new time slot after it becomes cold again', () => {
     const { pace, backend } = createSender('gateway', 10, 0)
     const later = 3 * COLD_MS
-    backend.noteCold(COLD_MS, later)
+    backend.markCold(COLD_MS, later)
     expect(backend.coldSince).toBe(later)
     expect(opensWithinSecond(pace, backend, later)).toBe(true)
   })
--- a/test/gateway/limit-exchange.test.ts
+++ b/test/gateway/limit-exchange.test.ts
@@ -20,7 +20,7 @@
 
   /** Handles a response to a work call that sets a limit, or none. */
   answer(limitPerSecond: number | undefined, calledAt: number, now: number): void {
-    if (this.intake.takeLimit({ limitPerSecond }, { isWork: true, calledAt }, now))
+    if (this.intake.updateLimit({ limitPerSecond }, { isWork: true, calledAt }, now))
       this.exchange.note(this.registry.find('engine-a')!)
   }
 }
--- a/test/gateway/restarted-backends.test.ts
+++ b/test/gateway/restarted-backends.test.ts
@@ -29,7 +29,7 @@
     registry.upsert(SECOND)
     const after = registry.find('plain-a')!
     expect(after).not.toBe(before)
-    expect([before.takesWork, after.takesWork, after.load, after.outstanding]).toEqual([false, true, undefined, 0])
+    expect([before.acceptsWork, after.acceptsWork, after.load, after.outstanding]).toEqual([false, true, undefined, 0])
     expect(listener.removed).toHaveBeenCalledWith(before)
     expect(listener.added).toHaveBeenCalledWith(after)
     expect(registry.available('plain')).toEqual([after])
@@ -54,11 +54,11 @@
   })
 
   test('gets connections to its own address', () => {
-    const connections = new BackendConnections(() => 2, { waitingChanged: () => {}, started: () => {}, turnedAway: () => {} }, OPEN_INTAKE)
-    registry.listen({ removed: backend => connections.forget(backend) })
-    const before = connections.of(registry.find('plain-a')!)
+    const connections = new BackendConnections(() => 2, { waitingChanged: () => {}, started: () => {}, rejected: () => {} }, OPEN_INTAKE)
+    registry.listen({ removed: backend => connections.remove(backend) })
+    const before = connections.poolOf(registry.find('plain-a')!)
     registry.upsert(SECOND)
-    expect(connections.of(registry.find('plain-a')!)).not.toBe(before)
+    expect(connections.poolOf(registry.find('plain-a')!)).not.toBe(before)
   })
 
   test('is not expected to have cached the prompts of its previous process', () => {
--- a/test/gateway/support/fakes.ts
+++ b/test/gateway/support/fakes.ts
@@ -134,7 +134,7 @@
 }
 
 /** A gate for backend servers that accept all requests. */
-export const OPEN_INTAKE: IntakeGate = { waitMs: () => 0, noteSent: () => {}, noteAnswer: () => {} }
+export const OPEN_INTAKE: IntakeGate = { waitMs: () => 0, recordSent: () => {}, handleResponse: () => {} }
 
 /** Allows any number of requests to cold backend servers. */
 export const UNLIMITED_COLD_PACE: Pick<ColdPace, 'mayTake' | 'note'> = { mayTake: () => true, note: () => {} }
--- a/test/platform/backend-client.test.ts
+++ b/test/platform/backend-client.test.ts
@@ -34,7 +34,7 @@
 
 function createClient(): HttpBackendClient {
   intake = { ...OPEN_INTAKE }
-  connections = new BackendConnections(() => 4, { waitingChanged: () => {}, started: () => {}, turnedAway: () => {} }, intake)
+  connections = new BackendConnections(() => 4, { waitingChanged: () => {}, started: () => {}, rejected: () => {} }, intake)
   return new HttpBackendClient(connections, new PlatformBackendCodec())
 }
 
@@ -184,11 +184,11 @@
   test.each([
     ['starts to leave', () => {
       backend.record.draining = true
-      connections!.turnAwayWaiting(backend)
+      connections!.rejectWaiting(backend)
     }],
     ['is removed', () => {
       backend.removed = true
-      connections!.forget(backend)
+      connections!.remove(backend)
     }],
   ])('is rejected when its backend server %s, for requests and stage calls alike', async (_name, leave) => {
     const stages = new HttpStageClient(connections!, new PlatformLog(createLog().log))
--- a/test/platform/gateways.test.ts
+++ b/test/platform/gateways.test.ts
@@ -127,7 +127,7 @@
     const changedAt = performance.now()
     await vi.waitFor(() => {
       for (const { gateway } of gateways)
-        expect(gateway.registry.find(model.id)!.takesWork).toBe(false)
+        expect(gateway.registry.find(model.id)!.acceptsWork).toBe(false)
     }, { timeout: 3000, interval: 10 })
     expect(performance.now() - changedAt).toBeLessThan(500)
   })
