--- a/packages/gateway/src/connection/clients/client-request.ts
+++ b/packages/gateway/src/connection/clients/client-request.ts
@@ -1,9 +1,9 @@
+import type { ClientRequestHead } from './client-codec.js'
 /**
  * A client's request as `ClientServer` passes it to the request path, and the
  * interface that the request path implements.
  */
-import type { ClientAnswer } from './client-answer.js'
-import type { ClientRequestHead } from './client-codec.js'
+import type { ClientResponse } from './client-response.js'
 
 /** A request that was read completely. */
 export interface ClientRequest {
@@ -20,5 +20,5 @@
 /** Handles requests; implemented by the request path. */
 export interface RequestHandler {
   /** Sends exactly one response, or cuts it off; the signal is aborted when the client disconnects. */
-  serve: (request: ClientRequest, answer: ClientAnswer, signal: AbortSignal) => Promise<void>
+  serve: (request: ClientRequest, answer: ClientResponse, signal: AbortSignal) => Promise<void>
 }
--- a/packages/gateway/src/connection/clients/client-server.ts
+++ b/packages/gateway/src/connection/clients/client-server.ts
@@ -11,12 +11,12 @@
 import type { ClientLimits } from '../../version/configuration.js'
 import type { ClientCodec } from './client-codec.js'
 import type { RequestHandler } from './client-request.js'
-import type { ReadParts } from './request-reader.js'
+import type { ReadContext } from './request-reader.js'
 import { createServer } from 'node:http'
 import { createError, ErrorKind, formatError } from '@eidermast/common'
 import { errorCode } from '../error-codes.js'
+import { HttpClientResponse } from './http-client-response.js'
 import { readRequest } from './request-reader.js'
-import { ResponseAnswer } from './response-answer.js'
 
 /** Limits until the first configuration is received. */
 const DEFAULT_LIMITS: ClientLimits = { maxHeaderBytes: 16_384, maxBodyBytes: 4_194_304, headerTimeoutMs: 3000, idleTimeoutMs: 15_000 }
@@ -47,7 +47,7 @@
   ) {
     const options = { maxHeaderSize: MAX_HEADER_BYTES, connectionsCheckingInterval: CONNECTION_CHECK_MS, noDelay: true }
     this.server = createServer(options, (message, response) => void this.handle(message, response))
-    this.server.on('clientError', (error, socket) => this.refuseUnreadable(error, socket))
+    this.server.on('clientError', (error, socket) => this.rejectMalformed(error, socket))
     this.applyLimits(DEFAULT_LIMITS)
     configuration.onChange(table => this.applyLimits(table.configuration.limits))
   }
@@ -71,7 +71,7 @@
   }
 
   /** Closes idle connections and rejects new requests, which clients may retry at another gateway. */
-  refuseNew(): void {
+  rejectNew(): void {
     this.refusing = true
     this.server.closeIdleConnections()
   }
@@ -95,38 +95,38 @@
     const arrivedAt = performance.now()
     const head = this.codec.readHead(message.rawHeaders)
     const requestId = head.isOk() ? head.value.requestId : undefined
-    const answer = new ResponseAnswer(response, this.codec, requestId, () => this.draining)
-    const signal = watchClient(response)
+    const answer = new HttpClientResponse(response, this.codec, requestId, () => this.draining)
+    const signal = createDisconnectSignal(response)
     try {
       await this.serve(message, { head, limits: this.limits, refusing: this.refusing, arrivedAt }, answer, signal)
     }
     catch (error) {
-      this.takeInternalError(error, answer)
+      this.handleInternalError(error, answer)
     }
     finally {
       this.active--
     }
   }
 
-  private async serve(message: IncomingMessage, parts: ReadParts, answer: ResponseAnswer, signal: AbortSignal): Promise<void> {
-    const request = await readRequest(message, parts)
+  private async serve(message: IncomingMessage, context: ReadContext, answer: HttpClientResponse, signal: AbortSignal): Promise<void> {
+    const request = await readRequest(message, context)
     if (request?.isOk())
       await this.handler.serve(request.value, answer, signal)
     else if (request?.isErr())
       answer.reject(request.error)
   }
 
-  private takeInternalError(error: unknown, answer: ResponseAnswer): void {
+  private handleInternalError(error: unknown, answer: HttpClientResponse): void {
     const stack = error instanceof Error ? error.stack : undefined
     this.log.write('internal-error', { error: stack ?? formatError(error) })
     if (answer.started)
-      answer.breakOff()
+      answer.cutOff()
     else
       answer.fail(createError(ErrorKind.Internal, 'internal error of the gateway'))
   }
 
   /** Responds to data that is not valid HTTP, or to a request head that timed out. */
-  private refuseUnreadable(error: Error, socket: Duplex): void {
+  private rejectMalformed(error: Error, socket: Duplex): void {
     this.log.write('client-error', { error: error.message })
     if (socket.writable)
       socket.end(`HTTP/1.1 ${statusOfParseError(error)}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`)
@@ -136,7 +136,7 @@
 }
 
 /** A signal that is aborted when the client disconnects before the response is complete. */
-function watchClient(response: ServerResponse): AbortSignal {
+function createDisconnectSignal(response: ServerResponse): AbortSignal {
   const leaving = new AbortController()
   response.on('close', () => {
     if (!response.writableFinished)
--- a/packages/gateway/src/connection/clients/error-status.ts
+++ b/packages/gateway/src/connection/clients/error-status.ts
@@ -13,12 +13,12 @@
 import { ERROR_ANSWERS, Ran } from '@eidermast/common'
 
 /** Statuses that guarantee that the request was not and will not be executed. */
-const PROMISE_STATUSES = new Set([408, 421, 429, 503])
+const NOT_EXECUTED_STATUSES = new Set([408, 421, 429, 503])
 /** A status without that guarantee. */
-const NO_PROMISE_STATUS = 502
+const MAYBE_EXECUTED_STATUS = 502
 
 /** The HTTP status for an error. */
 export function chooseErrorStatus({ kind, ran }: Pick<RequestError, 'kind' | 'ran'>): number {
   const { status } = ERROR_ANSWERS[kind]
-  return PROMISE_STATUSES.has(status) && ran !== Ran.None ? NO_PROMISE_STATUS : status
+  return NOT_EXECUTED_STATUSES.has(status) && ran !== Ran.None ? MAYBE_EXECUTED_STATUS : status
 }
--- a/packages/gateway/src/connection/clients/response-answer.ts
+++ b/packages/gateway/src/connection/clients/http-client-response.ts
@@ -6,24 +6,24 @@
 import type { RequestError } from '@eidermast/common'
 import type { ServerResponse } from 'node:http'
 import type { HeaderList } from '../backends/backend-client.js'
-import type { ClientAnswer } from './client-answer.js'
 import type { ClientCodec } from './client-codec.js'
+import type { ClientResponse } from './client-response.js'
 
 /** Responds over HTTP/1.1. */
-export class ResponseAnswer implements ClientAnswer {
+export class HttpClientResponse implements ClientResponse {
   constructor(
     private readonly response: ServerResponse,
     private readonly codec: ClientCodec,
     private readonly requestId: string | undefined,
     /** Whether the client should close its connection after this response. */
-    private readonly closing: () => boolean,
+    private readonly shouldClose: () => boolean,
   ) {}
 
   get started(): boolean {
     return this.response.headersSent
   }
 
-  sendWhole(status: number, headers: HeaderList, body: Buffer): void {
+  sendComplete(status: number, headers: HeaderList, body: Buffer): void {
     this.writeHead(status, [...headers, ['content-length', String(body.length)]])
     this.response.end(body)
   }
@@ -55,14 +55,14 @@
     this.response.end()
   }
 
-  breakOff(): void {
+  cutOff(): void {
     this.response.destroy()
   }
 
   fail(error: RequestError): void {
     const { status, headers } = this.codec.errorHead(error, this.requestId)
     const body = Buffer.from(JSON.stringify({ kind: error.kind, message: error.message, ran: error.ran }))
-    this.sendWhole(status, [...headers, ['content-type', 'application/json']], body)
+    this.sendComplete(status, [...headers, ['content-type', 'application/json']], body)
   }
 
   /** Responds with an error to a request that was not read to its end; its connection cannot be reused. */
@@ -72,7 +72,7 @@
   }
 
   private writeHead(status: number, headers: HeaderList): void {
-    if (this.closing())
+    if (this.shouldClose())
       this.response.setHeader('connection', 'close')
     for (const [name, value] of headers)
       this.response.appendHeader(name, value)
--- a/packages/gateway/src/connection/clients/request-reader.ts
+++ b/packages/gateway/src/connection/clients/request-reader.ts
@@ -30,7 +30,7 @@
 const HEADER_SEPARATOR_BYTES = 4
 
 /** What is needed besides the message to read a request. */
-export interface ReadParts {
+export interface ReadContext {
   /** The decoded head, or why it is invalid. */
   head: Result<ClientRequestHead, string>
   limits: ClientLimits
@@ -41,9 +41,9 @@
 }
 
 /** Reads a request to its end, or returns the error to reject it with; undefined if the client disconnected while sending it. */
-export async function readRequest(message: IncomingMessage, parts: ReadParts): Promise<Result<ClientRequest, RequestError> | undefined> {
-  const { limits, arrivedAt } = parts
-  const head = checkHead(message, parts)
+export async function readRequest(message: IncomingMessage, context: ReadContext): Promise<Result<ClientRequest, RequestError> | undefined> {
+  const { limits, arrivedAt } = context
+  const head = checkHead(message, context)
   if (head.isErr())
     return head
   const request: ClientRequest = { method: message.method!, path: message.url!, head: head.value, body: undefined, arrivedAt }
@@ -58,7 +58,7 @@
   return undefined
 }
 
-function checkHead(message: IncomingMessage, { head, limits, refusing }: ReadParts): Result<ClientRequestHead, RequestError> {
+function checkHead(message: IncomingMessage, { head, limits, refusing }: ReadContext): Result<ClientRequestHead, RequestError> {
   if (head.isErr())
     return Err(createError(ErrorKind.InvalidRequest, head.error))
   if (headBytes(message) > limits.maxHeaderBytes)
--- a/packages/gateway/src/connection/connection-headers.ts
+++ b/packages/gateway/src/connection/hop-by-hop-headers.ts
@@ -4,7 +4,7 @@
  */
 
 /** In lower case. */
-const CONNECTION_HEADERS = [
+const HOP_BY_HOP_HEADERS = [
   'connection',
   'keep-alive',
   'proxy-connection',
@@ -20,8 +20,8 @@
  * The hop-by-hop headers of a message in lower case, including those that its
  * `Connection` header lists. `rawHeaders` alternates names and values.
  */
-export function connectionHeaders(rawHeaders: readonly string[]): Set<string> {
-  const names = new Set(CONNECTION_HEADERS)
+export function hopByHopHeaders(rawHeaders: readonly string[]): Set<string> {
+  const names = new Set(HOP_BY_HOP_HEADERS)
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
     if (rawHeaders[index].toLowerCase() === 'connection')
       rawHeaders[index + 1].split(',').forEach(name => names.add(name.trim().toLowerCase()))
--- a/packages/gateway/src/connection/index.ts
+++ b/packages/gateway/src/connection/index.ts
@@ -1,6 +1,6 @@
 export * from './backends/index.js'
 export * from './body-reader.js'
 export * from './clients/index.js'
-export * from './connection-headers.js'
 export * from './error-codes.js'
+export * from './hop-by-hop-headers.js'
 export * from './peers/index.js'
--- a/packages/gateway/src/connection/peers/peer-clients.ts
+++ b/packages/gateway/src/connection/peers/peer-clients.ts
@@ -32,7 +32,7 @@
  * may be large; after a timeout, they are requested again following the next
  * heartbeat.
  */
-const HELD_STATE_TIMEOUT_MS = 1500
+const STATE_FETCH_TIMEOUT_MS = 1500
 /** Timeout for the release of results. Results that are not released expire. */
 const RELEASE_TIMEOUT_MS = 1000
 
@@ -40,7 +40,7 @@
 const OK_STATUS = 200
 
 /** Request options of tRPC's link. */
-interface PeerCallOptions {
+interface FetchOptions {
   method: 'GET' | 'POST'
   headers: Record<string, string>
   body?: string
@@ -48,7 +48,7 @@
 }
 
 /** The parts of a response that tRPC's link reads. */
-interface PeerAnswer {
+interface FetchResponse {
   ok: boolean
   status: number
   json: () => Promise<unknown>
@@ -67,34 +67,34 @@
 
   async heartbeat(member: Member, heartbeat: Heartbeat): Promise<HeartbeatReply> {
     const signal = AbortSignal.timeout(HEARTBEAT_TIMEOUT_MS)
-    return decodeHeartbeatReply(await this.of(member).greet.mutate(encodeHeartbeat(heartbeat), { signal }))
+    return decodeHeartbeatReply(await this.clientFor(member).greet.mutate(encodeHeartbeat(heartbeat), { signal }))
   }
 
   /** The peer's configuration; null if it has none. */
   configuration(member: Member): Promise<ConfigurationRecord | null> {
-    return this.of(member).configuration.query(undefined, { signal: AbortSignal.timeout(HELD_STATE_TIMEOUT_MS) })
+    return this.clientFor(member).configuration.query(undefined, { signal: AbortSignal.timeout(STATE_FETCH_TIMEOUT_MS) })
   }
 
   /** The peer's list of backend servers. */
   async backends(member: Member): Promise<ListedBackends> {
-    const signal = AbortSignal.timeout(HELD_STATE_TIMEOUT_MS)
-    return decodeListedBackends(await this.of(member).backends.query(undefined, { signal }))
+    const signal = AbortSignal.timeout(STATE_FETCH_TIMEOUT_MS)
+    return decodeListedBackends(await this.clientFor(member).backends.query(undefined, { signal }))
   }
 
   /** Runs the stage work of a request at a peer; limited only by the signal. */
   async prepare(member: Member, request: PreparationRequest, signal: AbortSignal): Promise<Result<PreparedInputs, PreparationFailure>> {
-    return decodePreparationReply(await this.of(member).prepare.mutate(encodePreparationRequest(request), { signal }))
+    return decodePreparationReply(await this.clientFor(member).prepare.mutate(encodePreparationRequest(request), { signal }))
   }
 
   async release(member: Member, requestIds: string[]): Promise<void> {
-    await this.of(member).release.mutate(requestIds, { signal: AbortSignal.timeout(RELEASE_TIMEOUT_MS) })
+    await this.clientFor(member).release.mutate(requestIds, { signal: AbortSignal.timeout(RELEASE_TIMEOUT_MS) })
   }
 
   async close(): Promise<void> {
     await this.agent.destroy()
   }
 
-  private of(member: Member): TRPCClient<PeerRouter> {
+  private clientFor(member: Member): TRPCClient<PeerRouter> {
     const existing = this.clients.get(member.address)
     if (existing)
       return existing
@@ -102,7 +102,7 @@
       links: [httpLink({
         url: `http://${member.address}`,
         // tRPC declares its fetch option with DOM types.
-        fetch: (url, options) => this.fetch(url as string, options as PeerCallOptions) as never,
+        fetch: (url, options) => this.fetch(url as string, options as FetchOptions) as never,
       })],
     })
     this.clients.set(member.address, client)
@@ -110,7 +110,7 @@
   }
 
   /** The subset of `fetch` that tRPC's link needs, without web streams. */
-  private async fetch(url: string, options: PeerCallOptions): Promise<PeerAnswer> {
+  private async fetch(url: string, options: FetchOptions): Promise<FetchResponse> {
     const { origin, pathname, search } = new URL(url)
     const { statusCode, body } = await this.agent.request({ ...options, origin, path: `${pathname}${search}` })
     return { ok: statusCode === OK_STATUS, status: statusCode, json: () => body.json() }
--- a/packages/gateway/src/connection/peers/peer-messages.ts
+++ b/packages/gateway/src/connection/peers/peer-messages.ts
@@ -56,11 +56,11 @@
 export const heartbeatSchema = heartbeatFields.transform(decodeHeartbeat)
 
 export function encodeHeartbeat(heartbeat: Heartbeat): HeartbeatMessage {
-  return { ...heartbeat, ...encodePlace(heartbeat.backends) }
+  return { ...heartbeat, ...encodeListRevision(heartbeat.backends) }
 }
 
 function decodeHeartbeat({ backendsEra, ...rest }: HeartbeatMessage): Heartbeat {
-  return rest.backends === undefined ? rest : { ...rest, backends: decodePlace(rest.backends, backendsEra) }
+  return rest.backends === undefined ? rest : { ...rest, backends: decodeRevision(rest.backends, backendsEra) }
 }
 
 /** Response to a heartbeat. */
@@ -97,12 +97,12 @@
 export function encodeHeartbeatReply(reply: HeartbeatReply): HeartbeatReplyMessage {
   const { era } = positionOf(reply.backends ?? 0)
   const backendChanges = reply.backendChanges?.map(change => ({ ...change, revision: offsetIn(era, change.revision) }))
-  return { ...reply, ...encodePlace(reply.backends), backendChanges }
+  return { ...reply, ...encodeListRevision(reply.backends), backendChanges }
 }
 
 export function decodeHeartbeatReply({ backendsEra, ...reply }: HeartbeatReplyMessage): HeartbeatReply {
-  const backendChanges = reply.backendChanges?.map(change => ({ ...change, revision: decodePlace(change.revision, backendsEra) }))
-  return { ...reply, backends: decodePlace(reply.backends, backendsEra), backendChanges }
+  const backendChanges = reply.backendChanges?.map(change => ({ ...change, revision: decodeRevision(change.revision, backendsEra) }))
+  return { ...reply, backends: decodeRevision(reply.backends, backendsEra), backendChanges }
 }
 
 /** Wire format of the list of backend servers: revisions are sent as offsets within one era, which is omitted if it is 0. */
@@ -117,18 +117,18 @@
 }
 
 export function decodeListedBackends({ era, ...list }: ListedBackendsMessage): ListedBackends {
-  const entries = list.entries.map(entry => ({ ...entry, revision: decodePlace(entry.revision, era) }))
-  return { ...list, revision: decodePlace(list.revision, era), entries }
+  const entries = list.entries.map(entry => ({ ...entry, revision: decodeRevision(entry.revision, era) }))
+  return { ...list, revision: decodeRevision(list.revision, era), entries }
 }
 
-function encodePlace(revision: number | undefined): { backends?: number, backendsEra?: number } {
+function encodeListRevision(revision: number | undefined): { backends?: number, backendsEra?: number } {
   if (revision === undefined)
     return {}
   const { era, offset } = positionOf(revision)
   return { backends: offset, backendsEra: era || undefined }
 }
 
-function decodePlace<Offset extends number | undefined>(offset: Offset, era = 0): Offset {
+function decodeRevision<Offset extends number | undefined>(offset: Offset, era = 0): Offset {
   return (offset === undefined ? undefined : revisionAt({ era, offset })) as Offset
 }
 
--- a/packages/gateway/src/process/drain/drain-clients.ts
+++ b/packages/gateway/src/process/drain/drain-clients.ts
@@ -20,7 +20,7 @@
     step = decideDrainStep({ elapsedMs, activeRequests: clients.activeRequests, gracePeriodMs, othersServe: othersServe() })
     // Both repeated at each check, to also close connections that have become idle since.
     if (step === DrainStep.Refuse)
-      clients.refuseNew()
+      clients.rejectNew()
     if (step === DrainStep.Close)
       clients.close()
     await wait(DRAIN_CHECK_INTERVAL_MS)
--- a/packages/gateway/src/request/attempts/backend-attempt.ts
+++ b/packages/gateway/src/request/attempts/backend-attempt.ts
@@ -7,7 +7,7 @@
  */
 import type { BackendCall, BackendClient, BackendResponse, CallFailure } from '../../connection/backends/backend-client.js'
 import type { Backend } from '../../connection/backends/backend.js'
-import type { ClientAnswer } from '../../connection/clients/client-answer.js'
+import type { ClientResponse } from '../../connection/clients/client-response.js'
 import type { BufferedResponse } from '../responses/response-relay.js'
 import type { Probe } from '../responses/stall-detector.js'
 import type { RoutedRequest } from '../routed-request.js'
@@ -37,7 +37,7 @@
   client: BackendClient
   backend: Backend
   request: RoutedRequest
-  answer: ClientAnswer
+  answer: ClientResponse
   /** Called just before an event of a stream is forwarded. */
   onEvent: (id: string | undefined) => void
 }
--- a/packages/gateway/src/request/attempts/backend-runner.ts
+++ b/packages/gateway/src/request/attempts/backend-runner.ts
@@ -87,6 +87,6 @@
 }
 
 /** Whether the limit may have been lifted since it was reported; only the response to a request can tell. */
-function isLimitOld({ limitPerSecond, limitReportedAt: limitNamedAt }: IntakeState, now: number): boolean {
-  return limitPerSecond !== undefined && now - limitNamedAt > LIMIT_REFRESH_MS
+function isLimitOld({ limitPerSecond, limitReportedAt }: IntakeState, now: number): boolean {
+  return limitPerSecond !== undefined && now - limitReportedAt > LIMIT_REFRESH_MS
 }
--- a/packages/gateway/src/request/attempts/run-subject.ts
+++ b/packages/gateway/src/request/attempts/run-subject.ts
@@ -2,7 +2,7 @@
  * Input and result of running a request at backend servers.
  */
 import type { RequestError } from '@eidermast/common'
-import type { ClientAnswer } from '../../connection/clients/client-answer.js'
+import type { ClientResponse } from '../../connection/clients/client-response.js'
 import type { RoutedRequest } from '../routed-request.js'
 import type { RetryDecision } from './retry-rule.js'
 
@@ -37,7 +37,7 @@
 export interface RunSubject {
   request: RoutedRequest
   inputs: RunInputs
-  answer: ClientAnswer
+  answer: ClientResponse
   /** Aborts when the client disconnects. */
   signal: AbortSignal
 }
--- a/packages/gateway/src/request/proxy-request-handler.ts
+++ b/packages/gateway/src/request/proxy-request-handler.ts
@@ -5,8 +5,8 @@
  * process dies, it is lost and the client's connection breaks.
  */
 import type { EventLog, RequestError } from '@eidermast/common'
-import type { ClientAnswer } from '../connection/clients/client-answer.js'
 import type { ClientRequest, RequestHandler } from '../connection/clients/client-request.js'
+import type { ClientResponse } from '../connection/clients/client-response.js'
 import type { PreparationRequest, Preparer } from '../connection/peers/preparation.js'
 import type { ConfigurationHolder } from '../version/configuration-holder.js'
 import type { BackendRunner } from './attempts/backend-runner.js'
@@ -49,7 +49,7 @@
   }
 
   /** Answers a request; the signal aborts when its client disconnects. */
-  async serve(request: ClientRequest, answer: ClientAnswer, signal: AbortSignal): Promise<void> {
+  async serve(request: ClientRequest, answer: ClientResponse, signal: AbortSignal): Promise<void> {
     const routed = this.router.route(request)
     if (routed.isErr())
       return this.finish(request, undefined, answer, { error: routed.error })
@@ -64,13 +64,13 @@
     return refusal === undefined ? undefined : createError(ErrorKind.Quarantined, refusal)
   }
 
-  private run(request: RoutedRequest, answer: ClientAnswer, signal: AbortSignal): Promise<RunResult> {
+  private run(request: RoutedRequest, answer: ClientResponse, signal: AbortSignal): Promise<RunResult> {
     if (request.route.stages.length === 0)
       return this.deps.runner.run({ request, inputs: NO_INPUTS, answer, signal })
     return this.prepareAndRun(request, answer, signal)
   }
 
-  private async prepareAndRun(request: RoutedRequest, answer: ClientAnswer, signal: AbortSignal): Promise<RunResult> {
+  private async prepareAndRun(request: RoutedRequest, answer: ClientResponse, signal: AbortSignal): Promise<RunResult> {
     const { requestId } = request.head
     const firstEventMs = Math.ceil(request.firstEventBy - performance.now())
     const waitMs = this.deps.runner.shortestWaitMs(request)
@@ -117,7 +117,7 @@
     }
   }
 
-  private finish(request: ClientRequest, route: string | undefined, answer: ClientAnswer, { error, retry, firstEventAt }: RunResult): void {
+  private finish(request: ClientRequest, route: string | undefined, answer: ClientResponse, { error, retry, firstEventAt }: RunResult): void {
     const tookMs = performance.now() - request.arrivedAt
     const configurationVersion = this.deps.configuration.version
     this.deps.metrics.countRequest(route ?? NO_ROUTE, outcomeOf(error), tookMs)
@@ -126,7 +126,7 @@
     if (!error)
       return
     if (answer.started)
-      answer.breakOff()
+      answer.cutOff()
     else
       answer.fail(error)
   }
--- a/packages/gateway/src/request/responses/response-relay.ts
+++ b/packages/gateway/src/request/responses/response-relay.ts
@@ -7,7 +7,7 @@
  */
 import type { Result } from 'ts-results-es'
 import type { BackendResponse } from '../../connection/backends/backend-client.js'
-import type { ClientAnswer } from '../../connection/clients/client-answer.js'
+import type { ClientResponse } from '../../connection/clients/client-response.js'
 import type { Probe } from './stall-detector.js'
 import { formatError } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
@@ -46,9 +46,9 @@
 }
 
 /** Sends a buffered response to the client, with the same framing as the backend server used. */
-export function sendBuffered({ answer, body }: BufferedResponse, client: ClientAnswer): void {
+export function sendBuffered({ answer, body }: BufferedResponse, client: ClientResponse): void {
   if (answer.framed)
-    return client.sendWhole(answer.status, answer.headers, body)
+    return client.sendComplete(answer.status, answer.headers, body)
   client.beginUnframed(answer.status, answer.headers)
   // Sending fails only if the client disconnected; the error needs no handling.
   void client.send(body).then(() => client.end(), () => {})
@@ -66,7 +66,7 @@
 }
 
 /** Forwards the events of one response; returns an error if it breaks off, is truncated or runs out of time. */
-export async function relayStream(answer: BackendResponse, client: ClientAnswer, options: RelayOptions): Promise<Result<void, string>> {
+export async function relayStream(answer: BackendResponse, client: ClientResponse, options: RelayOptions): Promise<Result<void, string>> {
   const { controller } = options
   const timer = setTimeout(() => controller.abort(), atLeastOneMs(options.remainingMs))
   const stallDetector = new StallDetector(options.probe, () => controller.abort())
@@ -89,7 +89,7 @@
   }
 }
 
-function beginStream(answer: BackendResponse, client: ClientAnswer): void {
+function beginStream(answer: BackendResponse, client: ClientResponse): void {
   if (client.started)
     return
   if (answer.framed)
@@ -100,7 +100,7 @@
 
 async function forwardEvents(
   answer: BackendResponse,
-  client: ClientAnswer,
+  client: ClientResponse,
   stallDetector: StallDetector,
   onEvent: RelayOptions['onEvent'],
 ): Promise<void> {
--- a/packages/gateway/src/version/route-table.ts
+++ b/packages/gateway/src/version/route-table.ts
@@ -20,7 +20,7 @@
  * would be left for routes, since backend servers support ten levels in total;
  * with half as many, routes would outweigh accounts.
  */
-const ROUTE_LEVELS = 3
+const ROUTE_PRIORITY_LEVELS = 3
 
 /** One version of the configuration, indexed for requests. */
 export class RouteTable {
@@ -28,7 +28,7 @@
   private readonly accountsByKey = new Map<string, ClientAccount>()
   private readonly servicesByName = new Map<string, Service>()
   /** Highest priority (lowest number) of all client accounts. */
-  private readonly mostUrgentAccount: number
+  private readonly highestAccountPriority: number
 
   constructor(readonly configuration: Configuration) {
     for (const route of configuration.routes)
@@ -41,7 +41,7 @@
     }
     for (const service of configuration.services)
       this.servicesByName.set(service.name, service)
-    this.mostUrgentAccount = Math.min(...configuration.accounts.map(account => account.priority ?? 0))
+    this.highestAccountPriority = Math.min(...configuration.accounts.map(account => account.priority ?? 0))
   }
 
   /** Whether requests need an API key, except on public routes. */
@@ -61,8 +61,8 @@
 
   /** Priority of a request; 0 is the highest. */
   priorityOf(route: Route, account: ClientAccount | undefined): number {
-    const accountLevel = account ? (account.priority ?? 0) - this.mostUrgentAccount : 0
-    return accountLevel * ROUTE_LEVELS + route.priority
+    const accountLevel = account ? (account.priority ?? 0) - this.highestAccountPriority : 0
+    return accountLevel * ROUTE_PRIORITY_LEVELS + route.priority
   }
 
   /** A service by name; undefined if this version does not define it. */
--- a/test/gateway/backend-run.test.ts
+++ b/test/gateway/backend-run.test.ts
@@ -1,4 +1,4 @@
-import type { BackendCall, BackendClient, ClientAnswer, RoutedRequest, RunInputs } from '@eidermast/gateway'
+import type { BackendCall, BackendClient, ClientResponse, RoutedRequest, RunInputs } from '@eidermast/gateway'
 import { Buffer } from 'node:buffer'
 import { ErrorKind, OutlierEjection } from '@eidermast/common'
 import { BackendRegistry, BackendRunner, CallFailureKind, LeastLoadChoice, NO_INPUTS, RetryBudget, RetryDecision } from '@eidermast/gateway'
@@ -9,8 +9,8 @@
 const SERVICE = 'plain'
 
 /** A client connection that discards everything. */
-function createAnswer(): ClientAnswer {
-  return { started: false, sendWhole: () => {}, begin: () => {}, beginUnframed: () => {}, send: async () => {}, end: () => {}, breakOff: () => {}, fail: () => {} }
+function createAnswer(): ClientResponse {
+  return { started: false, sendComplete: () => {}, begin: () => {}, beginUnframed: () => {}, send: async () => {}, end: () => {}, cutOff: () => {}, fail: () => {} }
 }
 
 function createRequest(): RoutedRequest {
