--- a/test/gateway/peer-messages.test.ts
+++ b/test/gateway/peer-messages.test.ts
@@ -41,7 +41,7 @@
   progress: [{ stage: 0, results: [{ handle: 'h-1', replica: 'backend-1', bytes: 10, remainingMs: 90 }] }],
 }
 
-function overTheWire(value: object): unknown {
+function jsonRoundTrip(value: object): unknown {
   return JSON.parse(JSON.stringify(value))
 }
 
@@ -50,17 +50,17 @@
     const message = { ...REQUEST_MESSAGE, shard: 'a+b' }
     expect(preparationRequestSchema.parse(message)).toMatchObject({ shard: 'a+b' })
     expect(preparationRequestSchema.parse(REQUEST_MESSAGE).shard).toBeUndefined()
-    expect(overTheWire(encodePreparationRequest({ ...REQUEST, shard: 'a+b' }))).toStrictEqual(message)
+    expect(jsonRoundTrip(encodePreparationRequest({ ...REQUEST, shard: 'a+b' }))).toStrictEqual(message)
   })
 
   test('encode a preparation request in the format of the first release', () => {
-    expect(overTheWire(encodePreparationRequest(REQUEST))).toStrictEqual(REQUEST_MESSAGE)
+    expect(jsonRoundTrip(encodePreparationRequest(REQUEST))).toStrictEqual(REQUEST_MESSAGE)
     expect(preparationRequestSchema.parse(REQUEST_MESSAGE)).toEqual(REQUEST)
   })
 
   test('include the prompt for releases that choose the engine by it', () => {
     const prompt = { service: 'model', prompt: [{ id: 'part', tokens: 3 }] }
-    expect(overTheWire(encodePreparationRequest({ ...REQUEST, ...prompt }))).toStrictEqual({ ...REQUEST_MESSAGE, ...prompt })
+    expect(jsonRoundTrip(encodePreparationRequest({ ...REQUEST, ...prompt }))).toStrictEqual({ ...REQUEST_MESSAGE, ...prompt })
     expect(preparationRequestSchema.parse({ ...REQUEST_MESSAGE, ...prompt })).toEqual({ ...REQUEST, ...prompt })
   })
 
@@ -68,12 +68,12 @@
     ['with a revision of its list of backend servers', { name: 'gateway-b', address: '127.0.0.1:1', version: 3, backends: 9 }],
     ['without one', { name: 'gateway-b', address: '127.0.0.1:1', version: 3 }],
   ])('decode a heartbeat of a release %s', (_name, heartbeat) => {
-    expect(heartbeatSchema.parse(overTheWire(heartbeat))).toStrictEqual(heartbeat)
+    expect(heartbeatSchema.parse(jsonRoundTrip(heartbeat))).toStrictEqual(heartbeat)
   })
 
   test('omit the progress if there is none', () => {
     const { progress, ...message } = REQUEST_MESSAGE
-    expect(overTheWire(encodePreparationRequest({ ...REQUEST, progress: undefined }))).toStrictEqual(message)
+    expect(jsonRoundTrip(encodePreparationRequest({ ...REQUEST, progress: undefined }))).toStrictEqual(message)
     expect(preparationRequestSchema.parse(message).progress).toBeUndefined()
   })
 
@@ -99,7 +99,7 @@
       { failure: { kind: 'no-replica', message: 'none', retryAfterMs: 800 } },
     ],
   ])('encode and decode %s in the format of the first release', (_name, result, message) => {
-    expect(overTheWire(encodePreparationReply(result))).toStrictEqual(message)
+    expect(jsonRoundTrip(encodePreparationReply(result))).toStrictEqual(message)
     const decoded = decodePreparationReply(message as never)
     expect(decoded.isOk()).toBe(result.isOk())
     expect(decoded.isOk() ? decoded.value : decoded.error).toEqual(result.isOk() ? result.value : result.error)
--- a/test/platform/resting-backends.test.ts
+++ b/test/platform/backend-backoff.test.ts
@@ -2,16 +2,16 @@
 import { wait } from '@eidermast/common'
 import { afterEach, beforeEach, describe, expect, test, vi } from 'vitest'
 import { NoticeDeployment } from './support/notice-deployment.js'
-import { mostWithin } from './support/notice-pool.js'
+import { maxWithin } from './support/notice-pool.js'
 
 /** Back-off that a backend server requests (`Retry-After`). */
-const REST_S = 3
+const BACKOFF_S = 3
 /** Time after the response after which the back-off is enforced. */
-const BINDS_AFTER_MS = 500
+const ENFORCED_AFTER_MS = 500
 /** Maximum number of requests from one gateway to a backend server during a back-off. */
-const ALLOWED = 2
+const MAX_REQUESTS = 2
 /** Duration for which requests are sent. */
-const PLAY_MS = 8000
+const TRAFFIC_MS = 8000
 /** Less than a back-off even with the time until all gateways are informed. */
 const MEASURED_MS = 400
 const POOL_SIZE = 10
@@ -23,7 +23,7 @@
 const SET_UP_TIMEOUT_MS = 2500
 const REPORT_PATH = '/-/report'
 /** Far below the deadline of the requests. */
-const REFUSED_WITHIN_MS = 300
+const REJECTED_WITHIN_MS = 300
 
 let deployment: NoticeDeployment
 
@@ -34,10 +34,10 @@
 afterEach(() => deployment.stop())
 
 /** The maximum number of requests that a backend server received from one gateway during a back-off requested from that gateway. */
-function mostInRest({ arrivals, turnedAwayAt }: NoticeBackend): number {
-  const inRest = ({ gateway, at }: Arrival): Arrival[] => arrivals.filter(later =>
-    later.gateway === gateway && later.at > at + BINDS_AFTER_MS && later.at < at + REST_S * 1000)
-  return Math.max(0, ...turnedAwayAt.map(answer => inRest(answer).length))
+function maxDuringBackoff({ arrivals, rejections }: NoticeBackend): number {
+  const duringBackoff = ({ gateway, at }: Arrival): Arrival[] => arrivals.filter(later =>
+    later.gateway === gateway && later.at > at + ENFORCED_AFTER_MS && later.at < at + BACKOFF_S * 1000)
+  return Math.max(0, ...rejections.map(answer => duringBackoff(answer).length))
 }
 
 /**
@@ -47,19 +47,19 @@
  * flight, each request goes to one that has not rejected it yet, and the set-up
  * does not depend on chance.
  */
-async function sendUntilAllAreTold(resting: readonly NoticeBackend[]): Promise<void> {
-  const told = ({ turnedAwayAt }: NoticeBackend): number => new Set(turnedAwayAt.map(({ gateway }) => gateway)).size
-  const others = deployment.pool.filter(backend => !resting.includes(backend))
+async function sendUntilAllInformed(backingOff: readonly NoticeBackend[]): Promise<void> {
+  const countInformed = ({ rejections }: NoticeBackend): number => new Set(rejections.map(({ gateway }) => gateway)).size
+  const others = deployment.pool.filter(backend => !backingOff.includes(backend))
   let release = (): void => {}
   const held = new Promise<void>(resolve => (release = resolve))
   for (const backend of others)
-    backend.heldUntil = held
+    backend.responsesHeldUntil = held
   const rounds: Promise<unknown>[] = []
   try {
     await vi.waitFor(async () => {
       rounds.push(deployment.sendFor(SET_UP_ROUND_MS, SET_UP_REQUESTS_PER_SECOND))
       await wait(SET_UP_ROUND_MS)
-      expect(resting.map(told)).toEqual(resting.map(() => deployment.gateways.length))
+      expect(backingOff.map(countInformed)).toEqual(backingOff.map(() => deployment.gateways.length))
     }, { timeout: SET_UP_TIMEOUT_MS })
   }
   finally {
@@ -69,43 +69,43 @@
 }
 
 describe('a backend server that rejects a gateway\'s request and requests a back-off', () => {
-  test.each([1, 8])('receives at most two more requests from it until the back-off ends: %i of ten', async (resting) => {
-    const named = deployment.pool.slice(0, resting)
-    for (const backend of named)
-      backend.notice = { headers: { 'Retry-After': String(REST_S) }, turnsAway: true }
-    await deployment.sendFor(PLAY_MS, REQUESTS_PER_SECOND)
-    expect(Math.min(...named.map(({ turnedAwayAt }) => turnedAwayAt.length))).toBeGreaterThan(0)
-    expect(Math.max(...named.map(mostInRest))).toBeLessThanOrEqual(ALLOWED)
+  test.each([1, 8])('receives at most two more requests from it until the back-off ends: %i of ten', async (count) => {
+    const backingOff = deployment.pool.slice(0, count)
+    for (const backend of backingOff)
+      backend.notice = { headers: { 'Retry-After': String(BACKOFF_S) }, rejects: true }
+    await deployment.sendFor(TRAFFIC_MS, REQUESTS_PER_SECOND)
+    expect(Math.min(...backingOff.map(({ rejections }) => rejections.length))).toBeGreaterThan(0)
+    expect(Math.max(...backingOff.map(maxDuringBackoff))).toBeLessThanOrEqual(MAX_REQUESTS)
   })
 
   test('receives neither stage calls nor deletions of results from the coordinator that it rejected', async () => {
     for (const backend of deployment.stages)
-      backend.notice = { headers: { 'Retry-After': String(REST_S) }, turnsAway: true }
-    await deployment.sendFor(PLAY_MS, REQUESTS_PER_SECOND, '/staged/x')
+      backend.notice = { headers: { 'Retry-After': String(BACKOFF_S) }, rejects: true }
+    await deployment.sendFor(TRAFFIC_MS, REQUESTS_PER_SECOND, '/staged/x')
     for (const { arrivals } of deployment.stages) {
       const calls = arrivals.filter(({ path }) => path !== REPORT_PATH)
       expect(calls.length).toBeGreaterThan(1)
-      expect(mostWithin(calls, REST_S * 1000 - BINDS_AFTER_MS)).toBeLessThanOrEqual(ALLOWED)
+      expect(maxWithin(calls, BACKOFF_S * 1000 - ENFORCED_AFTER_MS)).toBeLessThanOrEqual(MAX_REQUESTS)
     }
   })
 
   test('receives requests again when the back-off has ended', async () => {
     const [backend] = deployment.pool
-    backend.notice = { headers: { 'Retry-After': String(REST_S) }, turnsAway: true }
+    backend.notice = { headers: { 'Retry-After': String(BACKOFF_S) }, rejects: true }
     await deployment.sendFor(1000, REQUESTS_PER_SECOND)
     backend.notice = undefined
-    await deployment.sendFor(REST_S * 1000, REQUESTS_PER_SECOND)
+    await deployment.sendFor(BACKOFF_S * 1000, REQUESTS_PER_SECOND)
     const seen = backend.arrivals.length
     await deployment.sendFor(1000, REQUESTS_PER_SECOND)
     expect(backend.arrivals.length).toBeGreaterThan(seen)
   })
 
   test('causes no failed requests while others accept them, once all gateways are informed', async () => {
-    const resting = deployment.pool.slice(0, POOL_SIZE / 2)
-    for (const backend of resting)
-      backend.notice = { headers: { 'Retry-After': String(REST_S) }, turnsAway: true }
+    const backingOff = deployment.pool.slice(0, POOL_SIZE / 2)
+    for (const backend of backingOff)
+      backend.notice = { headers: { 'Retry-After': String(BACKOFF_S) }, rejects: true }
     // Before that, the retry budget may fail requests that several backend servers reject.
-    await sendUntilAllAreTold(resting)
+    await sendUntilAllInformed(backingOff)
     const answers = await deployment.sendFor(MEASURED_MS, REQUESTS_PER_SECOND)
     expect(answers.filter(({ status }) => status !== 200)).toEqual([])
   })
@@ -114,11 +114,11 @@
 describe('requests to a service whose backend servers all request a back-off', () => {
   test.each(['/plain/x', '/staged/x'])('are rejected immediately, with the time until the first back-off ends as retry delay: %s', async (path) => {
     for (const backend of deployment.pool)
-      backend.notice = { headers: { 'Retry-After': String(REST_S) }, turnsAway: true }
-    await sendUntilAllAreTold(deployment.pool)
+      backend.notice = { headers: { 'Retry-After': String(BACKOFF_S) }, rejects: true }
+    await sendUntilAllInformed(deployment.pool)
     const answers = await deployment.sendFor(200, REQUESTS_PER_SECOND, path)
     expect([...new Set(answers.map(({ status }) => status))]).toEqual([429])
-    expect(answers.filter(({ retryAfter }) => !(retryAfter! > 0 && retryAfter! <= REST_S))).toEqual([])
-    expect(Math.max(...answers.map(({ tookMs }) => tookMs))).toBeLessThan(REFUSED_WITHIN_MS)
+    expect(answers.filter(({ retryAfter }) => !(retryAfter! > 0 && retryAfter! <= BACKOFF_S))).toEqual([])
+    expect(Math.max(...answers.map(({ tookMs }) => tookMs))).toBeLessThan(REJECTED_WITHIN_MS)
   })
 })
--- a/test/platform/backend-client.test.ts
+++ b/test/platform/backend-client.test.ts
@@ -15,7 +15,7 @@
   body: Buffer.from('body'),
   remainingMs: 1000,
 }
-const NEVER = new AbortController().signal
+const NEVER_ABORTED = new AbortController().signal
 
 let server: Server | undefined
 let connections: BackendConnections | undefined
@@ -60,7 +60,7 @@
   test('is returned with its head and body', async () => {
     const bytes = answer('200 OK', { 'Server-Signature': 's', 'Replica-Load': '2,1,6' }, 'whole')
     const backend = await startBackend(socket => socket.write(bytes))
-    const result = (await createClient().run(backend, CALL, NEVER)).unwrap()
+    const result = (await createClient().run(backend, CALL, NEVER_ABORTED)).unwrap()
     expect(result.status).toBe(200)
     expect(new Map(result.headers).get('server-signature')).toBe('s')
     expect(await readAll(result.body)).toBe('whole')
@@ -76,7 +76,7 @@
     ['reports a missing input', answer('409 Conflict', { 'Not-Executed': '1' }), CallFailureKind.InputGone],
   ])('that %s is reported as a failure of the matching kind', async (_name, bytes, kind) => {
     const backend = await startBackend(socket => socket.write(bytes))
-    expect((await createClient().run(backend, CALL, NEVER)).unwrapErr().kind).toBe(kind)
+    expect((await createClient().run(backend, CALL, NEVER_ABORTED)).unwrapErr().kind).toBe(kind)
   })
 
   test.each([
@@ -87,13 +87,13 @@
       socket.write(bytes)
       setTimeout(() => socket.destroy(), 30)
     })
-    const result = (await createClient().run(backend, CALL, NEVER)).unwrap()
+    const result = (await createClient().run(backend, CALL, NEVER_ABORTED)).unwrap()
     await expect(readAll(result.body)).rejects.toThrow()
   })
 
   test('without a content length ends when the connection closes', async () => {
     const backend = await startBackend(socket => socket.end('HTTP/1.1 200 OK\r\nAttempt-Id: id-1\r\n\r\nwhole'))
-    const result = (await createClient().run(backend, CALL, NEVER)).unwrap()
+    const result = (await createClient().run(backend, CALL, NEVER_ABORTED)).unwrap()
     expect(await readAll(result.body)).toBe('whole')
   })
 
@@ -102,7 +102,7 @@
       socket.write('HTTP/1.1 200 OK\r\nAttempt-Id: id-1\r\nConnection: close\r\n\r\nhalf')
       setTimeout(() => socket.resetAndDestroy(), 30)
     })
-    const result = (await createClient().run(backend, CALL, NEVER)).unwrap()
+    const result = (await createClient().run(backend, CALL, NEVER_ABORTED)).unwrap()
     await expect(readAll(result.body)).rejects.toThrow()
   })
 
@@ -112,9 +112,9 @@
       socket.write(request === 1 ? own + answer('200 OK', { 'Attempt-Id': 'id-1' }, 'surplus') : own)
     })
     const client = createClient()
-    const first = (await client.run(backend, CALL, NEVER)).unwrap()
+    const first = (await client.run(backend, CALL, NEVER_ABORTED)).unwrap()
     expect(await readAll(first.body)).toBe('body-1')
-    const second = (await client.run(backend, { ...CALL, requestId: 'id-2' }, NEVER)).unwrap()
+    const second = (await client.run(backend, { ...CALL, requestId: 'id-2' }, NEVER_ABORTED)).unwrap()
     expect(await readAll(second.body)).toBe('body-2')
   })
 
@@ -123,28 +123,28 @@
       socket.write(answer('200 OK', { 'Attempt-Id': 'id-1' }, `body-${request}`))
     })
     const client = createClient()
-    await readAll((await client.run(backend, CALL, NEVER)).unwrap().body)
-    expect((await client.run(backend, { ...CALL, requestId: 'id-2' }, NEVER)).unwrapErr().kind).toBe(CallFailureKind.Broken)
+    await readAll((await client.run(backend, CALL, NEVER_ABORTED)).unwrap().body)
+    expect((await client.run(backend, { ...CALL, requestId: 'id-2' }, NEVER_ABORTED)).unwrapErr().kind).toBe(CallFailureKind.Broken)
   })
 })
 
 describe('a call without a response', () => {
   test('may have been executed if it was sent', async () => {
     const backend = await startBackend(socket => socket.destroy())
-    expect((await createClient().run(backend, CALL, NEVER)).unwrapErr().kind).toBe(CallFailureKind.Broken)
+    expect((await createClient().run(backend, CALL, NEVER_ABORTED)).unwrapErr().kind).toBe(CallFailureKind.Broken)
   })
 
   test('was not sent if the connection is refused', async () => {
     const backend = await startBackend(() => {})
     await new Promise(resolve => server!.close(resolve))
-    expect((await createClient().run(backend, CALL, NEVER)).unwrapErr().kind).toBe(CallFailureKind.NotSent)
+    expect((await createClient().run(backend, CALL, NEVER_ABORTED)).unwrapErr().kind).toBe(CallFailureKind.NotSent)
   })
 
   test('may have been executed if this process aborted it after sending it', async () => {
     const backend = await startBackend(() => {})
-    const ending = new AbortController()
-    setTimeout(() => ending.abort(), 50)
-    expect((await createClient().run(backend, CALL, ending.signal)).unwrapErr().kind).toBe(CallFailureKind.Aborted)
+    const aborting = new AbortController()
+    setTimeout(() => aborting.abort(), 50)
+    expect((await createClient().run(backend, CALL, aborting.signal)).unwrapErr().kind).toBe(CallFailureKind.Aborted)
   })
 })
 
@@ -153,32 +153,32 @@
   let received: number
   let backend: Backend
   let client: HttpBackendClient
-  let ending: AbortController
+  let occupying: AbortController
 
   /** Occupies all connections of the backend server with calls that it never responds to. */
   beforeEach(async () => {
     received = 0
     backend = await startBackend((_, request) => void (received = request))
     client = createClient()
-    ending = new AbortController()
+    occupying = new AbortController()
     for (let call = 0; call < CONNECTIONS; call++)
-      void client.run(backend, CALL, ending.signal)
+      void client.run(backend, CALL, occupying.signal)
     await vi.waitFor(() => expect(received).toBe(CONNECTIONS))
   })
 
   /** Frees the connections and checks that no further request was sent over them. */
-  async function expectNothingMore(): Promise<void> {
-    ending.abort()
+  async function expectNothingSent(): Promise<void> {
+    occupying.abort()
     await wait(100)
     expect(received).toBe(CONNECTIONS)
   }
 
   test('ends immediately as not sent when it is aborted', async () => {
-    const abandoning = new AbortController()
-    const waiting = client.run(backend, CALL, abandoning.signal)
-    abandoning.abort()
+    const aborting = new AbortController()
+    const waiting = client.run(backend, CALL, aborting.signal)
+    aborting.abort()
     expect((await waiting).unwrapErr().kind).toBe(CallFailureKind.AbandonedUnsent)
-    await expectNothingMore()
+    await expectNothingSent()
   })
 
   test.each([
@@ -190,36 +190,36 @@
       backend.removed = true
       connections!.remove(backend)
     }],
-  ])('is rejected when its backend server %s, for requests and stage calls alike', async (_name, leave) => {
+  ])('is rejected when its backend server %s, for requests and stage calls alike', async (_name, makeUnavailable) => {
     const stages = new HttpStageClient(connections!, new PlatformLog(createLog().log))
-    const waiting = client.run(backend, CALL, NEVER)
-    const stageCall = stages.run(backend, [{ requestId: 'id-1', stage: 0, index: 0, remainingMs: 1000 }], NEVER)
-    leave()
+    const waiting = client.run(backend, CALL, NEVER_ABORTED)
+    const stageCall = stages.run(backend, [{ requestId: 'id-1', stage: 0, index: 0, remainingMs: 1000 }], NEVER_ABORTED)
+    makeUnavailable()
     expect((await waiting).unwrapErr().kind).toBe(CallFailureKind.Leaving)
     expect((await stageCall).end).toBe(StageCallEnd.NotSent)
-    await expectNothingMore()
+    await expectNothingSent()
   })
 
   test('is not sent if its backend server has started to leave and the queue has not been rejected yet', async () => {
-    const waiting = client.run(backend, CALL, NEVER)
+    const waiting = client.run(backend, CALL, NEVER_ABORTED)
     backend.record.draining = true
-    ending.abort()
+    occupying.abort()
     expect((await waiting).unwrapErr().kind).toBe(CallFailureKind.Leaving)
     expect(received).toBe(CONNECTIONS)
   })
 
   test('is not sent if its backend server accepts no request at the moment', async () => {
-    const waiting = client.run(backend, CALL, NEVER)
+    const waiting = client.run(backend, CALL, NEVER_ABORTED)
     intake.waitMs = () => 500
-    ending.abort()
+    occupying.abort()
     expect((await waiting).unwrapErr().kind).toBe(CallFailureKind.Withheld)
     expect(received).toBe(CONNECTIONS)
   })
 
   test('is rejected immediately if its backend server is leaving, which can still be probed', async () => {
-    ending.abort()
+    occupying.abort()
     backend.record.draining = true
-    expect((await client.run(backend, CALL, NEVER)).unwrapErr().kind).toBe(CallFailureKind.Leaving)
+    expect((await client.run(backend, CALL, NEVER_ABORTED)).unwrapErr().kind).toBe(CallFailureKind.Leaving)
     void client.probe(backend, 200)
     await vi.waitFor(() => expect(received).toBe(CONNECTIONS + 1))
   })
--- a/test/platform/clients-that-leave.test.ts
+++ b/test/platform/client-disconnects.test.ts
@@ -15,9 +15,9 @@
 import { StandInStore } from './support/stand-in-store.js'
 
 /** Time after a client disconnects within which the work on its request must end; from then on nothing is sent for it (required by the platform). */
-const GONE_MS = 500
+const WORK_END_MS = 500
 /** Time after which a request is in progress. */
-const UNDER_WAY_MS = 250
+const IN_PROGRESS_MS = 250
 /** Duration of a stage call; longer than UNDER_WAY_MS. */
 const STAGE_MS = 500
 const ROUTE = { Host: 'host.example', TimeoutMs: 6000, TargetLatencyMs: 3000, MaxAttempts: 2 }
@@ -70,10 +70,10 @@
 }
 
 /** Sends a request and disconnects while it is in progress. */
-async function sendAndLeave(path: string): Promise<void> {
+async function sendAndDisconnect(path: string): Promise<void> {
   const leaving = new AbortController()
   const sent = expect(send(path, leaving.signal)).rejects.toThrow()
-  await wait(UNDER_WAY_MS)
+  await wait(IN_PROGRESS_MS)
   leaving.abort()
   await sent
 }
@@ -88,15 +88,15 @@
     ['that waits for its response', '/plain/x', () => plain],
     ['whose stream has started', '/stream/x', () => model],
   ])('the work on a request %s ends', async (_name, path, backendOf) => {
-    const left = vi.fn()
+    const closed = vi.fn()
     const backend = backendOf()
     backend.respond = (seen, response) => {
-      response.on('close', left)
+      response.on('close', closed)
       if (path.startsWith('/stream/'))
         startStream(seen, response)
     }
-    await sendAndLeave(path)
-    await vi.waitFor(() => expect(left).toHaveBeenCalled(), { timeout: GONE_MS })
+    await sendAndDisconnect(path)
+    await vi.waitFor(() => expect(closed).toHaveBeenCalled(), { timeout: WORK_END_MS })
     expect(backend.seen).toHaveLength(1)
   })
 
@@ -105,8 +105,8 @@
       await wait(STAGE_MS)
       response.end(JSON.stringify({ Items: [{ PromptHandle: 'encoder/1' }] }))
     }
-    await sendAndLeave('/staged/x')
-    await wait(STAGE_MS + GONE_MS)
+    await sendAndDisconnect('/staged/x')
+    await wait(STAGE_MS + WORK_END_MS)
     expect(model.seen.filter(({ path }) => path.startsWith('/staged/'))).toEqual([])
   })
 
@@ -115,10 +115,10 @@
     const occupying = new AbortController()
     const others = ['/plain/1', '/plain/2'].map(path => expect(send(path, occupying.signal)).rejects.toThrow())
     await vi.waitFor(() => expect(plain.seen).toHaveLength(2))
-    await sendAndLeave('/plain/waiting')
+    await sendAndDisconnect('/plain/waiting')
     occupying.abort()
     await Promise.all(others)
-    await wait(GONE_MS)
+    await wait(WORK_END_MS)
     expect(plain.seen.map(({ path }) => path)).not.toContain('/plain/waiting')
   })
 })
--- a/test/platform/leaving-answers.test.ts
+++ b/test/platform/leaving-notices.test.ts
@@ -6,11 +6,11 @@
 /** Time after a response with `Server-Leaving` after which a gateway sends no new request (setting `drain-ms`). */
 const DRAIN_MS = 2000
 /** Duration for which requests are sent. */
-const PLAY_MS = 5000
+const TRAFFIC_MS = 5000
 /** Time within which heartbeats have informed all gateways. */
-const PASSED_ON_WITHIN_MS = 1000
+const PROPAGATED_WITHIN_MS = 1000
 /** Far below the deadline of the requests. */
-const REFUSED_WITHIN_MS = 300
+const REJECTED_WITHIN_MS = 300
 const POOL_SIZE = 4
 const REQUESTS_PER_SECOND = 40
 
@@ -26,9 +26,9 @@
   test('receives no request sent by a client later than the drain time after such a response', async () => {
     const [backend] = deployment.pool
     backend.notice = { headers: { 'Server-Leaving': '1' } }
-    await deployment.sendFor(PLAY_MS, REQUESTS_PER_SECOND)
-    const late = backend.arrivals.filter(({ gateway, requestId }) => deployment.sentAt.get(requestId)! > backend.toldAt.get(gateway)! + DRAIN_MS)
-    expect(backend.toldAt.size).toBeGreaterThan(0)
+    await deployment.sendFor(TRAFFIC_MS, REQUESTS_PER_SECOND)
+    const late = backend.arrivals.filter(({ gateway, requestId }) => deployment.sentAt.get(requestId)! > backend.informedAt.get(gateway)! + DRAIN_MS)
+    expect(backend.informedAt.size).toBeGreaterThan(0)
     expect(late).toEqual([])
   })
 
@@ -37,9 +37,9 @@
     backend.notice = { headers: { 'Server-Leaving': '1' } }
     await vi.waitFor(async () => {
       await deployment.sendFor(10, REQUESTS_PER_SECOND)
-      expect(backend.toldAt.size).toBe(1)
+      expect(backend.informedAt.size).toBe(1)
     }, { timeout: 3000 })
-    await wait(PASSED_ON_WITHIN_MS)
+    await wait(PROPAGATED_WITHIN_MS)
     const seen = backend.arrivals.length
     await deployment.sendFor(DRAIN_MS, REQUESTS_PER_SECOND)
     expect(backend.arrivals.length).toBe(seen)
@@ -48,7 +48,7 @@
   test('receives no stage work, while its results are still read and deleted', async () => {
     const [backend, other] = deployment.stages
     backend.notice = { headers: { 'Server-Leaving': '1' } }
-    const answers = await deployment.sendFor(PLAY_MS, REQUESTS_PER_SECOND / 4, '/staged/x')
+    const answers = await deployment.sendFor(TRAFFIC_MS, REQUESTS_PER_SECOND / 4, '/staged/x')
     const callsTo = ({ arrivals }: NoticeBackend): number => arrivals.filter(({ path }) => path === '/-/stage-run').length
     expect(callsTo(backend)).toBeLessThanOrEqual(1)
     expect(callsTo(other)).toBeGreaterThan(0)
@@ -70,6 +70,6 @@
     await deployment.sendFor(DRAIN_MS, REQUESTS_PER_SECOND)
     const answers = await deployment.sendFor(DRAIN_MS, REQUESTS_PER_SECOND)
     expect([...new Set(answers.map(({ status }) => status))]).toEqual([503])
-    expect(Math.max(...answers.map(({ tookMs }) => tookMs))).toBeLessThan(REFUSED_WITHIN_MS)
+    expect(Math.max(...answers.map(({ tookMs }) => tookMs))).toBeLessThan(REJECTED_WITHIN_MS)
   })
 })
--- a/test/platform/support/notice-deployment.ts
+++ b/test/platform/support/notice-deployment.ts
@@ -66,7 +66,7 @@
 
   async stop(): Promise<void> {
     await Promise.all(this.gateways.map(({ gateway }) => gateway.close()))
-    await Promise.all([this.store.stop(), ...[...this.pool, ...this.stages].map(({ stand }) => stand.stop())])
+    await Promise.all([this.store.stop(), ...[...this.pool, ...this.stages].map(({ server }) => server.stop())])
   }
 
   /** Sends requests at a fixed rate for `forMs`; returns the responses. */
--- a/test/platform/support/notice-pool.ts
+++ b/test/platform/support/notice-pool.ts
@@ -11,16 +11,16 @@
 const SERVER_TOPIC = 'keyed.servers'
 const REPORT_PATH = '/-/report'
 /** Separates the gateway's name from the rest of a request id. */
-const NAME_END = '~'
+const NAME_SEPARATOR = '~'
 
 /** Creates a request id that contains the gateway that the client sends the request to. */
 export function requestIdAt(gateway: string, number: number): string {
-  return `${gateway}${NAME_END}${number}`
+  return `${gateway}${NAME_SEPARATOR}${number}`
 }
 
 /** The gateway that a request id contains. */
 function senderById(seen: SeenRequest): string {
-  return String(seen.headers['attempt-id']).split(NAME_END)[0]
+  return String(seen.headers['attempt-id']).split(NAME_SEPARATOR)[0]
 }
 
 /** The flow-control notice in a backend server's responses. */
@@ -28,7 +28,7 @@
   /** Headers in addition to the usual ones. */
   headers: Record<string, string>
   /** Whether requests are rejected as not executed. @default false */
-  turnsAway?: boolean
+  rejects?: boolean
 }
 
 /** A request as received by a backend server. */
@@ -47,7 +47,7 @@
   from: number
   to: number
   /** When each gateway first received the notice, in milliseconds of the test's clock. */
-  toldAt: Map<string, number>
+  informedAt: Map<string, number>
 }
 
 /** Options of `NoticeBackend`. */
@@ -64,24 +64,24 @@
 export class NoticeBackend {
   readonly arrivals: Arrival[] = []
   /** Rejected requests, with the time of the response. */
-  readonly turnedAwayAt: Arrival[] = []
+  readonly rejections: Arrival[] = []
   readonly periods: NoticePeriod[] = []
   /** Responses, except those to report requests, are held back until this promise is resolved. @default not held back */
-  heldUntil: Promise<void> | undefined
+  responsesHeldUntil: Promise<void> | undefined
 
-  constructor(readonly stand: StandInBackend, { workMs = 0, respond = answerWhole(), senderOf = senderById }: NoticeBackendOptions = {}) {
-    stand.respond = async (seen, response) => {
+  constructor(readonly server: StandInBackend, { workMs = 0, respond = answerWhole(), senderOf = senderById }: NoticeBackendOptions = {}) {
+    server.respond = async (seen, response) => {
       const arrival = { gateway: senderOf(seen), requestId: String(seen.headers['attempt-id']), path: seen.path, at: seen.at }
       this.arrivals.push(arrival)
       await wait(workMs)
       if (seen.path !== REPORT_PATH)
-        await this.heldUntil
-      const notice = this.tell(arrival.gateway)
+        await this.responsesHeldUntil
+      const notice = this.noticeFor(arrival.gateway)
       for (const [name, value] of Object.entries(notice?.headers ?? {}))
         response.setHeader(name, value)
-      if (!notice?.turnsAway || seen.path === REPORT_PATH)
+      if (!notice?.rejects || seen.path === REPORT_PATH)
         return respond(seen, response)
-      this.turnedAwayAt.push({ ...arrival, at: performance.now() })
+      this.rejections.push({ ...arrival, at: performance.now() })
       response.writeHead(503, { 'Attempt-Id': arrival.requestId, 'Not-Executed': '1' })
       response.end()
     }
@@ -94,7 +94,7 @@
     if (current)
       current.to = Math.min(current.to, now)
     if (notice)
-      this.periods.push({ notice, from: now, to: Number.POSITIVE_INFINITY, toldAt: new Map() })
+      this.periods.push({ notice, from: now, to: Number.POSITIVE_INFINITY, informedAt: new Map() })
   }
 
   get notice(): Notice | undefined {
@@ -103,33 +103,33 @@
   }
 
   /** When each gateway first received the latest notice, in milliseconds of the test's clock. */
-  get toldAt(): ReadonlyMap<string, number> {
-    return this.periods.at(-1)?.toldAt ?? new Map()
+  get informedAt(): ReadonlyMap<string, number> {
+    return this.periods.at(-1)?.informedAt ?? new Map()
   }
 
-  /** Requests since `fromAt` from gateways that had received the notice at least `toldBeforeMs` earlier. */
-  arrivalsOfTold(toldBeforeMs: number, fromAt: number): Arrival[] {
-    return this.arrivals.filter(({ gateway, at }) => at >= fromAt && at >= (this.toldAt.get(gateway) ?? Number.POSITIVE_INFINITY) + toldBeforeMs)
+  /** Requests since `fromAt` from gateways that had received the notice at least `informedForMs` earlier. */
+  arrivalsFromInformed(informedForMs: number, fromAt: number): Arrival[] {
+    return this.arrivals.filter(({ gateway, at }) => at >= fromAt && at >= (this.informedAt.get(gateway) ?? Number.POSITIVE_INFINITY) + informedForMs)
   }
 
   /** Returns the current notice, and records that the gateway receives it. */
-  private tell(gateway: string): Notice | undefined {
+  private noticeFor(gateway: string): Notice | undefined {
     const { notice } = this
-    const told = this.periods.at(-1)?.toldAt
-    if (notice && told && !told.has(gateway))
-      told.set(gateway, performance.now())
+    const informed = this.periods.at(-1)?.informedAt
+    if (notice && informed && !informed.has(gateway))
+      informed.set(gateway, performance.now())
     return notice
   }
 }
 
-/** The maximum number of arrivals within any window of `spanMs`. */
-export function mostWithin(arrivals: readonly Arrival[], spanMs: number): number {
+/** The maximum number of arrivals within any window of `windowMs`. */
+export function maxWithin(arrivals: readonly Arrival[], windowMs: number): number {
   const times = arrivals.map(({ at }) => at).toSorted((left, right) => left - right)
   let first = 0
-  return times.reduce((most, at, index) => {
-    while (at - times[first] > spanMs)
+  return times.reduce((max, at, index) => {
+    while (at - times[first] > windowMs)
       first++
-    return Math.max(most, index - first + 1)
+    return Math.max(max, index - first + 1)
   }, 0)
 }
 
@@ -146,9 +146,9 @@
 /** Starts the backend servers of a service and adds them to the list in the store. */
 export async function startNoticePool(store: StandInStore, { service, size, workMs, respond }: NoticePoolOptions): Promise<NoticeBackend[]> {
   return Promise.all(Array.from({ length: size }, async (_, index) => {
-    const stand = new StandInBackend(`${service}-${index}`, service)
-    await stand.start()
-    store.put(SERVER_TOPIC, stand.id, stand.entry())
-    return new NoticeBackend(stand, { workMs, respond })
+    const server = new StandInBackend(`${service}-${index}`, service)
+    await server.start()
+    store.put(SERVER_TOPIC, server.id, server.entry())
+    return new NoticeBackend(server, { workMs, respond })
   }))
 }
--- a/test/soak/intake-soak.test.ts
+++ b/test/soak/intake-soak.test.ts
@@ -62,7 +62,7 @@
     if (kind === 0)
       backend.notice = undefined
     else if (kind === 1)
-      backend.notice = { headers: { 'Retry-After': RESTS[this.draw(RESTS.length)] }, turnsAway: true }
+      backend.notice = { headers: { 'Retry-After': RESTS[this.draw(RESTS.length)] }, rejects: true }
     else if (kind === 2 && this.draw(2) === 0)
       backend.notice = { headers: { 'Server-Leaving': '1' } }
     else
--- a/test/soak/support/intake-checks.ts
+++ b/test/soak/support/intake-checks.ts
@@ -4,7 +4,7 @@
  * since then excuses it.
  */
 import type { Arrival, NoticeBackend, NoticePeriod } from '../../platform/support/notice-pool.js'
-import { mostWithin } from '../../platform/support/notice-pool.js'
+import { maxWithin } from '../../platform/support/notice-pool.js'
 
 /** Milliseconds after the first naming of a limit from which on it binds (settings, `contact-ms`). */
 const CONTACT_MS = 3000
@@ -31,34 +31,34 @@
 
   /** What should not have come, in words; empty where all is well. */
   breaches(backend: NoticeBackend): string[] {
-    const { id } = backend.stand
+    const { id } = backend.server
     const ofPeriods = backend.periods.flatMap(period => [...this.overLimit(backend, period), ...this.afterLeaving(backend, period)])
     return [...ofPeriods, ...this.inRest(backend)].map(breach => `${id}: ${breach}`)
   }
 
-  private overLimit({ arrivals }: NoticeBackend, { notice, from, to, toldAt }: NoticePeriod): string[] {
+  private overLimit({ arrivals }: NoticeBackend, { notice, from, to, informedAt }: NoticePeriod): string[] {
     const limit = Number(notice.headers['Server-Limit'])
     if (Number.isNaN(limit))
       return []
     const earliest = from + CONTACT_MS - SPAN_MS
-    const counted = arrivals.filter(({ gateway, at }) => at >= earliest && at <= to && this.isBound(toldAt.get(gateway), TOLD_AFTER_MS, gateway, at))
-    const most = mostWithin(counted, SPAN_MS)
+    const counted = arrivals.filter(({ gateway, at }) => at >= earliest && at <= to && this.isBound(informedAt.get(gateway), TOLD_AFTER_MS, gateway, at))
+    const most = maxWithin(counted, SPAN_MS)
     const allowed = 1.5 * limit * SPAN_MS / 1000 + 5
     return most > allowed ? [`${most} requests in ${SPAN_MS} ms at a limit of ${limit} a second, allowed ${allowed}`] : []
   }
 
-  private afterLeaving({ arrivals }: NoticeBackend, { notice, toldAt }: NoticePeriod): string[] {
+  private afterLeaving({ arrivals }: NoticeBackend, { notice, informedAt }: NoticePeriod): string[] {
     if (notice.headers['Server-Leaving'] === undefined)
       return []
     const late = arrivals.filter(({ gateway, requestId, at }) => {
       const sentAt = this.sentAt(requestId) ?? Number.NEGATIVE_INFINITY
-      return this.isBound(toldAt.get(gateway), DRAIN_MS + SLACK_MS, gateway, at) && sentAt > toldAt.get(gateway)! + DRAIN_MS
+      return this.isBound(informedAt.get(gateway), DRAIN_MS + SLACK_MS, gateway, at) && sentAt > informedAt.get(gateway)! + DRAIN_MS
     })
-    return late.map(({ gateway, at }) => `a request of ${gateway} ${Math.round(at - toldAt.get(gateway)!)} ms after it was told of the leaving`)
+    return late.map(({ gateway, at }) => `a request of ${gateway} ${Math.round(at - informedAt.get(gateway)!)} ms after it was told of the leaving`)
   }
 
-  private inRest({ arrivals, turnedAwayAt, periods }: NoticeBackend): string[] {
-    return turnedAwayAt.flatMap(({ gateway, at }) => {
+  private inRest({ arrivals, rejections, periods }: NoticeBackend): string[] {
+    return rejections.flatMap(({ gateway, at }) => {
       const restMs = restAt(periods, at)
       const later = arrivals.filter((arrival: Arrival) => arrival.gateway === gateway && arrival.at > at + TOLD_AFTER_MS && arrival.at < at + restMs)
       const counted = later.filter(arrival => !this.isExcused(gateway, at, arrival.at))
@@ -66,8 +66,8 @@
     })
   }
 
-  private isBound(toldAt: number | undefined, afterMs: number, gateway: string, at: number): boolean {
-    return toldAt !== undefined && at >= toldAt + afterMs && !this.isExcused(gateway, toldAt, at)
+  private isBound(informedAt: number | undefined, afterMs: number, gateway: string, at: number): boolean {
+    return informedAt !== undefined && at >= informedAt + afterMs && !this.isExcused(gateway, informedAt, at)
   }
 }
 
