--- a/packages/gateway/src/connection/clients/client-server.ts
+++ b/packages/gateway/src/connection/clients/client-server.ts
@@ -1,8 +1,8 @@
 /**
- * The clients' side: one HTTP/1.1 server that reads requests, hands them to the
- * request path, and stops in order. It owns the listener, the connections and
- * the count of requests without an answer; when the process dies, connections
- * break, and the platform's balancer sends what comes next elsewhere.
+ * HTTP/1.1 server for clients: reads requests, passes them to the request path,
+ * and shuts down gracefully. Owns the listener, the client connections and the
+ * number of requests in flight. If the process dies, connections break and the
+ * platform's load balancer sends new requests to other gateways.
  */
 import type { EventLog } from '@eidermast/common'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
@@ -11,26 +11,27 @@
 import type { ClientLimits } from '../../version/configuration.js'
 import type { ClientCodec } from './client-codec.js'
 import type { RequestHandler } from './client-request.js'
-import type { ReadParts } from './request-reader.js'
+import type { ReadContext } from './request-reader.js'
 import { createServer } from 'node:http'
 import { createError, ErrorKind, formatError } from '@eidermast/common'
 import { errorCode } from '../error-codes.js'
+import { HttpClientResponse } from './http-client-response.js'
 import { readRequest } from './request-reader.js'
-import { ResponseAnswer } from './response-answer.js'
 
-/** Limits until a configuration brings its own. Ordinary values, in force for the first moments only. */
+/** Limits until the first configuration is received. */
 const DEFAULT_LIMITS: ClientLimits = { maxHeaderBytes: 16_384, maxBodyBytes: 4_194_304, headerTimeoutMs: 3000, idleTimeoutMs: 15_000 }
-/** Bytes; Node fixes this at the server's start. Above any limit that is configured, which is checked beside it. */
+/** Node's limit, which is fixed when the server is created. It is higher than any configurable limit; the configured one is checked when a request is read. */
 const MAX_HEADER_BYTES = 65_536
-/** Milliseconds between Node's looks at overdue heads: they are cut off at most this much late. */
+/** Interval of Node's check for overdue request heads: they are timed out at most this much late. */
 const CONNECTION_CHECK_MS = 500
 /**
- * Connections that wait to be accepted. Fewer are refused when a peer's clients
- * all come at once; the kernel may hold it lower.
+ * Backlog of connections to be accepted. With a shorter one, connections are
+ * refused when all clients of a failed peer reconnect at once. The kernel may
+ * cap it.
  */
 const LISTEN_BACKLOG = 1024
 
-/** Serves clients until it is drained. */
+/** Serves clients until it is closed. */
 export class ClientServer {
   private readonly server: Server
   private limits = DEFAULT_LIMITS
@@ -46,17 +47,17 @@
   ) {
     const options = { maxHeaderSize: MAX_HEADER_BYTES, connectionsCheckingInterval: CONNECTION_CHECK_MS, noDelay: true }
     this.server = createServer(options, (message, response) => void this.handle(message, response))
-    this.server.on('clientError', (error, socket) => this.refuseUnreadable(error, socket))
+    this.server.on('clientError', (error, socket) => this.rejectMalformed(error, socket))
     this.applyLimits(DEFAULT_LIMITS)
     configuration.onChange(table => this.applyLimits(table.configuration.limits))
   }
 
-  /** Requests that have no answer yet. */
+  /** Number of requests in flight. */
   get activeRequests(): number {
     return this.active
   }
 
-  /** Listens; rejects where the address cannot be bound. */
+  /** Starts listening; rejects if the address cannot be bound. */
   listen(port: number, host: string): Promise<void> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject)
@@ -64,18 +65,18 @@
     })
   }
 
-  /** Serves on; each answer asks its client to close the connection. */
+  /** Keeps serving requests, but asks clients to close their connections with each response. */
   beginDrain(): void {
     this.draining = true
   }
 
-  /** Closes idle connections; requests that still come are refused and may be retried elsewhere. */
-  refuseNew(): void {
+  /** Closes idle connections and rejects new requests, which clients may retry at another gateway. */
+  rejectNew(): void {
     this.refusing = true
     this.server.closeIdleConnections()
   }
 
-  /** Closes the listener and idle connections; answers under way go on. */
+  /** Closes the listener and idle connections; responses in flight are completed. */
   close(): void {
     this.refusing = true
     this.server.close()
@@ -94,38 +95,38 @@
     const arrivedAt = performance.now()
     const head = this.codec.readHead(message.rawHeaders)
     const requestId = head.isOk() ? head.value.requestId : undefined
-    const answer = new ResponseAnswer(response, this.codec, requestId, () => this.draining)
-    const signal = watchClient(response)
+    const answer = new HttpClientResponse(response, this.codec, requestId, () => this.draining)
+    const signal = createDisconnectSignal(response)
     try {
       await this.serve(message, { head, limits: this.limits, refusing: this.refusing, arrivedAt }, answer, signal)
     }
     catch (error) {
-      this.takeInternalError(error, answer)
+      this.handleInternalError(error, answer)
     }
     finally {
       this.active--
     }
   }
 
-  private async serve(message: IncomingMessage, parts: ReadParts, answer: ResponseAnswer, signal: AbortSignal): Promise<void> {
-    const request = await readRequest(message, parts)
+  private async serve(message: IncomingMessage, context: ReadContext, answer: HttpClientResponse, signal: AbortSignal): Promise<void> {
+    const request = await readRequest(message, context)
     if (request?.isOk())
       await this.handler.serve(request.value, answer, signal)
     else if (request?.isErr())
       answer.reject(request.error)
   }
 
-  private takeInternalError(error: unknown, answer: ResponseAnswer): void {
+  private handleInternalError(error: unknown, answer: HttpClientResponse): void {
     const stack = error instanceof Error ? error.stack : undefined
     this.log.write('internal-error', { error: stack ?? formatError(error) })
     if (answer.started)
-      answer.breakOff()
+      answer.cutOff()
     else
-      answer.fail(createError(ErrorKind.Internal, 'the gateway failed'))
+      answer.fail(createError(ErrorKind.Internal, 'internal error of the gateway'))
   }
 
-  /** Answers bytes that are no request, or a head that came too late. */
-  private refuseUnreadable(error: Error, socket: Duplex): void {
+  /** Responds to data that is not valid HTTP, or to a request head that timed out. */
+  private rejectMalformed(error: Error, socket: Duplex): void {
     this.log.write('client-error', { error: error.message })
     if (socket.writable)
       socket.end(`HTTP/1.1 ${statusOfParseError(error)}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`)
@@ -134,8 +135,8 @@
   }
 }
 
-/** A signal that aborts when the client leaves before its answer is complete. */
-function watchClient(response: ServerResponse): AbortSignal {
+/** A signal that is aborted when the client disconnects before the response is complete. */
+function createDisconnectSignal(response: ServerResponse): AbortSignal {
   const leaving = new AbortController()
   response.on('close', () => {
     if (!response.writableFinished)
--- a/packages/gateway/src/connection/peers/peer-clients.ts
+++ b/packages/gateway/src/connection/peers/peer-clients.ts
@@ -1,7 +1,7 @@
 /**
- * Calls to other gateways. It owns one connection pool for all of them until
- * the process ends; calls under way break with it, and the peers notice.
- * Each call rejects where the peer does not answer in time.
+ * Calls to other gateways over a shared connection pool, which is closed when the
+ * process ends; peers detect that calls in flight break. Every call rejects if the
+ * peer does not respond in time.
  */
 import type { TRPCClient } from '@trpc/client'
 import type { Result } from 'ts-results-es'
@@ -15,46 +15,46 @@
 import { Agent } from 'undici'
 import { decodeHeartbeatReply, decodeListedBackends, decodePreparationReply, encodeHeartbeat, encodePreparationRequest } from './peer-messages.js'
 
-/** Milliseconds until a connection is up. Half suspects busy gateways, twice notices dead ones late. */
+/** Timeout for establishing a connection. At 150 ms, busy gateways are suspected; at 600 ms, dead ones are detected late. */
 const CONNECT_TIMEOUT_MS = 300
 /**
- * Milliseconds that an idle connection is kept: longer than the pause between
- * heartbeats, so that they need no new one.
+ * How long an idle connection is kept. Longer than the interval between
+ * heartbeats, so that they reuse connections.
  */
 const IDLE_TIMEOUT_MS = 10_000
 /**
- * Milliseconds for the answer to a heartbeat. Half suspects busy gateways,
- * twice notices frozen ones late.
+ * Timeout of a heartbeat. At 225 ms, busy gateways are suspected; at 900 ms,
+ * frozen ones are detected late.
  */
 const HEARTBEAT_TIMEOUT_MS = 450
 /**
- * Milliseconds for what a peer holds, its configuration or its list of backend
- * servers. Both may be large; what is late is asked for again after the next
+ * Timeout for fetching a peer's configuration or list of backend servers. Both
+ * may be large; after a timeout, they are requested again following the next
  * heartbeat.
  */
-const HELD_STATE_TIMEOUT_MS = 1500
-/** Milliseconds to free results. Results that aren't freed end by themselves. */
+const STATE_FETCH_TIMEOUT_MS = 1500
+/** Timeout for the release of results. Results that are not released expire. */
 const RELEASE_TIMEOUT_MS = 1000
 
-/** The one status of an answer without an error. */
+/** Status of successful responses. */
 const OK_STATUS = 200
 
-/** A call as tRPC's link describes it. */
-interface PeerCallOptions {
+/** Request options of tRPC's link. */
+interface FetchOptions {
   method: 'GET' | 'POST'
   headers: Record<string, string>
   body?: string
   signal?: AbortSignal
 }
 
-/** What tRPC's link reads of an answer. */
-interface PeerAnswer {
+/** The parts of a response that tRPC's link reads. */
+interface FetchResponse {
   ok: boolean
   status: number
   json: () => Promise<unknown>
 }
 
-/** Clients by address, made at first use and kept until the process ends. */
+/** Clients by peer address, created on first use and kept until the process ends. */
 export class PeerClients {
   private readonly agent = new Agent({
     connect: { timeout: CONNECT_TIMEOUT_MS, autoSelectFamily: false },
@@ -67,50 +67,50 @@
 
   async heartbeat(member: Member, heartbeat: Heartbeat): Promise<HeartbeatReply> {
     const signal = AbortSignal.timeout(HEARTBEAT_TIMEOUT_MS)
-    return decodeHeartbeatReply(await this.of(member).greet.mutate(encodeHeartbeat(heartbeat), { signal }))
+    return decodeHeartbeatReply(await this.clientFor(member).greet.mutate(encodeHeartbeat(heartbeat), { signal }))
   }
 
-  /** The peer's configuration; null while it knows none. */
+  /** The peer's configuration; null if it has none. */
   configuration(member: Member): Promise<ConfigurationRecord | null> {
-    return this.of(member).configuration.query(undefined, { signal: AbortSignal.timeout(HELD_STATE_TIMEOUT_MS) })
+    return this.clientFor(member).configuration.query(undefined, { signal: AbortSignal.timeout(STATE_FETCH_TIMEOUT_MS) })
   }
 
   /** The peer's list of backend servers. */
   async backends(member: Member): Promise<ListedBackends> {
-    const signal = AbortSignal.timeout(HELD_STATE_TIMEOUT_MS)
-    return decodeListedBackends(await this.of(member).backends.query(undefined, { signal }))
+    const signal = AbortSignal.timeout(STATE_FETCH_TIMEOUT_MS)
+    return decodeListedBackends(await this.clientFor(member).backends.query(undefined, { signal }))
   }
 
-  /** Does the stage work of a request at a peer; takes as long as the signal allows. */
+  /** Runs the stage work of a request at a peer; limited only by the signal. */
   async prepare(member: Member, request: PreparationRequest, signal: AbortSignal): Promise<Result<PreparedInputs, PreparationFailure>> {
-    return decodePreparationReply(await this.of(member).prepare.mutate(encodePreparationRequest(request), { signal }))
+    return decodePreparationReply(await this.clientFor(member).prepare.mutate(encodePreparationRequest(request), { signal }))
   }
 
   async release(member: Member, requestIds: string[]): Promise<void> {
-    await this.of(member).release.mutate(requestIds, { signal: AbortSignal.timeout(RELEASE_TIMEOUT_MS) })
+    await this.clientFor(member).release.mutate(requestIds, { signal: AbortSignal.timeout(RELEASE_TIMEOUT_MS) })
   }
 
   async close(): Promise<void> {
     await this.agent.destroy()
   }
 
-  private of(member: Member): TRPCClient<PeerRouter> {
+  private clientFor(member: Member): TRPCClient<PeerRouter> {
     const existing = this.clients.get(member.address)
     if (existing)
       return existing
     const client = createTRPCClient<PeerRouter>({
       links: [httpLink({
         url: `http://${member.address}`,
-        // tRPC types its fetch by the DOM.
-        fetch: (url, options) => this.fetch(url as string, options as PeerCallOptions) as never,
+        // tRPC declares its fetch option with DOM types.
+        fetch: (url, options) => this.fetch(url as string, options as FetchOptions) as never,
       })],
     })
     this.clients.set(member.address, client)
     return client
   }
 
-  /** The part of `fetch` that tRPC's link needs, without the web's streams. */
-  private async fetch(url: string, options: PeerCallOptions): Promise<PeerAnswer> {
+  /** The subset of `fetch` that tRPC's link needs, without web streams. */
+  private async fetch(url: string, options: FetchOptions): Promise<FetchResponse> {
     const { origin, pathname, search } = new URL(url)
     const { statusCode, body } = await this.agent.request({ ...options, origin, path: `${pathname}${search}` })
     return { ok: statusCode === OK_STATUS, status: statusCode, json: () => body.json() }
