--- a/packages/daemon/src/eidermastd.ts
+++ b/packages/daemon/src/eidermastd.ts
@@ -1,5 +1,5 @@
 /**
- * The daemon's command line.
+ * Command-line entry point of the daemon.
  */
 import process from 'node:process'
 import { formatError, formatFault } from '@eidermast/common'
@@ -7,9 +7,9 @@
 import { runDaemon } from './process/run-daemon.js'
 import { loadSettings } from './process/settings.js'
 
-/** Exit code for faulty settings or arguments. */
+/** Exit code for invalid settings or arguments. */
 const EXIT_BAD_INPUT = 2
-/** Exit code when the daemon could not start. */
+/** Exit code if the daemon fails to start. */
 const EXIT_FAILED = 1
 
 interface DaemonOptions {
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * What other packages of the workspace may use of the daemon.
+ * Public API of the daemon for other packages of the workspace.
  */
 export * from './connection/index.js'
 export * from './process/index.js'
--- a/packages/daemon/src/process/daemon.ts
+++ b/packages/daemon/src/process/daemon.ts
@@ -1,23 +1,22 @@
 /**
- * What entries and sides are to whoever started them.
+ * Common interface of entries and sides for the code that starts them.
  */
 
 /** A running daemon. */
 export interface Daemon {
-  /** Where it listens. */
   addresses: DaemonAddresses
-  /** Stops without cutting off work in flight, within the settings' `stop-timeout-ms`. */
+  /** Stops gracefully: lets work in flight finish, for at most the setting `stop-timeout-ms`. */
   stop: () => Promise<void>
 }
 
-/** Where a daemon listens. */
+/** Identity and listen addresses of a daemon; printed and logged at startup. */
 export interface DaemonAddresses {
   role: string
   name: string
   incarnation: string
   pid: number
-  /** Between processes, as `host:port`. */
+  /** Listen address for other processes of the system, as `host:port`. */
   peer: string
-  /** For callers, as `host:port`; entries only. */
+  /** Listen address for callers, as `host:port`; entries only. */
   caller?: string
 }
--- a/packages/daemon/src/process/idle.ts
+++ b/packages/daemon/src/process/idle.ts
@@ -1,15 +1,12 @@
 /**
- * Waits for work in flight to end, for entries and sides that stop.
+ * Waits for work in flight to finish when an entry or a side stops.
  */
 import { wait } from '@eidermast/common'
 
-/**
- * Milliseconds between looks at the work in flight. It only adds to the time
- * that a stop takes.
- */
+/** Poll interval; affects only how long a stop takes. */
 const IDLE_POLL_MS = 20
 
-/** Waits until nothing is in flight, or until the time is over. */
+/** Resolves when `isIdle` returns true or after the timeout. */
 export async function waitUntilIdle(isIdle: () => boolean, timeoutMs: number): Promise<void> {
   const deadline = performance.now() + timeoutMs
   while (!isIdle() && performance.now() < deadline)
--- a/packages/daemon/src/process/incarnation.ts
+++ b/packages/daemon/src/process/incarnation.ts
@@ -1,10 +1,9 @@
 /**
- * The identity of one process life. A restarted process has another one, so
- * that its peers never mistake it for its predecessor.
+ * Identifies one incarnation of a process. A restarted process gets a new
+ * identifier, so that peers can tell it from the previous incarnation.
  */
 import { v7 as uuidv7 } from 'uuid'
 
-/** Creates the identity of this process life. */
 export function createIncarnation(): string {
   return uuidv7()
 }
--- a/packages/daemon/src/process/metrics.ts
+++ b/packages/daemon/src/process/metrics.ts
@@ -1,19 +1,18 @@
 /**
- * Metrics of entries and sides, by prom-client. Names, labels and help texts
- * are part of what operators' dashboards read. Counts begin at 0 with each
- * process.
+ * Prometheus metrics of entries and sides. Operators' dashboards depend on the
+ * names, labels and help texts. Counters start at 0 when the process starts.
  */
 import type { StageCall, StageReply } from '../connection/messages.js'
 import type { RequestEnd, RequestMetrics, StageMetrics } from '../request/request-metrics.js'
 import { collectDefaultMetrics, Counter, Gauge, Histogram, Registry } from 'prom-client'
 import { StageReplyKind } from '../connection/messages.js'
 
-/** Upper bounds of the histograms' buckets, in seconds. From one cached call to the longest pipelines. */
+/** Upper bounds of the histogram buckets, in seconds: from a single cached call to the longest pipelines. */
 const SECONDS_BUCKETS = [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10]
-/** Metrics are in seconds by Prometheus' convention. */
+/** Prometheus convention: durations are exported in seconds. */
 const MILLISECONDS_PER_SECOND = 1000
 
-/** The metrics of one process, with those that prom-client collects of Node.js. */
+/** Metrics registry of one process, including the default Node.js metrics of prom-client. */
 class ProcessMetrics {
   readonly registry = new Registry()
 
@@ -21,36 +20,36 @@
     collectDefaultMetrics({ register: this.registry })
   }
 
-  protected counter<Label extends string>(name: string, help: string, labelNames: Label[]): Counter<Label> {
+  protected createCounter<Label extends string>(name: string, help: string, labelNames: Label[]): Counter<Label> {
     return new Counter({ name, help, labelNames, registers: [this.registry] })
   }
 
-  protected gauge(name: string, help: string): Gauge {
+  protected createGauge(name: string, help: string): Gauge {
     return new Gauge({ name, help, registers: [this.registry] })
   }
 
-  protected secondsHistogram<Label extends string>(name: string, help: string, labelNames: Label[]): Histogram<Label> {
+  protected createSecondsHistogram<Label extends string>(name: string, help: string, labelNames: Label[]): Histogram<Label> {
     return new Histogram({ name, help, labelNames, buckets: SECONDS_BUCKETS, registers: [this.registry] })
   }
 }
 
 /** Metrics of an entry. */
 export class EntryMetrics extends ProcessMetrics implements RequestMetrics {
-  private readonly requests = this.counter(
+  private readonly requests = this.createCounter(
     'eidermast_requests_total',
     'Requests by how they ended; attainment is attained / all',
     ['target', 'priority', 'end'],
   )
 
-  private readonly errors = this.counter('eidermast_errors_total', 'Errors told to callers, by kind', ['kind', 'ran'])
-  private readonly seconds = this.secondsHistogram('eidermast_request_seconds', 'Time from arrival to answer', ['target'])
-  private readonly cost = this.counter('eidermast_stage_cost_total', 'Cost by stage, wasted cost apart', ['stage', 'use'])
-  private readonly retries = this.counter('eidermast_retries_total', 'Stage calls made again, by cause', ['stage', 'cause'])
-  private readonly inFlight = this.gauge('eidermast_requests_in_flight', 'Requests that have not been answered')
-  private readonly offset = this.gauge('eidermast_configuration_offset', 'Offset of the configuration in force')
-  private readonly age = this.gauge('eidermast_configuration_age_seconds', 'Time since the log last confirmed the configuration')
-  private readonly claims = this.counter('eidermast_claims_total', 'Claims of unrepeatable requests, by result', ['result'])
-  private readonly connections = this.gauge('eidermast_caller_connections', 'Open connections of callers')
+  private readonly errors = this.createCounter('eidermast_errors_total', 'Errors told to callers, by kind', ['kind', 'ran'])
+  private readonly requestSeconds = this.createSecondsHistogram('eidermast_request_seconds', 'Time from arrival to answer', ['target'])
+  private readonly cost = this.createCounter('eidermast_stage_cost_total', 'Cost by stage, wasted cost apart', ['stage', 'use'])
+  private readonly retries = this.createCounter('eidermast_retries_total', 'Stage calls made again, by cause', ['stage', 'cause'])
+  private readonly inFlight = this.createGauge('eidermast_requests_in_flight', 'Requests that have not been answered')
+  private readonly offset = this.createGauge('eidermast_configuration_offset', 'Offset of the configuration in force')
+  private readonly configurationAge = this.createGauge('eidermast_configuration_age_seconds', 'Time since the log last confirmed the configuration')
+  private readonly claims = this.createCounter('eidermast_claims_total', 'Claims of unrepeatable requests, by result', ['result'])
+  private readonly connections = this.createGauge('eidermast_caller_connections', 'Open connections of callers')
 
   setCallerConnections(count: number): void {
     this.connections.set(count)
@@ -58,14 +57,14 @@
 
   recordRequest(target: string, priority: string, end: RequestEnd, milliseconds: number): void {
     this.requests.inc({ target, priority, end })
-    this.seconds.observe({ target }, milliseconds / MILLISECONDS_PER_SECOND)
+    this.requestSeconds.observe({ target }, milliseconds / MILLISECONDS_PER_SECOND)
   }
 
   recordError(kind: string, ran: string): void {
     this.errors.inc({ kind, ran })
   }
 
-  /** `cost` is in the operators' own unit. */
+  /** `cost` is in the unit that the operators use in the configuration. */
   recordCost(stage: string, cost: number, wasted: boolean): void {
     this.cost.inc({ stage, use: wasted ? 'wasted' : 'used' }, cost)
   }
@@ -82,27 +81,27 @@
     this.inFlight.set(count)
   }
 
-  /** The age is not a number before the log has answered once. */
+  /** The age gauge is NaN until the log has responded once. */
   setConfiguration(offset: number, ageMs: number | undefined): void {
     this.offset.set(offset)
-    this.age.set(ageMs === undefined ? Number.NaN : ageMs / MILLISECONDS_PER_SECOND)
+    this.configurationAge.set(ageMs === undefined ? Number.NaN : ageMs / MILLISECONDS_PER_SECOND)
   }
 }
 
 /** Metrics of a side. */
 export class SideMetrics extends ProcessMetrics implements StageMetrics {
-  private readonly stages = this.counter('eidermast_side_stages_total', 'Stage calls by how they ended', ['stage', 'end'])
-  private readonly seconds = this.secondsHistogram('eidermast_side_service_seconds', 'Service time at the backend server', ['stage'])
-  private readonly refusals = this.counter('eidermast_side_refusals_total', 'Refused stage calls, by reason', ['reason'])
-  private readonly queue = this.gauge('eidermast_side_queue', 'Calls that wait')
-  private readonly running = this.gauge('eidermast_side_running', 'Calls that run')
-  private readonly offset = this.gauge('eidermast_configuration_offset', 'Offset of the configuration in force')
-  private readonly orders = this.counter('eidermast_side_orders_total', 'Orders to the backend server, by result', ['result'])
+  private readonly stages = this.createCounter('eidermast_side_stages_total', 'Stage calls by how they ended', ['stage', 'end'])
+  private readonly serviceSeconds = this.createSecondsHistogram('eidermast_side_service_seconds', 'Service time at the backend server', ['stage'])
+  private readonly refusals = this.createCounter('eidermast_side_refusals_total', 'Refused stage calls, by reason', ['reason'])
+  private readonly queue = this.createGauge('eidermast_side_queue', 'Calls that wait')
+  private readonly running = this.createGauge('eidermast_side_running', 'Calls that run')
+  private readonly offset = this.createGauge('eidermast_configuration_offset', 'Offset of the configuration in force')
+  private readonly orders = this.createCounter('eidermast_side_orders_total', 'Orders to the backend server, by result', ['result'])
 
   recordStage(call: StageCall, reply: StageReply, serviceMs: number): void {
     this.stages.inc({ stage: call.identity.stage, end: reply.kind })
     if (reply.kind === StageReplyKind.Done)
-      this.seconds.observe({ stage: call.identity.stage }, serviceMs / MILLISECONDS_PER_SECOND)
+      this.serviceSeconds.observe({ stage: call.identity.stage }, serviceMs / MILLISECONDS_PER_SECOND)
   }
 
   recordRefusal(reason: string): void {
--- a/packages/daemon/src/process/operations.ts
+++ b/packages/daemon/src/process/operations.ts
@@ -1,24 +1,24 @@
 /**
- * The paths for operators and their tools: metrics, health and readiness, over
- * plain HTTP on every port of a daemon.
+ * HTTP endpoints for operators and their tools: metrics, health and readiness.
+ * Every port of a daemon serves them over plain HTTP.
  */
 import type { IncomingMessage, RequestListener, ServerResponse } from 'node:http'
 import type { Registry } from 'prom-client'
 
-/** What the operations paths answer from. */
+/** Data source of the operations endpoints. */
 export interface OperationsSource {
   registry: Registry
-  /** Whether the process should get work. */
+  /** Whether the process should receive work. */
   isReady: () => boolean
-  /** Brings gauges up to date. */
+  /** Updates the gauges before they are read. */
   refresh: () => void | Promise<void>
 }
 
-/** Answers `/metrics`, `/healthz` and `/readyz`; returns whether the path was one of them. */
+/** Handles `/metrics`, `/healthz` and `/readyz`; resolves to false for any other path. */
 export async function answerOperations(source: OperationsSource, request: IncomingMessage, response: ServerResponse): Promise<boolean> {
   switch (request.url) {
     case '/metrics':
-      await answerMetrics(source, response)
+      await sendMetrics(source, response)
       return true
     case '/healthz':
       response.writeHead(200).end('ok\n')
@@ -33,7 +33,7 @@
   }
 }
 
-/** A listener for a port that has no other paths: whatever else is asked for is answered 404. */
+/** Creates a listener for a port without other HTTP paths: any other path gets a 404. */
 export function createOperationsListener(source: OperationsSource): RequestListener {
   return (request, response) => void answerOperations(source, request, response).then((answered) => {
     if (!answered)
@@ -41,7 +41,7 @@
   })
 }
 
-async function answerMetrics({ registry, refresh }: OperationsSource, response: ServerResponse): Promise<void> {
+async function sendMetrics({ registry, refresh }: OperationsSource, response: ServerResponse): Promise<void> {
   await refresh()
   const text = await registry.metrics()
   response.writeHead(200, { 'content-type': registry.contentType }).end(text)
--- a/packages/daemon/src/process/policies.ts
+++ b/packages/daemon/src/process/policies.ts
@@ -1,7 +1,7 @@
 /**
- * Creates the decision classes that the settings name. The simple ones (all,
- * random, round-robin, whole, fifo, fixed, none) are the baselines that an
- * operator can switch to by the settings, and compare with.
+ * Creates the policies that the settings select. The simple ones (all, random,
+ * round-robin, whole, fifo, fixed, none) are baselines: an operator can switch
+ * to them in the settings for comparison.
  */
 import type { EjectionPolicy } from '@eidermast/common'
 import type { AdmissionPolicy } from '../request/admission.js'
@@ -18,12 +18,12 @@
 import { ReservedBudget, WholeBudget } from '../request/stages/stage-budget.js'
 import { AdmissionName, ChoiceName, EjectionName, QueueName, RetryName, StageBudgetName } from './settings.js'
 
-/** How an entry admits requests. */
+/** Creates the policy by which an entry admits requests. */
 export function createAdmission(name: AdmissionName): AdmissionPolicy {
   return name === AdmissionName.All ? new AdmitAll() : new DeadlineAdmission()
 }
 
-/** How an entry chooses a backend server for a stage call. */
+/** Creates the policy by which an entry selects a backend server for a stage call. */
 export function createChoice(name: ChoiceName): ChoicePolicy {
   switch (name) {
     case ChoiceName.Random:
@@ -35,22 +35,22 @@
   }
 }
 
-/** How an entry ejects failing or slow backend servers. */
+/** Creates the policy by which an entry ejects failing or slow backend servers. */
 export function createEjection(name: EjectionName): EjectionPolicy {
   return name === EjectionName.None ? new NoEjection() : new OutlierEjection()
 }
 
-/** How an entry limits retries. */
+/** Creates the policy by which an entry limits retries. */
 export function createRetry(name: RetryName): RetryPolicy {
   return name === RetryName.Fixed ? new FixedRetry() : new BudgetRetry()
 }
 
-/** How an entry divides a deadline among the stages of a request. */
+/** Creates the policy by which an entry divides a deadline among the stages of a request. */
 export function createStageBudget(name: StageBudgetName): StageBudgetPolicy {
   return name === StageBudgetName.Whole ? new WholeBudget() : new ReservedBudget()
 }
 
-/** How a side orders the calls that wait. */
+/** Creates the queue that orders the waiting calls of a side. */
 export function createQueue(settings: SideSettings): StageQueue {
   if (settings.queue === QueueName.Fifo)
     return new FifoQueue()
--- a/packages/daemon/src/process/run-daemon.ts
+++ b/packages/daemon/src/process/run-daemon.ts
@@ -1,5 +1,5 @@
 /**
- * Runs a daemon from its settings until its process gets a signal to stop.
+ * Runs a daemon with given settings until the process receives a stop signal.
  */
 import type { Daemon } from './daemon.js'
 import type { Settings } from './settings.js'
@@ -10,20 +10,19 @@
 
 const log = createLogger('process')
 
-/** Exit code of a process that was asked to stop and could not do so in order. */
+/** Exit code if the graceful stop fails. */
 const EXIT_STOP_FAILED = 1
 
-/** Starts the role that the settings name. */
 function startDaemon(settings: Settings): Promise<Daemon> {
   return settings.process.role === ProcessRole.Entry ? Entry.start(settings) : Side.start(settings)
 }
 
-/** Runs a daemon until SIGTERM or SIGINT; prints one JSON line once it listens. */
+/** Runs a daemon until SIGTERM or SIGINT; prints its addresses as one line of JSON once it is listening. */
 export async function runDaemon(settings: Settings): Promise<void> {
   enableLogs(settings.log.namespaces)
   process.on('unhandledRejection', error => log('unhandled', { error: formatError(error) }))
   const daemon = await startDaemon(settings)
-  const stopOnce = createStop(daemon)
+  const stopOnce = createStopHandler(daemon)
   process.on('SIGTERM', stopOnce)
   process.on('SIGINT', stopOnce)
   process.stdout.write(`${JSON.stringify(daemon.addresses)}\n`)
@@ -31,10 +30,10 @@
 }
 
 /**
- * What a signal to stop does: the daemon stops once, however often it comes,
- * and the process ends, also where the stop fails.
+ * Creates the handler for stop signals. It stops the daemon on the first signal,
+ * ignores further ones, and then exits the process, even if the stop fails.
  */
-export function createStop(daemon: Pick<Daemon, 'stop'>, exit: (code: number) => void = code => process.exit(code)): () => void {
+export function createStopHandler(daemon: Pick<Daemon, 'stop'>, exit: (code: number) => void = code => process.exit(code)): () => void {
   let stopping = false
   return () => {
     if (stopping)
--- a/packages/daemon/src/process/settings.ts
+++ b/packages/daemon/src/process/settings.ts
@@ -1,8 +1,8 @@
 /**
- * Settings of a daemon: an INI file checked by a schema. Every fault of the
- * file is named at once, and nothing is started with a faulty file. Names of
- * keys and values are operators' and keep their forms; `greet-interval-ms` is
- * the interval of heartbeats.
+ * Settings of a daemon: an INI file validated against a schema. All errors of
+ * the file are reported together, and the daemon does not start with an invalid
+ * file. The keys and values are a public interface and must not be renamed;
+ * `greet-interval-ms` is the heartbeat interval.
  */
 import type { SettingsFault } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
@@ -10,84 +10,83 @@
 import { Err, Ok } from 'ts-results-es'
 import * as z from 'zod'
 
-/** What a daemon is. */
+/** Role of a daemon process. */
 export enum ProcessRole {
   Entry = 'entry',
   Side = 'side',
 }
 
-/** Ways to admit requests at an entry. */
+/** Admission policies of an entry. */
 export enum AdmissionName {
-  /** Admits whatever fits into memory. */
+  /** Admits requests as long as they fit into memory. */
   All = 'all',
-  /** Sheds what cannot meet its deadline and what exceeds an account's share. */
+  /** Sheds requests that cannot meet their deadline or exceed their account's share. */
   Deadline = 'deadline',
 }
 
-/** Ways to choose a backend server. */
+/** Load balancing policies for backend servers. */
 export enum ChoiceName {
   Random = 'random',
   RoundRobin = 'round-robin',
-  /** Two or more random candidates, compared by predicted finish. */
+  /** Compares two or more random candidates by predicted finish time. */
   Predicted = 'predicted',
 }
 
-/** Ways to give a stage its share of the deadline. */
+/** Policies that give a stage its share of the deadline. */
 export enum StageBudgetName {
-  /** All that remains of the deadline. */
+  /** All of the remaining time. */
   Whole = 'whole',
-  /** What remains after the later stages' recent service times. */
+  /** The remaining time minus the recent service times of the later stages. */
   Reserved = 'reserved',
 }
 
-/** Ways to order a side's queue. */
+/** Queueing policies of a side. */
 export enum QueueName {
-  /** First in, first out, without a limit. */
+  /** First in, first out; unbounded. */
   Fifo = 'fifo',
-  /** By priority, then earliest deadline; refuses what cannot finish in time. */
+  /** By priority, then by earliest deadline; rejects calls that cannot finish in time. */
   Deadline = 'deadline',
 }
 
-/** Ways to limit retries. */
+/** Retry policies of an entry. */
 export enum RetryName {
-  /** A fixed number of tries for each stage. */
+  /** A fixed number of attempts per stage. */
   Fixed = 'fixed',
-  /** Tries within a share of recent requests. */
+  /** A retry budget: a share of the recent requests. */
   Budget = 'budget',
 }
 
-/** Ways to eject failing or slow backend servers. */
+/** Ejection policies for failing or slow backend servers. */
 export enum EjectionName {
   None = 'none',
   Outlier = 'outlier',
 }
 
-function choice<Values extends Record<string, string>>(values: Values) {
+function enumSetting<Values extends Record<string, string>>(values: Values) {
   return z.enum(values, { error: `one of ${Object.values(values).join(', ')}` })
 }
 
 const name = textSetting('letters, digits, dots, underscores and hyphens', /^[a-z0-9][\w.-]*$/i)
 const url = textSetting('a URL such as http://10.0.0.1:8080, without a path', /^https?:\/\/[^\s/]+$/)
 const host = textSetting('an IP address to listen on', /^[\da-f.:]+$/i)
-const addresses = z.string({ error: 'host:port, separated by commas' })
+const addressList = z.string({ error: 'host:port, separated by commas' })
   .transform(value => value.split(',').map(part => part.trim()).filter(part => part !== ''))
   .refine(values => values.every(value => /^[^\s:]+:\d+$/.test(value)), 'host:port, separated by commas')
 
-/** Characters. Enough that the key cannot be found by trying. */
+/** Minimum key length in characters, against brute-force attacks. */
 const MIN_KEY_LENGTH = 16
-const KEY_FORM = `a secret of ${MIN_KEY_LENGTH} characters or more`
-/** Milliseconds of an hour. */
+const KEY_REQUIREMENT = `a secret of ${MIN_KEY_LENGTH} characters or more`
 const HOUR_MS = 3_600_000
 
 const processSchema = z.strictObject({
-  'role': choice(ProcessRole),
+  'role': enumSetting(ProcessRole),
   'name': name,
   'virtual-machine': name,
   'failure-domain': name,
   'host': host,
   'caller-port': integerSetting(0, MAX_PORT).default(0),
   'peer-port': integerSetting(0, MAX_PORT).default(0),
-  'key': z.string({ error: KEY_FORM }).min(MIN_KEY_LENGTH, KEY_FORM),
+  'key': z.string({ error: KEY_REQUIREMENT }).min(MIN_KEY_LENGTH, KEY_REQUIREMENT),
   'stop-timeout-ms': integerSetting(0, HOUR_MS).default(30_000),
 })
 
@@ -101,7 +100,7 @@
 })
 
 const peersSchema = z.strictObject({
-  'addresses': addresses.default([]),
+  'addresses': addressList.default([]),
   'greet-interval-ms': integerSetting(10, 60_000).default(500),
   'watch-limit': integerSetting(1, 10_000).default(64),
 })
@@ -119,11 +118,11 @@
   'claim-memory-ms': integerSetting(1000, 24 * HOUR_MS).default(600_000),
   'claim-batch-ms': integerSetting(0, 1000).default(10),
   'ticket-lifetime-ms': integerSetting(1000, HOUR_MS).default(300_000),
-  'admission': choice(AdmissionName).default(AdmissionName.Deadline),
-  'choice': choice(ChoiceName).default(ChoiceName.Predicted),
-  'stage-budget': choice(StageBudgetName).default(StageBudgetName.Reserved),
-  'retry': choice(RetryName).default(RetryName.Budget),
-  'ejection': choice(EjectionName).default(EjectionName.Outlier),
+  'admission': enumSetting(AdmissionName).default(AdmissionName.Deadline),
+  'choice': enumSetting(ChoiceName).default(ChoiceName.Predicted),
+  'stage-budget': enumSetting(StageBudgetName).default(StageBudgetName.Reserved),
+  'retry': enumSetting(RetryName).default(RetryName.Budget),
+  'ejection': enumSetting(EjectionName).default(EjectionName.Outlier),
 })
 
 const sideSchema = z.strictObject({
@@ -131,7 +130,7 @@
   'slots': integerSetting(1, 10_000).default(8),
   'queue-limit': integerSetting(0, 1_000_000).default(64),
   'queue-bytes': integerSetting(1, 10_000_000_000).default(16_000_000),
-  'queue': choice(QueueName).default(QueueName.Deadline),
+  'queue': enumSetting(QueueName).default(QueueName.Deadline),
   'result-memory-ms': integerSetting(100, HOUR_MS).default(60_000),
   'result-memory-entries': integerSetting(1, 10_000_000).default(10_000),
   'result-memory-bytes': integerSetting(1000, 10_000_000_000).default(16_000_000),
@@ -151,25 +150,25 @@
   log: optionalSection(logSchema),
 })
 
-/** The checked settings of a daemon. */
+/** Validated settings of a daemon. */
 export type Settings = z.infer<typeof settingsSchema>
 export type SideSettings = NonNullable<Settings['side']>
 
-/** Reads and checks a settings file. */
+/** Reads and validates a settings file. */
 export function loadSettings(file: string): Result<Settings, SettingsFault[]> {
   return loadSettingsFile(file, parseSettings)
 }
 
-/** Checks the text of a settings file; names every fault. */
+/** Validates the text of a settings file; reports all errors. */
 export function parseSettings(iniText: string): Result<Settings, SettingsFault[]> {
-  return parseSettingsText(iniText, settingsSchema).andThen(checkTogether)
+  return parseSettingsText(iniText, settingsSchema).andThen(checkAcrossSections)
 }
 
-/** Checks what keys of several sections must hold together. */
-function checkTogether(settings: Settings): Result<Settings, SettingsFault[]> {
+/** Checks rules that involve keys of several sections. */
+function checkAcrossSections(settings: Settings): Result<Settings, SettingsFault[]> {
   const { process: { role }, platform, entry, side } = settings
   const claimMemoryMs = entry['claim-memory-ms']
-  // A claim that is remembered must still be on the log, or an entry that starts meanwhile does not know of it.
+  // A retained claim must still be in the log; otherwise an entry that starts later would not learn of it.
   if (role === ProcessRole.Entry && claimMemoryMs > platform['log-retention-ms'] / 2) {
     const allowed = 'at most half of [platform] log-retention-ms'
     return Err([{ section: 'entry', key: 'claim-memory-ms', value: String(claimMemoryMs), allowed }])
--- a/test/process/run-daemon.test.ts
+++ b/test/process/run-daemon.test.ts
@@ -1,20 +1,20 @@
-import { createStop } from '@eidermast/daemon'
+import { createStopHandler } from '@eidermast/daemon'
 import { describe, expect, test, vi } from 'vitest'
 
-describe('a signal to stop', () => {
-  test('stops the daemon once, however often it comes, and ends the process', async () => {
+describe('a stop signal', () => {
+  test('stops the daemon once, even if received repeatedly, and exits the process', async () => {
     const stop = vi.fn(async () => {})
     const exit = vi.fn()
-    const onSignal = createStop({ stop }, exit)
+    const onSignal = createStopHandler({ stop }, exit)
     onSignal()
     onSignal()
     await vi.waitFor(() => expect(exit).toHaveBeenCalledExactlyOnceWith(0))
     expect(stop).toHaveBeenCalledOnce()
   })
 
-  test('ends the process also where the stop fails', async () => {
+  test('exits the process with an error code if the stop fails', async () => {
     const exit = vi.fn()
-    createStop({ stop: () => Promise.reject(new Error('a listener is gone')) }, exit)()
+    createStopHandler({ stop: () => Promise.reject(new Error('the listener is closed')) }, exit)()
     await vi.waitFor(() => expect(exit).toHaveBeenCalledExactlyOnceWith(1))
   })
 })
