--- a/packages/daemon/src/process/entry/caller-service.ts
+++ b/packages/daemon/src/process/entry/entry-caller-service.ts
@@ -1,43 +1,43 @@
 /**
- * What an entry answers to its callers' HTTP server. Owns the phase in which
- * the entry leaves; everything else belongs to the parts that it calls.
+ * Implements the service behind the HTTP server for callers. Owns the phase of
+ * the entry's graceful stop; all other state belongs to the components it calls.
  */
 import type { RequestAnswer } from '../../connection/answer.js'
 import type { CallerService, FoundOutcome, IssuedTicket, PipelineCall, ServiceCall } from '../../connection/caller-service.js'
 import type { TicketOffice } from '../../request/authority/tickets.js'
 import type { Membership } from '../membership/membership.js'
-import type { ConfigurationWatch } from './configuration-watch.js'
-import type { LeavingEntry } from './leaving.js'
+import type { ConfigurationMonitor } from './configuration-monitor.js'
+import type { StoppableEntry } from './graceful-stop.js'
 import type { OutcomeSearch } from './outcome-search.js'
-import type { RequestIntake } from './request-intake.js'
-import { EntryPhase } from './leaving.js'
+import type { RequestDispatcher } from './request-dispatcher.js'
+import { EntryPhase } from './graceful-stop.js'
 
-/** Parts of the service. */
+/** Dependencies of the service. */
 export interface EntryCallerServiceOptions {
-  intake: RequestIntake
+  dispatcher: RequestDispatcher
   tickets: TicketOffice
   search: OutcomeSearch
-  watch: ConfigurationWatch
+  configurationMonitor: ConfigurationMonitor
   membership: Membership
 }
 
-/** The callers' side of one entry. */
-export class EntryCallerService implements CallerService, LeavingEntry {
+/** Serves the callers of one entry. */
+export class EntryCallerService implements CallerService, StoppableEntry {
   phase = EntryPhase.Serving
 
   constructor(private readonly options: EntryCallerServiceOptions) {}
 
   get inFlight(): number {
-    return this.options.intake.inFlight
+    return this.options.dispatcher.inFlight
   }
 
-  /** Whether the balancer should send callers here. */
+  /** Whether the load balancer should route callers to this entry. */
   isReady(): boolean {
     return this.phase === EntryPhase.Serving && this.knowsConfiguration() && this.options.membership.hasMetBackends
   }
 
   knowsConfiguration(): boolean {
-    return this.options.watch.isKnown
+    return this.options.configurationMonitor.isKnown
   }
 
   isRefusing(): boolean {
@@ -49,11 +49,11 @@
   }
 
   runPipeline(call: PipelineCall): Promise<RequestAnswer> {
-    return this.options.intake.runPipeline(call)
+    return this.options.dispatcher.runPipeline(call)
   }
 
   runService(call: ServiceCall): Promise<RequestAnswer> {
-    return this.options.intake.runService(call)
+    return this.options.dispatcher.runService(call)
   }
 
   issueTicket(account: string): IssuedTicket {
--- a/packages/daemon/src/process/entry/entry-service.ts
+++ b/packages/daemon/src/process/entry/entry-peer-service.ts
@@ -1,7 +1,6 @@
 /**
- * What an entry answers to other processes: heartbeats, differences of the
- * configuration, requests that are passed on to it and questions for their
- * outcomes, and operators' questions. Keeps no state of its own.
+ * Implements the peer API of an entry: heartbeats, configuration differences,
+ * forwarded requests, outcome queries and operator queries. Stateless.
  */
 import type { ForwardedRequest, HeartbeatReply, OutcomeQuestion, OutcomeReply } from '../../connection/messages.js'
 import type { Decision, EntryService, ProcessStatus } from '../../connection/peer-router.js'
@@ -12,30 +11,30 @@
 import type { DecisionLog } from '../decision-log.js'
 import type { Membership } from '../membership/membership.js'
 import type { Settings } from '../settings.js'
-import type { EntryCallerService } from './caller-service.js'
-import type { ConfigurationWatch } from './configuration-watch.js'
+import type { ConfigurationMonitor } from './configuration-monitor.js'
+import type { EntryCallerService } from './entry-caller-service.js'
 import type { OutcomeSearch } from './outcome-search.js'
-import type { RequestIntake } from './request-intake.js'
+import type { RequestDispatcher } from './request-dispatcher.js'
 import process from 'node:process'
 import { formatAnswer } from '../../connection/answer.js'
 import { digestRequest } from '../../connection/identity.js'
 
-/** Parts of the service. */
+/** Dependencies of the service. */
 export interface EntryPeerServiceOptions {
   identity: Settings['process']
   incarnation: string
   configuration: Configuration
-  watch: ConfigurationWatch
+  configurationMonitor: ConfigurationMonitor
   membership: Membership
   claims: ClaimRegistry
   finder: OutcomeFinder
-  intake: RequestIntake
+  dispatcher: RequestDispatcher
   search: OutcomeSearch
   callerService: EntryCallerService
   decisions: DecisionLog
 }
 
-/** The side of one entry that faces its peers. */
+/** Serves the peers and operators of one entry. */
 export class EntryPeerService implements EntryService {
   constructor(private readonly options: EntryPeerServiceOptions) {}
 
@@ -48,18 +47,18 @@
     return this.options.configuration.differenceSince(request.since, request.kinds)
   }
 
-  /** Sides do not hold every kind of object, so entries take differences only by asking other entries. */
+  /** Ignores the offer: sides do not have all kinds of objects, so entries only pull differences from other entries. */
   offer(): number {
     return this.options.configuration.offset
   }
 
   status(): ProcessStatus {
-    const { identity, incarnation, configuration, watch, membership, claims, callerService } = this.options
+    const { identity, incarnation, configuration, configurationMonitor, membership, claims, callerService } = this.options
     const { name, role, 'failure-domain': failureDomain } = identity
     const members = membership.list().map(member => ({ subject: member.backendName, text: member.state }))
     const detail = [
       { subject: 'in-flight', text: String(callerService.inFlight) },
-      { subject: 'configuration-age-ms', text: String(watch.ageMs ?? 'never read') },
+      { subject: 'configuration-age-ms', text: String(configurationMonitor.ageMs ?? 'never read') },
       { subject: 'claims', text: String(claims.size) },
       ...members,
     ]
@@ -71,11 +70,11 @@
     return this.options.decisions.explain(requestId)
   }
 
-  /** With a ticket the request is run here; without one it is claimed here, and only its outcome is found. */
+  /** Runs the request if it has a ticket; otherwise it is claimed by this entry, and only its outcome is looked up. */
   async forward(request: ForwardedRequest): Promise<string> {
     const { account, requestId, target, body, deadlineMs, ticket } = request
     if (ticket !== undefined)
-      return formatAnswer(await this.options.intake.runForwarded(request, ticket))
+      return formatAnswer(await this.options.dispatcher.runForwarded(request, ticket))
     const digest = digestRequest(target, body)
     return formatAnswer(await this.options.finder.answerForPeer({ account, requestId, digest, deadlineMs }))
   }
--- a/packages/daemon/src/process/entry/entry.ts
+++ b/packages/daemon/src/process/entry/entry.ts
@@ -1,14 +1,14 @@
 /**
- * The entry role: owns callers' requests from first byte to last. Builds the
- * parts of an entry, wires them and starts and stops them. It keeps nothing
- * that must last: after a crash, claims on the log tell other entries that a
- * request may have run here, and the configuration is read again.
+ * The entry role: handles callers' requests from the first byte to the last.
+ * Creates, connects, starts and stops the components of an entry. No state has
+ * to survive the process: after a crash, claims in the log show other entries
+ * that a request may have run here, and the configuration is read again.
  */
 import type { Server } from 'node:http'
 import type { Daemon, DaemonAddresses } from '../daemon.js'
 import type { OperationsSource } from '../operations.js'
 import type { Settings } from '../settings.js'
-import type { RequestParts } from './request-services.js'
+import type { RequestComponents } from './request-components.js'
 import process from 'node:process'
 import { createLogger } from '@eidermast/common'
 import { createCallerServer } from '../../connection/caller-server.js'
@@ -25,13 +25,13 @@
 import { HttpVirtualMachineSource, VirtualMachineList } from '../membership/virtual-machine-list.js'
 import { EntryMetrics } from '../metrics.js'
 import { answerOperations, createOperationsListener } from '../operations.js'
-import { EntryCallerService } from './caller-service.js'
-import { ConfigurationWatch } from './configuration-watch.js'
-import { EntryPeerService } from './entry-service.js'
-import { leave } from './leaving.js'
+import { ConfigurationMonitor } from './configuration-monitor.js'
+import { EntryCallerService } from './entry-caller-service.js'
+import { EntryPeerService } from './entry-peer-service.js'
+import { stopGracefully } from './graceful-stop.js'
 import { OutcomeSearch } from './outcome-search.js'
-import { RequestIntake } from './request-intake.js'
-import { createRequestParts } from './request-services.js'
+import { createRequestComponents } from './request-components.js'
+import { RequestDispatcher } from './request-dispatcher.js'
 
 const log = createLogger('process')
 
@@ -45,9 +45,9 @@
   private readonly follower: ConfigurationFollower
   private readonly machines: VirtualMachineList
   private readonly peers: EntryPeers
-  private readonly watch: ConfigurationWatch
+  private readonly configurationMonitor: ConfigurationMonitor
   private readonly membership: Membership
-  private readonly requests: RequestParts
+  private readonly requestComponents: RequestComponents
   private readonly callerService: EntryCallerService
   private readonly operations = this.createOperations()
   private readonly callerServer: Server
@@ -62,10 +62,10 @@
     this.follower = new ConfigurationFollower(this.logClient, configuration)
     this.machines = new VirtualMachineList(new HttpVirtualMachineSource(platform['virtual-machines']), platform['list-interval-ms'])
     this.peers = new EntryPeers({ key: identity.key, entryName: identity.name, entryIncarnation: incarnation, configuration })
-    this.watch = this.createWatch()
+    this.configurationMonitor = this.createConfigurationMonitor()
     this.membership = this.createMembership()
-    const { logClient, machines, membership, peers, watch } = this
-    this.requests = createRequestParts({
+    const { logClient, machines, membership, peers, configurationMonitor } = this
+    this.requestComponents = createRequestComponents({
       settings,
       incarnation,
       address,
@@ -77,16 +77,16 @@
       decisions,
       metrics,
     })
-    const { claims, outcomes, tickets, pipelines, services } = this.requests
-    const intake = new RequestIntake({ configuration, pipelines, services, tickets })
+    const { claims, outcomes, tickets, pipelines, services } = this.requestComponents
+    const dispatcher = new RequestDispatcher({ configuration, pipelines, services, tickets })
     const search = new OutcomeSearch({ outcomes, claims, peers, machines, address })
-    this.callerService = new EntryCallerService({ intake, tickets, search, watch, membership })
+    this.callerService = new EntryCallerService({ dispatcher, tickets, search, configurationMonitor, membership })
     this.callerServer = this.createCallerServer()
-    const peerService = this.createPeerService(intake, search, decisions)
+    const peerService = this.createPeerService(dispatcher, search, decisions)
     peerServer.serve(createEntryRouter(peerService), createOperationsListener(this.operations))
   }
 
-  /** Starts an entry; it listens when this returns. Rejects where a port cannot be listened on. */
+  /** Starts an entry and resolves once it is listening; rejects if it cannot listen on a port. */
   static async start(settings: Settings): Promise<Entry> {
     const { host, key, 'peer-port': port, 'caller-port': callerPort } = settings.process
     const entry = new Entry(settings, await PeerServer.listen({ host, key, port }))
@@ -103,8 +103,8 @@
   async stop(): Promise<void> {
     const { process: identity, entry } = this.settings
     log('stopping', { name: identity.name, inFlight: this.callerService.inFlight })
-    const limits = { stopTimeoutMs: identity['stop-timeout-ms'], writeTimeoutMs: entry['write-timeout-ms'] }
-    await leave(this.callerService, this.callerServer, limits)
+    const timeouts = { stopTimeoutMs: identity['stop-timeout-ms'], writeTimeoutMs: entry['write-timeout-ms'] }
+    await stopGracefully(this.callerService, this.callerServer, timeouts)
     this.stopping.abort()
     this.membership.close()
     this.peers.close()
@@ -113,10 +113,10 @@
     log('stopped', { name: identity.name })
   }
 
-  private createWatch(): ConfigurationWatch {
+  private createConfigurationMonitor(): ConfigurationMonitor {
     const { configuration, follower, peers, machines, settings } = this
     const { addresses } = settings.peers
-    return new ConfigurationWatch({ configuration, follower, peers, machines, addresses, ownAddress: this.peerServer.address })
+    return new ConfigurationMonitor({ configuration, follower, peers, machines, addresses, ownAddress: this.peerServer.address })
   }
 
   private createMembership(): Membership {
@@ -127,22 +127,22 @@
       key: identity.key,
       heartbeatIntervalMs: peers['greet-interval-ms'],
       watchLimit: peers['watch-limit'],
-      freshness: this.watch,
+      freshness: this.configurationMonitor,
     })
   }
 
-  private createPeerService(intake: RequestIntake, search: OutcomeSearch, decisions: DecisionLog): EntryPeerService {
-    const { incarnation, configuration, watch, membership, callerService, requests, settings } = this
-    const { claims, finder } = requests
+  private createPeerService(dispatcher: RequestDispatcher, search: OutcomeSearch, decisions: DecisionLog): EntryPeerService {
+    const { incarnation, configuration, configurationMonitor, membership, callerService, requestComponents, settings } = this
+    const { claims, finder } = requestComponents
     return new EntryPeerService({
       identity: settings.process,
       incarnation,
       configuration,
-      watch,
+      configurationMonitor,
       membership,
       claims,
       finder,
-      intake,
+      dispatcher,
       search,
       callerService,
       decisions,
@@ -168,10 +168,10 @@
     const { signal } = this.stopping
     const retentionMs = this.settings.platform['log-retention-ms']
     void this.follower.run(signal)
-    void this.requests.claims.run(signal)
+    void this.requestComponents.claims.run(signal)
     void this.machines.run(signal)
     void new Checkpointer(this.logClient, this.configuration, { retentionMs }).run(signal)
-    void this.watch.run(signal)
+    void this.configurationMonitor.run(signal)
     void this.membership.run(signal)
   }
 
@@ -187,7 +187,7 @@
   }
 }
 
-/** Open connections; 0 where the server is already closed, which is what the count is then. */
+/** Counts open connections; `getConnections` reports an error for a closed server, which has 0. */
 function countConnections(server: Server): Promise<number> {
   return new Promise(resolve => server.getConnections((_error, count) => resolve(count ?? 0)))
 }
--- a/packages/daemon/src/process/entry/outcome-search.ts
+++ b/packages/daemon/src/process/entry/outcome-search.ts
@@ -1,7 +1,7 @@
 /**
- * Answers what became of a request, for callers and for other entries. Looks
- * in this entry's memory first and then asks every listed entry at once. Keeps
- * no state: what one process life has forgotten and no other knows is unknown.
+ * Finds the outcome of a request for callers and for other entries. Looks in
+ * this entry's memory first and then queries all listed entries in parallel.
+ * Stateless: an outcome that is not in the memory of any entry is unknown.
  */
 import type { RequestAnswer } from '../../connection/answer.js'
 import type { FoundOutcome } from '../../connection/caller-service.js'
@@ -14,21 +14,20 @@
 import { createRequestKey } from '../../connection/identity.js'
 import { OutcomeState } from '../../connection/messages.js'
 
-/** Parts of the search. */
+/** Dependencies of the search. */
 export interface OutcomeSearchOptions {
   outcomes: OutcomeTable
   claims: ClaimRegistry
   peers: EntryPeers
   machines: VirtualMachineList
-  /** This entry's own address between processes. */
+  /** Peer address of this entry. */
   address: string
 }
 
-/** Searches outcomes for one entry. */
 export class OutcomeSearch {
   constructor(private readonly options: OutcomeSearchOptions) {}
 
-  /** What this entry knows of a request, in the form for other entries. */
+  /** Looks up a request in the memory of this entry, in the format for other entries. */
   lookUp(question: OutcomeQuestion): OutcomeReply {
     const key = createRequestKey(question.account, question.requestId)
     const known = this.options.outcomes.find(key)
@@ -38,10 +37,10 @@
     return { state: known.state, claimed, answer: known.finished && formatAnswer(known.finished) }
   }
 
-  /** What any entry knows of a request. Entries that do not answer in time count as knowing nothing. */
+  /** Finds the outcome of a request at any entry. Entries that do not respond in time are treated as having none. */
   async find(question: OutcomeQuestion): Promise<FoundOutcome> {
-    const own = this.lookUp(question)
-    const replies = own.state === OutcomeState.Unknown ? await this.askOthers(question) : [own]
+    const localReply = this.lookUp(question)
+    const replies = localReply.state === OutcomeState.Unknown ? await this.queryPeers(question) : [localReply]
     const answer = findAnswer(replies)
     if (answer)
       return { state: OutcomeState.Finished, answer }
@@ -49,10 +48,10 @@
     return { state: running ? OutcomeState.Running : OutcomeState.Unknown }
   }
 
-  private askOthers(question: OutcomeQuestion): Promise<(OutcomeReply | undefined)[]> {
+  private queryPeers(question: OutcomeQuestion): Promise<(OutcomeReply | undefined)[]> {
     const { address, machines, peers } = this.options
-    const others = machines.entryAddresses().filter(other => other !== address)
-    return Promise.all(others.map(other => peers.askOutcome(other, question)))
+    const peerAddresses = machines.entryAddresses().filter(peerAddress => peerAddress !== address)
+    return Promise.all(peerAddresses.map(peerAddress => peers.askOutcome(peerAddress, question)))
   }
 }
 
--- a/packages/daemon/src/process/entry/request-services.ts
+++ b/packages/daemon/src/process/entry/request-components.ts
@@ -1,8 +1,8 @@
 /**
- * Builds what runs the requests of an entry: authority, outcomes, and one
- * request service for pipelines and one for plain services, each with limits,
- * load counts and policies of its own. Everything built here lives as long as
- * the process and is lost with it.
+ * Creates the components that run the requests of an entry: claims, tickets,
+ * outcomes, and one request service each for pipelines and for plain services,
+ * with separate limits, load counters and policies. Their state lives in memory
+ * and is lost when the process ends.
  */
 import type { EntryPeers } from '../../connection/entry-peers.js'
 import type { Configuration } from '../../version/configuration.js'
@@ -23,17 +23,18 @@
 import { createAdmission, createChoice, createEjection, createRetry, createStageBudget } from '../policies.js'
 
 /**
- * Milliseconds by which keys of unrepeatable requests outlive what may be sent
- * again. It covers clocks that differ between entries and answers under way;
- * half still does where clocks are kept in step, twice costs memory.
+ * Time for which keys of unrepeatable requests are retained beyond the lifetime
+ * of claims and tickets. It covers clock skew between entries and responses in
+ * transit. Half of it is enough if clocks are synchronized; a higher value takes
+ * more memory.
  */
-const KEY_MARGIN_MS = 120_000
+const KEY_RETENTION_MARGIN_MS = 120_000
 
-/** What the builder needs. */
-export interface RequestPartsOptions {
+/** Options of `createRequestComponents`. */
+export interface RequestComponentsOptions {
   settings: Settings
   incarnation: string
-  /** This entry's address between processes, as `host:port`. */
+  /** Peer address of this entry, as `host:port`. */
   address: string
   configuration: Configuration
   logClient: LogClient
@@ -44,8 +45,8 @@
   metrics: EntryMetrics
 }
 
-/** What runs the requests of one entry. */
-export interface RequestParts {
+/** Components that run the requests of one entry. */
+export interface RequestComponents {
   claims: ClaimRegistry
   outcomes: OutcomeTable
   tickets: TicketOffice
@@ -54,8 +55,8 @@
   services: RequestService
 }
 
-/** Builds the parts; `claims.run` has to be started by the caller. */
-export function createRequestParts(options: RequestPartsOptions): RequestParts {
+/** Creates the components; `claims.run` has to be started by the caller. */
+export function createRequestComponents(options: RequestComponentsOptions): RequestComponents {
   const { settings, incarnation, address, membership, peers, decisions } = options
   const { entry, process: identity } = settings
   const claims = createClaims(options)
@@ -70,7 +71,7 @@
   }
 }
 
-function createClaims({ settings, incarnation, address, logClient }: RequestPartsOptions): ClaimRegistry {
+function createClaims({ settings, incarnation, address, logClient }: RequestComponentsOptions): ClaimRegistry {
   return new ClaimRegistry(logClient, {
     incarnation,
     address,
@@ -85,11 +86,11 @@
     entries: entry['outcome-memory-entries'],
     bytes: entry['outcome-memory-bytes'],
     lifetimeMs: entry['outcome-memory-ms'],
-    unrepeatableLifetimeMs: Math.max(entry['claim-memory-ms'], entry['ticket-lifetime-ms']) + KEY_MARGIN_MS,
+    unrepeatableLifetimeMs: Math.max(entry['claim-memory-ms'], entry['ticket-lifetime-ms']) + KEY_RETENTION_MARGIN_MS,
   })
 }
 
-function createStageCaller(options: RequestPartsOptions): StageCaller {
+function createStageCaller(options: RequestComponentsOptions): StageCaller {
   const { settings, incarnation, configuration, membership, decisions, metrics } = options
   const { entry, process: identity } = settings
   return new StageCaller({
@@ -106,8 +107,8 @@
 }
 
 function createRequestService(
-  options: RequestPartsOptions,
-  shared: Omit<RequestParts, 'pipelines' | 'services'>,
+  options: RequestComponentsOptions,
+  shared: Omit<RequestComponents, 'pipelines' | 'services'>,
   inFlightLimit: number,
 ): RequestService {
   const { settings, incarnation, address, membership, machines, peers, decisions, metrics } = options
--- a/packages/daemon/src/process/entry/request-intake.ts
+++ b/packages/daemon/src/process/entry/request-dispatcher.ts
@@ -1,9 +1,9 @@
 /**
- * Turns a checked call of a caller, or a request that another entry passes on,
- * into a planned request and hands it to the request service of its kind.
- * Pipelines and plain services have a service each, with limits, load counts
- * and policies of its own, so that neither takes the other's capacity. Keeps
- * no state of its own.
+ * Creates a planned request from a validated call of a caller or from a request
+ * forwarded by another entry, and dispatches it to the request service for
+ * pipelines or the one for plain services. Each has its own limits, load
+ * counters and policies, so that neither can exhaust the capacity of the other.
+ * Stateless.
  */
 import type { RequestError } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
@@ -22,54 +22,54 @@
 import { planPipeline, planService } from '../../request/plan.js'
 import { ObjectKind } from '../../version/objects.js'
 
-/** What a caller reads when a ticket is refused. */
-const EXPIRED = 'The ticket has expired, and whether it was used is no longer known; look at what the request did, then get a new one.'
-const FOREIGN = 'The ticket is not one that was given to this client account; get one from POST /v1/tickets.'
-const UNKNOWN = 'The entry that made the ticket does not know the account or the pipeline; check them.'
+/** Error messages for callers whose ticket is rejected. */
+const EXPIRED_TICKET_MESSAGE = 'The ticket has expired, and whether it was used is no longer known; look at what the request did, then get a new one.'
+const FOREIGN_TICKET_MESSAGE = 'The ticket is not one that was given to this client account; get one from POST /v1/tickets.'
+const UNKNOWN_TICKET_MESSAGE = 'The entry that made the ticket does not know the account or the pipeline; check them.'
 
-/** Parts of the intake. */
-export interface RequestIntakeOptions {
+/** Dependencies of the dispatcher. */
+export interface RequestDispatcherOptions {
   configuration: Configuration
   pipelines: RequestService
   services: RequestService
   tickets: TicketOffice
 }
 
-/** Takes in the requests of one entry. */
-export class RequestIntake {
-  constructor(private readonly options: RequestIntakeOptions) {}
+/** Dispatches the requests of one entry. */
+export class RequestDispatcher {
+  constructor(private readonly options: RequestDispatcherOptions) {}
 
-  /** Requests of both kinds that have not been answered. */
+  /** Number of pipeline and service requests without a response. */
   get inFlight(): number {
     return this.options.pipelines.inFlight + this.options.services.inFlight
   }
 
-  /** Answers a caller's call of a pipeline. */
+  /** Runs a pipeline for a caller. */
   async runPipeline(call: PipelineCall): Promise<RequestAnswer> {
     const { pipeline, caller } = call
     const plan = planPipeline(pipeline.name, pipeline.value, caller.account.value, caller.headers)
-    const incoming = this.createIncoming(call, plan)
+    const incoming = this.createIncomingRequest(call, plan)
     return incoming.isOk() ? this.options.pipelines.handle({ ...incoming.value, onToken: call.onToken }) : incoming
   }
 
-  /** Answers a caller's call of a plain service. */
+  /** Calls a plain service for a caller. */
   async runService(call: ServiceCall): Promise<RequestAnswer> {
     const { service, request, caller } = call
     const plan = planService(service, request, caller.account.value, caller.headers)
-    const incoming = this.createIncoming(call, plan)
+    const incoming = this.createIncomingRequest(call, plan)
     return incoming.isOk() ? this.options.services.handle(incoming.value) : incoming
   }
 
-  /** Answers a request that another entry passes on because its ticket was made here. */
+  /** Runs a request that another entry forwarded because this entry issued its ticket. */
   async runForwarded(request: ForwardedRequest, ticketText: string): Promise<RequestAnswer> {
-    const incoming = this.createForwarded(request, ticketText)
+    const incoming = this.createForwardedRequest(request, ticketText)
     if (!incoming)
-      return Err(createError(ErrorKind.TicketInvalid, UNKNOWN))
+      return Err(createError(ErrorKind.TicketInvalid, UNKNOWN_TICKET_MESSAGE))
     const service = request.serviceRequest ? this.options.services : this.options.pipelines
     return service.handle(incoming)
   }
 
-  private createIncoming(call: CallerCall, plan: RequestPlan): Result<IncomingRequest, RequestError> {
+  private createIncomingRequest(call: CallerCall, plan: RequestPlan): Result<IncomingRequest, RequestError> {
     const { headers, account } = call.caller
     const ticket = headers.ticket === undefined ? Ok(undefined) : this.checkTicket(headers.ticket, account.name)
     if (ticket.isErr())
@@ -92,10 +92,10 @@
     if (ticket.isOk() && ticket.value.account === account)
       return ticket
     const expired = ticket.isErr() && ticket.error === TicketFault.Expired
-    return Err(expired ? createError(ErrorKind.RequestIdExpired, EXPIRED) : createError(ErrorKind.TicketInvalid, FOREIGN))
+    return Err(expired ? createError(ErrorKind.RequestIdExpired, EXPIRED_TICKET_MESSAGE) : createError(ErrorKind.TicketInvalid, FOREIGN_TICKET_MESSAGE))
   }
 
-  private createForwarded(request: ForwardedRequest, ticketText: string): IncomingRequest | undefined {
+  private createForwardedRequest(request: ForwardedRequest, ticketText: string): IncomingRequest | undefined {
     const ticket = this.options.tickets.verify(ticketText)
     const account = this.options.configuration.get(ObjectKind.Account, request.account)
     if (ticket.isErr() || !account || ticket.value.account !== request.account)
@@ -109,17 +109,17 @@
       plan,
       body: request.body,
       arrivedAt: performance.now(),
-      // The caller's connection ends at the other entry; the deadline bounds the run.
+      // The caller is connected to the other entry; only the deadline limits this run.
       callerGone: UNABORTED,
     }
   }
 
   private planForwarded(request: ForwardedRequest, account: UsableObject<Account>): RequestPlan | undefined {
     const { pipeline, service, serviceRequest } = request
-    const asked = { deadlineMs: Math.max(1, request.deadlineMs), unrepeatable: true }
+    const planRequest = { deadlineMs: Math.max(1, request.deadlineMs), unrepeatable: true }
     const template = pipeline === undefined ? undefined : this.options.configuration.get(ObjectKind.Template, pipeline)
     if (template)
-      return planPipeline(template.name, template.value, account.value, asked)
-    return service && serviceRequest ? planService(service, serviceRequest, account.value, asked) : undefined
+      return planPipeline(template.name, template.value, account.value, planRequest)
+    return service && serviceRequest ? planService(service, serviceRequest, account.value, planRequest) : undefined
   }
 }
