--- a/packages/daemon/src/process/entry/entry-caller-service.ts
+++ b/packages/daemon/src/process/entry/entry-caller-service.ts
@@ -33,7 +33,7 @@
 
   /** Whether the load balancer should route callers to this entry. */
   isReady(): boolean {
-    return this.phase === EntryPhase.Serving && this.knowsConfiguration() && this.options.membership.hasMetBackends
+    return this.phase === EntryPhase.Serving && this.knowsConfiguration() && this.options.membership.hasTriedBackends
   }
 
   knowsConfiguration(): boolean {
--- a/packages/daemon/src/process/membership/index.ts
+++ b/packages/daemon/src/process/membership/index.ts
@@ -1,4 +1,4 @@
-export * from './first-contact.js'
+export * from './initial-connect.js'
 export * from './member-state.js'
 export * from './member.js'
 export * from './membership.js'
--- a/packages/daemon/src/process/membership/member.ts
+++ b/packages/daemon/src/process/membership/member.ts
@@ -1,6 +1,6 @@
 /**
- * One backend server that an entry keeps a link to: its configuration, its
- * link and its state. Lives until the backend server is no longer watched.
+ * One backend server that an entry maintains a link to: its configuration, its
+ * link and its state. Exists until the backend server is no longer watched.
  */
 import type { Load } from '../../connection/messages.js'
 import type { SideLink } from '../../connection/side-link.js'
@@ -15,12 +15,12 @@
 
 const log = createLogger('membership')
 
-/** A backend server that an entry keeps a link to. */
+/** A backend server that an entry maintains a link to. */
 export class Member implements LinkedBackend {
   private loggedState: MemberState | undefined
 
   constructor(
-    /** Its configuration, replaced at each change. */
+    /** Configuration of the backend server, replaced at each change. */
     public backend: Backend,
     readonly link: SideLink,
     private readonly machines: VirtualMachineList,
@@ -55,7 +55,7 @@
     })
   }
 
-  /** Logs the state where it has changed. */
+  /** Logs the state if it has changed since the last call. */
   logState(): void {
     const { state } = this
     if (state === this.loggedState)
@@ -64,7 +64,7 @@
     log('member', { backend: this.backendName, service: this.backend.service, state })
   }
 
-  /** Whether this backend server holds what a stage needs. */
+  /** Whether this backend server has the service, model and adapter that a stage needs. */
   serves(stage: PlannedStage): boolean {
     const { service, model, version, adapters } = this.backend
     const role = stage.serviceRequest ? BackendRole.Plain : BackendRole.Stage
--- a/packages/daemon/src/process/membership/membership.ts
+++ b/packages/daemon/src/process/membership/membership.ts
@@ -1,9 +1,9 @@
 /**
- * The backend servers that an entry knows: keeps a link to each that it
- * watches, in line with the configuration, and finds those that can take a
- * stage. Owns the links for the life of the process; they are made again from
- * the configuration after a restart. Which backend servers are watched is
- * decided in `watched-backends`, which of them take work in `member-state`.
+ * The backend servers that an entry knows. Maintains a link to each watched
+ * backend server of the configuration and finds those that can execute a stage.
+ * Owns the links for the lifetime of the process; after a restart they are
+ * recreated from the configuration. `watched-backends` decides which backend
+ * servers are watched, `member-state` which of them receive work.
  */
 import type { ConfigurationFreshness } from '../../connection/side-heartbeats.js'
 import type { PlannedStage } from '../../request/plan.js'
@@ -14,15 +14,15 @@
 import { wait } from '@eidermast/common'
 import { SideLink } from '../../connection/side-link.js'
 import { BackendRole, ObjectKind } from '../../version/objects.js'
-import { isFirstContactOver } from './first-contact.js'
+import { isInitialConnectDone } from './initial-connect.js'
 import { MemberState } from './member-state.js'
 import { Member } from './member.js'
-import { selectWatched } from './watched-backends.js'
+import { selectWatchedBackends } from './watched-backends.js'
 
 /**
- * Milliseconds between looks for states that changed without a message, such as
- * a connection that closed. It delays log lines only, since each choice of a
- * backend server reads the states as they are.
+ * Poll interval for states that change without a message, such as on a closed
+ * connection. It delays log lines only, because each selection of a backend
+ * server reads the current states.
  */
 const STATE_LOG_INTERVAL_MS = 250
 
@@ -32,7 +32,7 @@
   entryIncarnation: string
   key: string
   heartbeatIntervalMs: number
-  /** Backend servers of one service that this entry keeps links to. */
+  /** Maximum number of backend servers per service that this entry maintains links to. */
   watchLimit: number
   freshness: ConfigurationFreshness
 }
@@ -42,9 +42,9 @@
   private readonly members = new Map<string, Member>()
   private membersByService = new Map<string, Member[]>()
   private readonly unsubscribe: () => void
-  /** When the first links were opened, in milliseconds of the process clock. */
-  private openedAt: number | undefined
-  private met = false
+  /** When the first links were opened, in milliseconds of the monotonic process clock. */
+  private connectStartedAt: number | undefined
+  private initialConnectDone = false
 
   constructor(
     private readonly configuration: Configuration,
@@ -55,7 +55,7 @@
     machines.subscribe(() => this.logStates())
   }
 
-  /** Logs changes of state until the signal aborts. */
+  /** Logs state changes until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await wait(STATE_LOG_INTERVAL_MS, signal)
@@ -63,45 +63,45 @@
     }
   }
 
-  /** Every backend server that this entry keeps a link to. */
+  /** Returns every backend server that this entry maintains a link to. */
   list(): Member[] {
     return [...this.members.values()]
   }
 
-  /** Whether this entry has met its backend servers; true for good once it has. */
-  get hasMetBackends(): boolean {
-    if (this.met || this.openedAt === undefined)
+  /** Whether this entry has tried to connect to its backend servers; never reverts to false once it has. */
+  get hasTriedBackends(): boolean {
+    if (this.initialConnectDone || this.connectStartedAt === undefined)
       return true
     const tried = this.list().map(member => member.link.tried)
-    this.met = isFirstContactOver({ tried, sinceOpenedMs: performance.now() - this.openedAt })
-    return this.met
+    this.initialConnectDone = isInitialConnectDone({ tried, elapsedMs: performance.now() - this.connectStartedAt })
+    return this.initialConnectDone
   }
 
-  /** Backend servers in force that hold what a stage needs. */
+  /** Returns the available backend servers that can serve a stage. */
   candidates(stage: PlannedStage): Member[] {
     const pool = this.membersByService.get(stage.service) ?? []
-    return pool.filter(member => member.serves(stage) && member.state === MemberState.InForce)
+    return pool.filter(member => member.serves(stage) && member.state === MemberState.Available)
   }
 
-  /** Whether a plain service of this name is configured; callers reach no other backend server by path. */
+  /** Whether a plain service of this name is configured; callers cannot address other backend servers by path. */
   knowsService(service: string): boolean {
     const backends = this.configuration.list(ObjectKind.Backend)
     return backends.some(({ value }) => value.service === service && value.role === BackendRole.Plain)
   }
 
-  /** Brings the links in line with the configuration and carries it to the sides. */
+  /** Updates the links to match the configuration and propagates the configuration to the sides. */
   update(): void {
-    this.openedAt ??= performance.now()
+    this.connectStartedAt ??= performance.now()
     const { entryName, watchLimit } = this.options
-    const watched = selectWatched(this.configuration.list(ObjectKind.Backend), entryName, watchLimit)
-    this.closeUnwatched(watched)
+    const watched = selectWatchedBackends(this.configuration.list(ObjectKind.Backend), entryName, watchLimit)
+    this.removeUnwatched(watched)
     for (const backend of watched)
-      this.watch(backend)
+      this.addOrUpdate(backend)
     this.indexMembers()
     this.logStates()
   }
 
-  /** Logs every member whose state has changed. */
+  /** Logs the members whose state has changed. */
   logStates(): void {
     for (const member of this.members.values())
       member.logState()
@@ -114,7 +114,7 @@
       member.link.close()
   }
 
-  private closeUnwatched(watched: UsableObject<Backend>[]): void {
+  private removeUnwatched(watched: UsableObject<Backend>[]): void {
     const addresses = new Map(watched.map(({ name, value }) => [name, value.address]))
     for (const [name, member] of this.members) {
       if (addresses.get(name) === member.link.address)
@@ -124,7 +124,7 @@
     }
   }
 
-  private watch({ name, value: backend }: UsableObject<Backend>): void {
+  private addOrUpdate({ name, value: backend }: UsableObject<Backend>): void {
     const existing = this.members.get(name)
     if (existing) {
       existing.backend = backend
--- a/packages/daemon/src/process/membership/virtual-machine-list.ts
+++ b/packages/daemon/src/process/membership/virtual-machine-list.ts
@@ -1,15 +1,15 @@
 /**
- * The platform's list of live and leaving VMs, as one process knows it. Owns
- * the newest list that was read, for the life of the process; after a restart
- * it is read again.
+ * The platform's list of live and leaving VMs, as cached by one process. Owns
+ * the latest list for the lifetime of the process; after a restart the list is
+ * read again.
  *
- * Decides what is assumed of a VM. Inputs: the newest list, as old as the
- * platform's last answer. Rule: while no list was ever read every VM counts as
- * live; afterwards one that is not listed counts as leaving. While the platform
- * does not answer, its last list stays in force. Why: a platform that is out
- * must not take backend servers that answer out of work, and one that has
- * answered is right about VMs that it no longer lists.
- * Log event: `list-unreadable`; the states show as `member`.
+ * Decides the assumed state of a VM. Input: the latest list, as old as the
+ * platform's last response. Rule: until a list has been read, every VM counts as
+ * live; afterwards a VM that is not listed counts as leaving. While the platform
+ * does not respond, its last list remains valid. Why: an outage of the platform
+ * must not take responsive backend servers out of service, while a list that the
+ * platform did return is authoritative about the VMs it no longer contains.
+ * Log event: `list-unreadable`; the states appear in `member`.
  */
 import type { ListedEntries } from '../../request/authority/not-run-proof.js'
 import { createLogger, wait } from '@eidermast/common'
@@ -18,13 +18,13 @@
 
 const log = createLogger('membership')
 
-/** What the platform says of a VM. */
+/** State of a VM as reported by the platform. */
 export enum VirtualMachineState {
   Live = 'live',
   Leaving = 'leaving',
 }
 
-/** What runs on a VM. */
+/** Role of the process on a VM. */
 export enum VirtualMachineRole {
   Entry = 'entry',
   Backend = 'backend',
@@ -35,61 +35,56 @@
   role: z.enum(VirtualMachineRole),
   state: z.enum(VirtualMachineState),
   failureDomain: z.string(),
-  /** Address between the system's processes, as `host:port`. */
+  /** Peer address of the process, as `host:port`. */
   address: z.string(),
 })
 const listSchema = z.object({ virtualMachines: z.array(virtualMachineSchema) })
 
-/** One VM of the list. */
 export type VirtualMachine = z.infer<typeof virtualMachineSchema>
 
-/** A source of the platform's VM list. */
 export interface VirtualMachineSource {
-  /** Reads the list; undefined where the platform does not answer, after a log line that says why. */
+  /** Reads the list; logs the reason and returns undefined if the list cannot be read. */
   read: (signal?: AbortSignal) => Promise<VirtualMachine[] | undefined>
 }
 
-/**
- * Milliseconds for one read. The last list stays in force meanwhile, so half or
- * twice only moves the moment of the next try.
- */
+/** The last list remains valid during a read, so the timeout only affects when the next attempt starts. */
 const READ_TIMEOUT_MS = 1000
 
-/** The VM list over HTTP. */
+/** Reads the VM list over HTTP. */
 export class HttpVirtualMachineSource implements VirtualMachineSource {
   constructor(private readonly url: string, private readonly timeoutMs = READ_TIMEOUT_MS) {}
 
   async read(signal?: AbortSignal): Promise<VirtualMachine[] | undefined> {
-    const answer = await callJson({ method: 'GET', url: `${this.url}/virtual-machines`, timeoutMs: this.timeoutMs, signal })
-    if (answer.isErr()) {
-      log('list-unreadable', { error: answer.error.message })
+    const response = await callJson({ method: 'GET', url: `${this.url}/virtual-machines`, timeoutMs: this.timeoutMs, signal })
+    if (response.isErr()) {
+      log('list-unreadable', { error: response.error.message })
       return undefined
     }
-    const list = listSchema.safeParse(answer.value)
+    const list = listSchema.safeParse(response.value)
     if (!list.success)
-      log('list-unreadable', { error: 'the platform answered in an unknown form' })
+      log('list-unreadable', { error: 'the response of the platform does not match the schema of the VM list' })
     return list.data?.virtualMachines
   }
 }
 
-/** Called after each read of the list. */
+/** Called after each successful read of the list. */
 export type VirtualMachineListener = () => void
 
-/** The newest known VM list of one process. */
+/** Cache of the latest VM list of one process. */
 export class VirtualMachineList implements ListedEntries {
-  private known: Map<string, VirtualMachine> | undefined
-  /** When each entry VM was last listed, by address, in epoch milliseconds. */
-  private readonly entriesSeen = new Map<string, number>()
+  private machinesByName: Map<string, VirtualMachine> | undefined
+  /** When each entry VM was last listed, in epoch milliseconds, by peer address. */
+  private readonly entryLastListedAt = new Map<string, number>()
   private readonly listeners = new Set<VirtualMachineListener>()
 
   constructor(private readonly source: VirtualMachineSource, private readonly intervalMs: number) {}
 
-  /** Registers a listener for reads of the list. */
+  /** Registers a listener that is called after each successful read. */
   subscribe(listener: VirtualMachineListener): void {
     this.listeners.add(listener)
   }
 
-  /** Reads the list again and again until the signal aborts. */
+  /** Reads the list periodically until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await this.refresh(signal)
@@ -97,42 +92,42 @@
     }
   }
 
-  /** Reads the list once. */
+  /** Reads the list once; keeps the previous one if it cannot be read. */
   async refresh(signal?: AbortSignal): Promise<void> {
     const listed = await this.source.read(signal)
     if (!listed)
       return
-    this.known = new Map(listed.map(machine => [machine.name, machine]))
+    this.machinesByName = new Map(listed.map(machine => [machine.name, machine]))
     for (const machine of listed) {
       if (machine.role === VirtualMachineRole.Entry)
-        this.entriesSeen.set(machine.address, Date.now())
+        this.entryLastListedAt.set(machine.address, Date.now())
     }
     for (const listener of this.listeners)
       listener()
   }
 
-  /** Whether the list was read at least once. */
+  /** Whether the list has been read at least once. */
   get hasRead(): boolean {
-    return this.known !== undefined
+    return this.machinesByName !== undefined
   }
 
-  /** The listed state of a VM; live while no list was ever read, leaving where it is not listed. */
+  /** Returns the listed state of a VM: live until a list has been read, leaving if it is not listed. */
   stateOf(name: string): VirtualMachineState {
-    if (!this.known)
+    if (!this.machinesByName)
       return VirtualMachineState.Live
-    return this.known.get(name)?.state ?? VirtualMachineState.Leaving
+    return this.machinesByName.get(name)?.state ?? VirtualMachineState.Leaving
   }
 
-  /** Addresses of the listed entry VMs. */
+  /** Returns the peer addresses of the listed entry VMs. */
   entryAddresses(): string[] {
-    return [...this.known?.values() ?? []]
+    return [...this.machinesByName?.values() ?? []]
       .filter(machine => machine.role === VirtualMachineRole.Entry)
       .map(machine => machine.address)
   }
 
-  /** Addresses of every entry VM that was listed within the last milliseconds. */
+  /** Returns the peer addresses of all entry VMs that were listed within the given period before now. */
   entryAddressesWithin(milliseconds: number): string[] {
     const oldest = Date.now() - milliseconds
-    return [...this.entriesSeen].filter(([, seenAt]) => seenAt >= oldest).map(([address]) => address)
+    return [...this.entryLastListedAt].filter(([, listedAt]) => listedAt >= oldest).map(([address]) => address)
   }
 }
--- a/packages/daemon/src/process/membership/watched-backends.ts
+++ b/packages/daemon/src/process/membership/watched-backends.ts
@@ -1,23 +1,23 @@
 /**
- * Decides to which backend servers an entry keeps links.
+ * Decides which backend servers an entry maintains links to.
  *
  * Inputs: the configured backend servers (as old as this entry's
- * configuration), the entry's name, the setting `watch-limit` (backend servers
- * of one service).
- * Rule: of each service, all while it has at most `watch-limit` backend
- * servers, otherwise the `watch-limit` with the highest hash of backend
- * server and entry.
- * Why a hash: each entry picks others, so that every backend server is watched
- * by some entries and none by all, without a message between them; and one
- * that comes or goes changes one link of an entry.
- * Log event: none of its own; the links made show as `member`.
+ * configuration), the entry's name, and the setting `watch-limit` (backend
+ * servers per service).
+ * Rule: all backend servers of a service if there are at most `watch-limit`;
+ * otherwise the `watch-limit` with the highest rendezvous hash of backend server
+ * and entry.
+ * Why rendezvous hashing: each entry selects a different subset without
+ * coordination, so that every backend server is watched by some entries and
+ * none by all, and adding or removing one changes a single link of an entry.
+ * Log event: none of its own; the resulting links appear in `member`.
  */
 import type { UsableObject } from '../../version/configuration.js'
 import type { Backend } from '../../version/objects.js'
 import { rendezvousHash } from '../../request/stages/choice.js'
 
-/** The backend servers that an entry keeps links to, of all that are configured. */
-export function selectWatched(backends: UsableObject<Backend>[], entryName: string, watchLimit: number): UsableObject<Backend>[] {
+/** Selects from the configured backend servers those that an entry maintains links to. */
+export function selectWatchedBackends(backends: UsableObject<Backend>[], entryName: string, watchLimit: number): UsableObject<Backend>[] {
   const byService = new Map<string, UsableObject<Backend>[]>()
   for (const backend of backends) {
     const pool = byService.get(backend.value.service) ?? []
--- a/packages/stand-ins/src/daemon-status.ts
+++ b/packages/stand-ins/src/daemon-status.ts
@@ -60,7 +60,7 @@
   /** Number of backend servers that an entry uses. */
   private async countInForce(entryName: string): Promise<number> {
     const status = await this.entryStatus(entryName)
-    return status?.detail.filter(line => line.text === MemberState.InForce).length ?? 0
+    return status?.detail.filter(line => line.text === MemberState.Available).length ?? 0
   }
 
   private peerOf(name: string): { address: string, key: string } {
--- a/test/promises/cut-connections.test.ts
+++ b/test/promises/cut-connections.test.ts
@@ -22,7 +22,7 @@
   await changeBackend(client, 'encoder-2', { order: BackendOrder.Out })
   await client.close()
   const onlyOneInForce = async (): Promise<boolean> =>
-    await stateOf(ENCODER) === MemberState.InForce && await stateOf('encoder-2') === MemberState.OrderedOut
+    await stateOf(ENCODER) === MemberState.Available && await stateOf('encoder-2') === MemberState.OrderedOut
   await vi.waitUntil(onlyOneInForce, { timeout: 15_000, interval: 50 })
   await system.setServiceFaults('encoder', { slowFactor: 50 })
 })
