--- a/packages/daemon/src/process/side/call-refusal.ts
+++ b/packages/daemon/src/process/side/call-refusal.ts
@@ -1,16 +1,16 @@
 /**
- * Decides whether a side refuses a stage call because it came to the wrong
- * place or was made from an old configuration. Whether the queue has space for
- * it is decided after this.
+ * Decides whether a side refuses a stage call because it is misrouted or based on
+ * an outdated configuration. The limits of the queue are checked afterwards.
  *
- * Inputs: the call; whether the side drains; its own configuration (as of
- * now); what its backend server holds by the newest order that took effect.
- * Rule: refuse while draining; then a call for another backend server; then
- * one for another role; then a call made before the order now in force that
- * wants another model; then one whose model or version is not held.
+ * Inputs: the call; whether the side is draining; the side's configuration (as
+ * of now); the placement of the latest order applied by the backend server.
+ * Rule: refuse, in this order, any call while draining, a call for another
+ * backend server, a call for another role, a call that is older than the
+ * configured placement and requires another model, and a call whose model or
+ * version is not loaded.
  * Why at the side: an entry's configuration may be older than the order, and
- * only the side knows which order took effect. A refused call has provably not
- * started, so the entry calls elsewhere at once.
+ * only the side knows which order has been applied. A refused call has provably
+ * not started, so the entry can call another backend server at once.
  * Log event: `refuse` (reason), by the stage runner.
  */
 import type { StageCall } from '../../connection/messages.js'
@@ -18,20 +18,20 @@
 import { RefusalReason } from '../../connection/messages.js'
 import { BackendRole } from '../../version/objects.js'
 
-/** What a side knows of itself when a call comes. */
+/** State of a side when a call arrives. */
 export interface RefusalContext {
   draining: boolean
   /** Name of the backend server behind the side. */
   backendName: string
-  /** Its configured role; undefined where it is not configured. */
+  /** Configured role of the backend server; undefined if it is not configured. */
   role: BackendRole | undefined
-  /** What it should hold; undefined where it is not configured. */
+  /** Configured placement; undefined if the backend server is not configured. */
   placement: Placement | undefined
-  /** What it holds by the newest order that took effect. */
-  held: Placement | undefined
+  /** Placement of the latest applied order. */
+  appliedPlacement: Placement | undefined
 }
 
-/** Why a call is refused; undefined where it may be queued. */
+/** Returns why a call is refused; undefined if it can be queued. */
 export function findRefusal(call: StageCall, context: RefusalContext): RefusalReason | undefined {
   if (context.draining)
     return RefusalReason.Draining
@@ -42,16 +42,16 @@
     return RefusalReason.WrongRole
   if (context.placement && isStale(call, context.placement))
     return RefusalReason.Stale
-  return holdsModel(call, context.held) ? undefined : RefusalReason.WrongModel
+  return isModelLoaded(call, context.appliedPlacement) ? undefined : RefusalReason.WrongModel
 }
 
-/** Whether the call was made from a configuration before the placement, which named another model. */
+/** Whether the call is based on a configuration older than the placement and requires another model. */
 function isStale(call: StageCall, placement: Placement): boolean {
   return call.offset < placement.fence && call.model !== placement.model
 }
 
-function holdsModel(call: StageCall, held: Placement | undefined): boolean {
+function isModelLoaded(call: StageCall, appliedPlacement: Placement | undefined): boolean {
   if (call.model === undefined)
     return true
-  return held?.model === call.model && (call.version === undefined || held.version === call.version)
+  return appliedPlacement?.model === call.model && (call.version === undefined || appliedPlacement.version === call.version)
 }
--- a/packages/daemon/src/process/side/draining.ts
+++ b/packages/daemon/src/process/side/draining.ts
@@ -1,60 +1,60 @@
 /**
- * Decides whether a side takes new stage calls, or why it drains.
+ * Decides whether a side accepts new stage calls or drains, and why.
  *
- * Inputs: whether the process is stopping, whether the newest configuration is
- * known, the configured order, what the backend server holds by the newest
- * order that took effect (all as of now), and what the backend server last
- * reported (at most `load-interval-ms` old).
- * Rule: any one reason is enough; the first in the order of the enum is named.
- * Calls that run go on; queued ones go on too, unless the backend server itself
- * leaves (`stage-runner.ts`).
- * Why one reason is enough: a call that is refused before it starts runs
- * elsewhere at once, while one that starts at a backend server that leaves may
- * be lost.
+ * Inputs: whether the process is stopping, whether the latest configuration is
+ * known, the configured order, the placement of the latest applied order (all as
+ * of now), and the last report of the backend server (at most `load-interval-ms`
+ * old).
+ * Rule: any single reason is enough; the first one in the order of the enum is
+ * reported. Running calls continue; queued ones continue too, unless the backend
+ * server itself is leaving (`stage-runner.ts`).
+ * Why one reason is enough: a call that is refused before it starts can run on
+ * another backend server at once, while one that starts on a backend server that
+ * is leaving may be lost.
  * Log event: `draining` (reason) at each change; entries log `member` with the
  * state `draining`.
  */
 
-/** Why a side takes no new calls. */
+/** Reason why a side accepts no new calls. */
 export enum DrainReason {
   /** The process was asked to stop. */
   Stopping = 'stopping',
-  /** No configuration is known yet that is new enough. */
+  /** The side does not have a recent enough configuration yet. */
   ConfigurationUnknown = 'configuration-unknown',
-  /** The configuration orders the backend server out. */
+  /** The configuration orders the backend server out of service. */
   OrderedOut = 'ordered-out',
-  /** The backend server reports that it leaves. */
+  /** The backend server reports that it is draining. */
   BackendDraining = 'backend-draining',
-  /** The backend server does not answer. */
+  /** The backend server does not respond. */
   BackendDown = 'backend-down',
-  /** The backend server should hold a model and holds none yet. */
+  /** The placement names a model, and the backend server has not loaded one yet. */
   NoModel = 'no-model',
 }
 
-/** What is known of a side and its backend server. */
-export interface DrainSigns {
+/** State of a side and its backend server. */
+export interface DrainInputs {
   stopping: boolean
   configurationKnown: boolean
   orderedIn: boolean
   backendDraining: boolean
   backendDown: boolean
   /** Whether the placement names a model. */
-  wantsModel: boolean
-  /** Whether an order took effect in this life of the backend server. */
-  holdsPlacement: boolean
+  requiresModel: boolean
+  /** Whether an order has been applied in this incarnation of the backend server. */
+  placementApplied: boolean
 }
 
-/** The reason to drain; undefined while new calls are taken. */
-export function findDrainReason(signs: DrainSigns): DrainReason | undefined {
-  if (signs.stopping)
+/** Returns the reason to drain; undefined if new calls are accepted. */
+export function findDrainReason(inputs: DrainInputs): DrainReason | undefined {
+  if (inputs.stopping)
     return DrainReason.Stopping
-  if (!signs.configurationKnown)
+  if (!inputs.configurationKnown)
     return DrainReason.ConfigurationUnknown
-  if (!signs.orderedIn)
+  if (!inputs.orderedIn)
     return DrainReason.OrderedOut
-  if (signs.backendDraining)
+  if (inputs.backendDraining)
     return DrainReason.BackendDraining
-  if (signs.backendDown)
+  if (inputs.backendDown)
     return DrainReason.BackendDown
-  return signs.wantsModel && !signs.holdsPlacement ? DrainReason.NoModel : undefined
+  return inputs.requiresModel && !inputs.placementApplied ? DrainReason.NoModel : undefined
 }
--- a/packages/daemon/src/process/side/order-decision.ts
+++ b/packages/daemon/src/process/side/order-decision.ts
@@ -1,66 +1,66 @@
 /**
- * Decides whether a side orders its backend server to hold a placement, in two
- * steps: whether an order is due, and whether it may still be sent.
+ * Decides in two steps whether a side orders its backend server to apply a
+ * placement: whether an order is due, and whether it may be sent.
  *
- * Inputs: whether the newest configuration is known; the fence of the
- * placement (its configuration offset) and of the newest order that took
- * effect; the weight store's answer; the log's answer to whether nothing newer
- * exists, with its age in milliseconds.
- * Rule: an order is due when the fence is above the newest that took effect and
- * none is under way. It is sent when the weights exist, and, for a backend
- * server that does not check fences itself, when the log has confirmed within
- * MAX_CONFIRMATION_AGE_MS that this configuration is the newest. Why not a
- * lease for the side: it lapses while its holder is paused, and the paused side
- * would send an old order when it resumes. Why not ask the entries: their
- * answer may have waited in the paused side's socket.
+ * Inputs: whether the latest configuration is known; the fencing tokens
+ * ("fences") of the placement (its configuration offset) and of the latest
+ * applied order; the response of the weight store; the log's confirmation that
+ * nothing newer exists, with its age in milliseconds.
+ * Rule: an order is due if its fence is above that of the latest applied order
+ * and no other order is in progress. It is sent if the weights exist and, for a
+ * backend server that does not check fences itself, if the log has confirmed
+ * within MAX_CONFIRMATION_AGE_MS that this configuration is the latest.
+ * Why not a lease for the side: it can expire while its holder is paused, and
+ * the side would send an outdated order when it resumes. Why entries are not
+ * asked: their response may have been waiting in the socket of the paused side.
  * Log event: `order` (fence, model, version, adapters, result).
  */
 import { WeightState } from './weight-store.js'
 
-/** What came of an order. */
+/** Result of an order. */
 export enum OrderResult {
   Applied = 'applied',
   /** The backend server did not acknowledge it. */
   Failed = 'failed',
   WeightsAbsent = 'weights-absent',
   WeightsUnknown = 'weights-unknown',
-  /** The newest placement is in force. */
+  /** The latest placement has already been applied. */
   Current = 'current',
-  /** The newest configuration is not known yet, or another order is under way. */
+  /** The latest configuration is not known yet, another order is in progress, or a newer placement exists. */
   NotYet = 'not-yet',
-  /** The log could not confirm that no newer order exists. */
+  /** The log did not confirm in time that no newer order exists. */
   NotConfirmed = 'not-confirmed',
 }
 
 /**
- * Milliseconds for which the log's confirmation holds; a pause of this process
- * shows as a longer one. Half would refuse orders while the log answers slowly,
- * twice would let an order out after a pause of up to 2 s.
+ * Validity of the log's confirmation; a pause of this process makes it appear
+ * older. At half this value, orders would not be sent while the log is slow; at
+ * twice, an order could be sent after a pause of up to 2 s.
  */
 const MAX_CONFIRMATION_AGE_MS = 1000
 
-/** What is known when an order may be due. */
-export interface DueSigns {
+/** Inputs of the decision whether an order is due. */
+export interface OrderDueInputs {
   configurationKnown: boolean
-  /** Fence of the placement; undefined where the backend server is not configured. */
+  /** Fence of the placement; undefined if the backend server is not configured. */
   fence: number | undefined
-  /** Fence of the newest order that took effect. */
+  /** Fence of the latest applied order. */
   appliedFence: number
-  /** Whether another order is under way: two could arrive in the wrong order. */
-  ordering: boolean
+  /** Whether another order is in progress: concurrent orders could arrive out of order. */
+  orderInProgress: boolean
 }
 
-/** Why no order is due; undefined where one is. */
-export function findNotDue(signs: DueSigns): OrderResult.NotYet | OrderResult.Current | undefined {
-  if (!signs.configurationKnown)
+/** Returns why no order is due; undefined if one is. */
+export function findNotDueReason(inputs: OrderDueInputs): OrderResult.NotYet | OrderResult.Current | undefined {
+  if (!inputs.configurationKnown)
     return OrderResult.NotYet
-  if (signs.fence === undefined || signs.fence <= signs.appliedFence)
+  if (inputs.fence === undefined || inputs.fence <= inputs.appliedFence)
     return OrderResult.Current
-  return signs.ordering ? OrderResult.NotYet : undefined
+  return inputs.orderInProgress ? OrderResult.NotYet : undefined
 }
 
-/** Why the weights forbid an order; undefined where they exist. */
-export function findWeightsHindrance(weights: WeightState): OrderResult.WeightsAbsent | OrderResult.WeightsUnknown | undefined {
+/** Returns why an order must not be sent because of its weights; undefined if they exist. */
+export function findWeightsRefusal(weights: WeightState): OrderResult.WeightsAbsent | OrderResult.WeightsUnknown | undefined {
   switch (weights) {
     case WeightState.Present:
       return undefined
@@ -71,24 +71,24 @@
   }
 }
 
-/** What is known just before an order is sent. */
-export interface SendSigns {
-  /** Whether the backend server refuses old fences itself, so that no confirmation is needed. */
+/** Inputs of the decision whether an order may be sent. */
+export interface OrderSendInputs {
+  /** Whether the backend server rejects old fences itself, so that no confirmation is needed. */
   checksOrders: boolean
-  /** Whether the log has just confirmed that the configuration is the newest. */
+  /** Whether the log has just confirmed that the configuration is the latest. */
   confirmed: boolean
-  /** Milliseconds since the log was asked. */
+  /** Time since the confirmation was requested. */
   confirmationAgeMs: number
   fence: number
-  /** Fence of the placement in the configuration as of now. */
-  newestFence: number | undefined
+  /** Fence of the placement in the current configuration. */
+  latestFence: number | undefined
 }
 
-/** Why an order must not be sent; undefined where it may. */
-export function findSendHindrance(signs: SendSigns): OrderResult.NotConfirmed | OrderResult.NotYet | undefined {
-  if (!signs.checksOrders && !signs.confirmed)
+/** Returns why an order must not be sent; undefined if it may. */
+export function findSendRefusal(inputs: OrderSendInputs): OrderResult.NotConfirmed | OrderResult.NotYet | undefined {
+  if (!inputs.checksOrders && !inputs.confirmed)
     return OrderResult.NotConfirmed
-  if (signs.confirmationAgeMs > MAX_CONFIRMATION_AGE_MS)
+  if (inputs.confirmationAgeMs > MAX_CONFIRMATION_AGE_MS)
     return OrderResult.NotConfirmed
-  return signs.newestFence !== undefined && signs.newestFence > signs.fence ? OrderResult.NotYet : undefined
+  return inputs.latestFence !== undefined && inputs.latestFence > inputs.fence ? OrderResult.NotYet : undefined
 }
--- a/packages/daemon/src/process/side/reply-stream.ts
+++ b/packages/daemon/src/process/side/reply-stream.ts
@@ -1,13 +1,13 @@
 /**
- * Turns a stage call that reports tokens by a listener into the messages of a
- * streamed call. Holds tokens that the peer has not read yet; they are lost
- * with the stream, while the call itself goes on and its reply stays in the
- * stage table, where the entry may ask again.
+ * Converts a stage call that reports tokens to a listener into the messages of a
+ * streamed call. Buffers tokens that the peer has not read yet. If the stream is
+ * cut they are lost, but the call continues, and its reply stays in the stage
+ * table, where the entry can query it.
  */
 import type { LinkTokenListener } from '../../connection/link-call.js'
 import type { StageReply, StreamMessage } from '../../connection/messages.js'
 
-/** Streams the tokens of a call, then its one reply. */
+/** Streams the tokens of a call, followed by its reply. */
 export async function* streamReply(run: (onToken: LinkTokenListener) => Promise<StageReply>): AsyncIterable<StreamMessage> {
   const messages: StreamMessage[] = []
   let wake = (): void => {}
--- a/packages/daemon/src/process/side/side-configuration.ts
+++ b/packages/daemon/src/process/side/side-configuration.ts
@@ -1,23 +1,24 @@
 /**
- * A side's knowledge of the newest configuration. Owns whether it is known,
- * for the life of the process: a restarted side learns it again.
+ * Tracks whether a side has the latest configuration. Owns this status for the
+ * lifetime of the process; a restarted side determines it again.
  *
- * Decides when a side may act by its configuration. Inputs: whether the log
- * answered a read in this process life, heartbeats and differences from
- * entries, milliseconds since the start.
- * Rule: known once the log has answered, or once an entry that the log
- * confirmed within its own limit (`MAX_CONFIGURATION_AGE_MS`) holds nothing
- * newer, or once any entry brought a difference and LOG_PATIENCE_MS are over.
- * It stays known: entries bring what is new.
- * Why wait at all: a side that starts by an old configuration orders an old
- * model. Why not for the log alone: while the log is out, sides that restart
- * would take no work.
+ * Decides when a side may act on its configuration. Inputs: whether the log has
+ * answered a read in this process incarnation, heartbeats and differences from
+ * entries, and the time since the start.
+ * Rule: known once the log has responded; once an entry has nothing newer and
+ * had its own configuration confirmed by the log within
+ * MAX_CONFIGURATION_AGE_MS; or once any entry has sent a difference and
+ * PEER_FALLBACK_DELAY_MS have passed. It stays known, because entries send later
+ * changes.
+ * Why wait at all: a side that starts with an old configuration would order an
+ * old model. Why not wait for the log alone: during an outage of the log,
+ * restarted sides would accept no work.
  * Log event: `configuration-known` (offset).
  */
 import type { Heartbeat } from '../../connection/messages.js'
 import type { Configuration, ConfigurationDifference } from '../../version/configuration.js'
 import type { LogClient } from '../../version/log.js'
-import type { NewestConfiguration } from './order-keeper.js'
+import type { ConfigurationStatus } from './placement-reconciler.js'
 import { createLogger, formatError, wait } from '@eidermast/common'
 import { foldPage } from '../../version/fold-page.js'
 import { ConfigurationFollower } from '../../version/follower.js'
@@ -26,20 +27,20 @@
 const log = createLogger('process')
 
 /**
- * Milliseconds for which a starting side waits for the log before an entry's
- * difference is enough. Half may pass before a loaded log has
- * answered once, twice keeps a backend server out of work for longer while the
- * log is out.
+ * How long a starting side waits for the log before a difference from an entry
+ * is enough. Half of it can pass before a loaded log responds at all; a higher
+ * value keeps a backend server out of service for longer during an outage of the
+ * log.
  */
-const LOG_PATIENCE_MS = 3000
-/** Milliseconds between looks while the configuration is not known. It only delays the start. */
-const LEARN_POLL_MS = 20
+const PEER_FALLBACK_DELAY_MS = 3000
+/** Poll interval until the configuration is known; affects only the startup delay. */
+const LOAD_POLL_MS = 20
 
-/** One side's knowledge of the configuration. */
-export class SideConfiguration implements NewestConfiguration {
+/** Configuration status of one side. */
+export class SideConfiguration implements ConfigurationStatus {
   private known = false
-  /** Whether an entry brought a difference in this process life. */
-  private heardFromPeer = false
+  /** Whether an entry has sent a difference in this process incarnation. */
+  private receivedFromPeer = false
 
   constructor(
     private readonly sideName: string,
@@ -51,32 +52,32 @@
     return this.known
   }
 
-  /** An entry that the log has just confirmed, and whose configuration is not newer, vouches for this one. */
-  noteHeartbeat(heartbeat: Heartbeat): void {
+  /** An entry with a fresh configuration that is not newer than the local one confirms the local one. */
+  handleHeartbeat(heartbeat: Heartbeat): void {
     if (heartbeat.fresh && heartbeat.offset <= this.configuration.offset)
       this.known = true
   }
 
-  /** Applies what an entry brought; returns the offset now held. */
+  /** Applies a difference from an entry and returns the new offset. */
   apply(difference: ConfigurationDifference): number {
     this.configuration.apply(difference)
-    this.heardFromPeer = true
+    this.receivedFromPeer = true
     return this.configuration.offset
   }
 
   /** Reads the log until the configuration is known, or until the signal aborts. */
-  async learn(signal: AbortSignal): Promise<void> {
-    const reading = new AbortController()
+  async loadUntilKnown(signal: AbortSignal): Promise<void> {
+    const readAbort = new AbortController()
     const follower = new ConfigurationFollower(this.logClient, this.configuration)
-    const stopReading = (): void => reading.abort()
+    const stopReading = (): void => readAbort.abort()
     signal.addEventListener('abort', stopReading)
-    void follower.run(reading.signal)
+    void follower.run(readAbort.signal)
     const startedAt = performance.now()
     while (!signal.aborted && !this.known) {
-      const waited = performance.now() - startedAt > LOG_PATIENCE_MS
-      if (follower.hasRead || (this.heardFromPeer && waited))
+      const fallbackAllowed = performance.now() - startedAt > PEER_FALLBACK_DELAY_MS
+      if (follower.hasRead || (this.receivedFromPeer && fallbackAllowed))
         this.known = true
-      await wait(LEARN_POLL_MS, signal)
+      await wait(LOAD_POLL_MS, signal)
     }
     stopReading()
     signal.removeEventListener('abort', stopReading)
@@ -84,16 +85,16 @@
       log('configuration-known', { name: this.sideName, offset: this.configuration.offset })
   }
 
-  /** Reads the log once; false where it does not answer or held newer records, which are taken over. */
-  async confirmNewest(): Promise<boolean> {
+  /** Reads the log once; resolves to false if it does not respond or has newer records, which are applied. */
+  async confirmLatest(): Promise<boolean> {
     const from = this.configuration.offset + 1
     const page = await readConfigurationStream(this.logClient, from)
     if (page.isErr()) {
       log('order-not-confirmed', { name: this.sideName, error: formatError(page.error) })
       return false
     }
-    const isNewest = page.value.nextOffset <= from
+    const isLatest = page.value.nextOffset <= from
     foldPage(this.configuration, page.value)
-    return isNewest
+    return isLatest
   }
 }
--- a/packages/daemon/src/process/side/side-service.ts
+++ b/packages/daemon/src/process/side/side-peer-service.ts
@@ -1,7 +1,6 @@
 /**
- * What a side answers to other processes: stage calls, questions for their
- * results, heartbeats and configuration from entries, and operators'
- * questions. Keeps no state of its own.
+ * Implements the peer API of a side: stage calls, result queries, heartbeats and
+ * configuration differences from entries, and operator queries. Stateless.
  */
 import type {
   CancelReply,
@@ -20,34 +19,34 @@
 import type { Placement } from '../../version/placement.js'
 import type { DecisionLog } from '../decision-log.js'
 import type { Settings } from '../settings.js'
-import type { BackendWatch } from './backend-watch.js'
-import type { OrderKeeper } from './order-keeper.js'
+import type { BackendHealthMonitor } from './backend-health-monitor.js'
+import type { PlacementReconciler } from './placement-reconciler.js'
 import type { SideConfiguration } from './side-configuration.js'
 import process from 'node:process'
 import { streamReply } from './reply-stream.js'
 
-/** Parts of the service. */
+/** Dependencies of the service. */
 export interface SidePeerServiceOptions {
   identity: Settings['process']
   incarnation: string
   configuration: Configuration
-  newest: SideConfiguration
-  orders: OrderKeeper
-  watch: BackendWatch
+  sideConfiguration: SideConfiguration
+  reconciler: PlacementReconciler
+  healthMonitor: BackendHealthMonitor
   runner: StageRunner
   table: StageTable
   decisions: DecisionLog
 }
 
-/** The service of one side. */
+/** Serves the peers and operators of one side. */
 export class SidePeerService implements SideService {
   constructor(private readonly options: SidePeerServiceOptions) {}
 
   heartbeat(heartbeat: Heartbeat): HeartbeatReply {
-    const { incarnation, identity, configuration, newest, runner, table } = this.options
+    const { incarnation, identity, configuration, sideConfiguration, runner, table } = this.options
     for (const key of heartbeat.acknowledged)
       table.acknowledge(key)
-    newest.noteHeartbeat(heartbeat)
+    sideConfiguration.handleHeartbeat(heartbeat)
     return { incarnation, name: identity.name, offset: configuration.offset, load: runner.load() }
   }
 
@@ -56,21 +55,21 @@
   }
 
   offer(difference: ConfigurationDifference): number {
-    const offset = this.options.newest.apply(difference)
-    void this.options.orders.applyNewest()
+    const offset = this.options.sideConfiguration.apply(difference)
+    void this.options.reconciler.reconcile()
     return offset
   }
 
   status(): ProcessStatus {
-    const { identity, incarnation, configuration, orders, runner, watch } = this.options
+    const { identity, incarnation, configuration, reconciler, runner, healthMonitor } = this.options
     const { name, role, 'failure-domain': failureDomain } = identity
     const { running, queued, draining } = runner.load()
     const detail = [
       { subject: 'running', text: String(running) },
       { subject: 'queued', text: String(queued.high + queued.normal + queued.low) },
       { subject: 'draining', text: String(draining) },
-      { subject: 'backend-instance', text: watch.instance ?? 'unknown' },
-      { subject: 'placement', text: formatPlacement(orders.placement) },
+      { subject: 'backend-instance', text: healthMonitor.instance ?? 'unknown' },
+      { subject: 'placement', text: formatPlacement(reconciler.placement) },
     ]
     return { name, role, incarnation, pid: process.pid, failureDomain, offset: configuration.offset, ready: !draining, detail }
   }
@@ -83,7 +82,7 @@
     return this.options.runner.run(call)
   }
 
-  /** The run goes on when the stream is cut: the entry may ask again. */
+  /** The run continues if the stream is cut, so that the entry can query its result. */
   stream(call: StageCall): AsyncIterable<StreamMessage> {
     return streamReply(onToken => this.options.runner.run(call, onToken))
   }
--- a/packages/daemon/src/process/side/side-state.ts
+++ b/packages/daemon/src/process/side/side-state.ts
@@ -1,13 +1,14 @@
 /**
- * What the stage runner and the status need to know of their side, read from
- * the parts that own it. Owns only whether the process is stopping.
+ * The state of a side as the stage runner and the readiness check need it,
+ * derived from the components that own it. Owns only whether the process is
+ * stopping.
  */
 import type { RefusalReason, StageCall } from '../../connection/messages.js'
 import type { SideState } from '../../request/side/stage-runner.js'
 import type { Configuration } from '../../version/configuration.js'
-import type { BackendWatch } from './backend-watch.js'
-import type { DrainReason, DrainSigns } from './draining.js'
-import type { OrderKeeper } from './order-keeper.js'
+import type { BackendHealthMonitor } from './backend-health-monitor.js'
+import type { DrainInputs, DrainReason } from './draining.js'
+import type { PlacementReconciler } from './placement-reconciler.js'
 import type { SideConfiguration } from './side-configuration.js'
 import { createLogger } from '@eidermast/common'
 import { ObjectKind } from '../../version/objects.js'
@@ -17,17 +18,17 @@
 
 const log = createLogger('process')
 
-/** Parts that know a side's state. */
+/** Dependencies of the state of a side. */
 export interface CurrentSideStateOptions {
   backendName: string
   incarnation: string
   configuration: Configuration
-  newest: SideConfiguration
-  watch: BackendWatch
-  orders: OrderKeeper
+  sideConfiguration: SideConfiguration
+  healthMonitor: BackendHealthMonitor
+  reconciler: PlacementReconciler
 }
 
-/** The state of one side as of now. */
+/** Current state of one side. */
 export class CurrentSideState implements SideState {
   /** Whether the process was asked to stop. */
   stopping = false
@@ -48,23 +49,23 @@
   }
 
   get backendLeaving(): boolean {
-    const { orderedIn, configurationKnown, backendDraining } = this.drainSigns()
+    const { orderedIn, configurationKnown, backendDraining } = this.drainInputs()
     return backendDraining || (configurationKnown && !orderedIn)
   }
 
-  /** Why new work is refused, or undefined while it is taken. */
+  /** Returns why a call is refused; undefined if it is accepted. */
   refusal(call: StageCall): RefusalReason | undefined {
-    const { backendName, configuration, orders } = this.options
+    const { backendName, configuration, reconciler } = this.options
     return findRefusal(call, {
       draining: this.draining,
       backendName,
       role: configuration.get(ObjectKind.Backend, backendName)?.value.role,
       placement: resolvePlacement(configuration, backendName),
-      held: orders.placement,
+      appliedPlacement: reconciler.placement,
     })
   }
 
-  /** Logs why the side drains where that has changed. */
+  /** Logs the drain reason if it has changed since the last call. */
   logDraining(): void {
     const { drainReason: reason } = this
     if (reason === this.loggedReason)
@@ -74,19 +75,19 @@
   }
 
   private get drainReason(): DrainReason | undefined {
-    return findDrainReason(this.drainSigns())
+    return findDrainReason(this.drainInputs())
   }
 
-  private drainSigns(): DrainSigns {
-    const { backendName, configuration, newest, watch, orders } = this.options
+  private drainInputs(): DrainInputs {
+    const { backendName, configuration, sideConfiguration, healthMonitor, reconciler } = this.options
     return {
       stopping: this.stopping,
-      configurationKnown: newest.isKnown,
+      configurationKnown: sideConfiguration.isKnown,
       orderedIn: isOrderedIn(configuration, backendName),
-      backendDraining: watch.draining,
-      backendDown: watch.down,
-      wantsModel: resolvePlacement(configuration, backendName)?.model !== undefined,
-      holdsPlacement: orders.placement !== undefined,
+      backendDraining: healthMonitor.draining,
+      backendDown: healthMonitor.down,
+      requiresModel: resolvePlacement(configuration, backendName)?.model !== undefined,
+      placementApplied: reconciler.placement !== undefined,
     }
   }
 }
--- a/packages/daemon/src/process/side/side.ts
+++ b/packages/daemon/src/process/side/side.ts
@@ -1,8 +1,9 @@
 /**
- * The side role: the only way to one backend server. Builds the parts of a
- * side, wires them and starts and stops them. The queue, the stage results and
- * the fence of the newest order live in this process only: after a crash,
- * entries find their calls lost, and the placement is ordered again.
+ * The side role: a sidecar through which all calls to one backend server go.
+ * Creates, connects, starts and stops the components of a side. The queue, the
+ * stage results and the fence of the latest order exist only in this process:
+ * after a crash, entries treat their calls as lost, and the placement is ordered
+ * again.
  */
 import type { Daemon, DaemonAddresses } from '../daemon.js'
 import type { OperationsSource } from '../operations.js'
@@ -23,21 +24,21 @@
 import { SideMetrics } from '../metrics.js'
 import { createOperationsListener } from '../operations.js'
 import { createQueue } from '../policies.js'
-import { BackendWatch } from './backend-watch.js'
-import { OrderKeeper } from './order-keeper.js'
+import { BackendHealthMonitor } from './backend-health-monitor.js'
+import { PlacementReconciler } from './placement-reconciler.js'
 import { SideConfiguration } from './side-configuration.js'
-import { SidePeerService } from './side-service.js'
+import { SidePeerService } from './side-peer-service.js'
 import { CurrentSideState } from './side-state.js'
 import { HttpWeightStore } from './weight-store.js'
 
 const log = createLogger('process')
 
 /**
- * Milliseconds for the last replies to leave before connections close. Half may
- * cut a large reply on a slow link, which the entry then counts as lost; twice
- * only makes a stop longer.
+ * Time to send the last replies before connections are closed. Half of it may
+ * cut off a large reply on a slow link, which the entry then treats as lost; a
+ * higher value only prolongs a stop.
  */
-const FLUSH_MS = 200
+const REPLY_FLUSH_MS = 200
 
 /** A running side. */
 export class Side implements Daemon {
@@ -48,9 +49,9 @@
   private readonly decisions: DecisionLog
   private readonly logClient: HttpLogClient
   private readonly backend: HttpBackendClient
-  private readonly newest: SideConfiguration
-  private readonly orders: OrderKeeper
-  private readonly watch: BackendWatch
+  private readonly sideConfiguration: SideConfiguration
+  private readonly reconciler: PlacementReconciler
+  private readonly healthMonitor: BackendHealthMonitor
   private readonly state: CurrentSideState
   private readonly table: StageTable
   private readonly runner: StageRunner
@@ -65,11 +66,11 @@
     this.decisions = new DecisionLog(identity.name)
     this.logClient = new HttpLogClient({ url: platform.log, timeoutMs: platform['log-timeout-ms'] })
     this.backend = new HttpBackendClient(sideSettings.backend, sideSettings.slots)
-    this.newest = new SideConfiguration(identity.name, configuration, this.logClient)
-    this.orders = this.createOrderKeeper()
-    this.watch = this.createWatch(sideSettings['load-interval-ms'])
-    const { newest, watch, orders } = this
-    this.state = new CurrentSideState({ backendName: identity.name, incarnation, configuration, newest, watch, orders })
+    this.sideConfiguration = new SideConfiguration(identity.name, configuration, this.logClient)
+    this.reconciler = this.createReconciler()
+    this.healthMonitor = this.createHealthMonitor(sideSettings['load-interval-ms'])
+    const { sideConfiguration, healthMonitor, reconciler } = this
+    this.state = new CurrentSideState({ backendName: identity.name, incarnation, configuration, sideConfiguration, healthMonitor, reconciler })
     this.table = new StageTable({
       entries: sideSettings['result-memory-entries'],
       bytes: sideSettings['result-memory-bytes'],
@@ -77,11 +78,11 @@
     })
     this.runner = this.createRunner(sideSettings)
     const { runner, table, decisions } = this
-    const service = new SidePeerService({ identity, incarnation, configuration, newest, orders, watch, runner, table, decisions })
+    const service = new SidePeerService({ identity, incarnation, configuration, sideConfiguration, reconciler, healthMonitor, runner, table, decisions })
     peerServer.serve(createSideRouter(service), createOperationsListener(this.createOperations()))
   }
 
-  /** Starts a side; it listens when this returns. Rejects where its port cannot be listened on. */
+  /** Starts a side and resolves once it is listening; rejects if it cannot listen on its port. */
   static async start(settings: Settings): Promise<Side> {
     const { host, key, 'peer-port': port } = settings.process
     const side = new Side(settings, settings.side!, await PeerServer.listen({ host, key, port }))
@@ -94,14 +95,14 @@
     return { role, name, incarnation: this.incarnation, pid: process.pid, peer: this.peerServer.address }
   }
 
-  /** Refuses new work, finishes what is in flight, waits for entries to read the replies, and closes. */
+  /** Refuses new work, waits for work in flight to finish and for entries to read the replies, then closes. */
   async stop(): Promise<void> {
     const { process: identity, peers } = this.settings
     log('stopping', { name: identity.name, unfinished: this.table.unfinished })
     this.state.stopping = true
     this.state.logDraining()
     await waitUntilIdle(() => this.runner.idle, identity['stop-timeout-ms'])
-    await wait(peers['greet-interval-ms'] + FLUSH_MS)
+    await wait(peers['greet-interval-ms'] + REPLY_FLUSH_MS)
     this.stopping.abort()
     await this.peerServer.close()
     await this.backend.close()
@@ -109,20 +110,20 @@
     log('stopped', { name: identity.name })
   }
 
-  private createOrderKeeper(): OrderKeeper {
+  private createReconciler(): PlacementReconciler {
     const { platform, process: identity } = this.settings
-    return new OrderKeeper({
+    return new PlacementReconciler({
       backendName: identity.name,
       configuration: this.configuration,
-      newest: this.newest,
+      configurationStatus: this.sideConfiguration,
       backend: this.backend,
       weights: new HttpWeightStore(platform['weight-store']),
       metrics: this.metrics,
     })
   }
 
-  private createWatch(intervalMs: number): BackendWatch {
-    return new BackendWatch({
+  private createHealthMonitor(intervalMs: number): BackendHealthMonitor {
+    return new BackendHealthMonitor({
       backendName: this.settings.process.name,
       backend: this.backend,
       intervalMs,
@@ -131,8 +132,8 @@
         this.runner.refuseWaitingIfLeaving()
       },
       onRestart: () => {
-        this.orders.forget()
-        void this.orders.applyNewest()
+        this.reconciler.reset()
+        void this.reconciler.reconcile()
       },
     })
   }
@@ -157,8 +158,8 @@
 
   private runTasks(): void {
     const { signal } = this.stopping
-    void this.newest.learn(signal)
-    void this.orders.run(signal)
-    void this.watch.run(signal)
+    void this.sideConfiguration.loadUntilKnown(signal)
+    void this.reconciler.run(signal)
+    void this.healthMonitor.run(signal)
   }
 }
--- a/packages/daemon/src/process/side/weight-store.ts
+++ b/packages/daemon/src/process/side/weight-store.ts
@@ -1,47 +1,46 @@
 /**
- * The platform's rate-limited weight store. A side asks it whether weights
- * exist before it orders an engine to load them. Keeps no state: each order
- * asks again.
+ * Client of the platform's rate-limited weight store. A side checks that weights
+ * exist before it orders an engine to load them. Stateless: every order checks
+ * again.
  */
 import { createLogger } from '@eidermast/common'
 import { callJson } from '../../connection/json-http.js'
 
 const log = createLogger('placement')
 
-/** What the weight store says of weights. */
+/** Whether weights exist in the weight store. */
 export enum WeightState {
   Present = 'present',
   Absent = 'absent',
-  /** The store is out or over its rate. */
+  /** The store is unavailable or its rate limit is exceeded. */
   Unknown = 'unknown',
 }
 
-/** A client of the weight store. */
 export interface WeightStore {
   find: (model: string, version: string) => Promise<WeightState>
 }
 
-/** Status by which the store says that it has no such weights. */
+/** HTTP status of the store for weights that do not exist. */
 const NOT_FOUND = 404
 
 /**
- * Milliseconds for one question. Half may fail at a store near its rate, twice
- * delays an order by a second more when the store is out.
+ * At half this value, requests may fail when the store is near its rate limit; at
+ * twice, an outage of the store delays an order by another second.
  */
 const FIND_TIMEOUT_MS = 1000
 
-/** The weight store over HTTP. */
+/** Queries the weight store over HTTP. */
 export class HttpWeightStore implements WeightStore {
   constructor(private readonly url: string, private readonly timeoutMs = FIND_TIMEOUT_MS) {}
 
   async find(model: string, version: string): Promise<WeightState> {
     const path = `${encodeURIComponent(model)}/${encodeURIComponent(version)}`
-    const answer = await callJson({ method: 'GET', url: `${this.url}/weights/${path}`, timeoutMs: this.timeoutMs })
-    if (answer.isOk())
+    const response = await callJson({ method: 'GET', url: `${this.url}/weights/${path}`, timeoutMs: this.timeoutMs })
+    if (response.isOk())
       return WeightState.Present
-    if (answer.error.status === NOT_FOUND)
+    if (response.error.status === NOT_FOUND)
       return WeightState.Absent
-    log('weight-store-unreadable', { model, version, error: answer.error.message })
+    log('weight-store-unreadable', { model, version, error: response.error.message })
     return WeightState.Unknown
   }
 }
