--- a/test/promises/leaving.test.ts
+++ b/test/promises/leaving.test.ts
@@ -5,11 +5,11 @@
 import { changeBackend } from '../support/operator.js'
 import { CallerRecord } from '../support/oracle.js'
 
-/** Milliseconds: what "a few seconds" is held to. */
-const FEW_SECONDS_MS = 5000
-const WATCHED_MS = 2000
-const SEND_EVERY_MS = 15
-const LEAVING = 'encoder-1'
+/** Limit that the promise "after a few seconds" is tested against. */
+const MAX_LAST_RUN_DELAY_MS = 5000
+const BASE_OBSERVATION_MS = 2000
+const SEND_INTERVAL_MS = 15
+const LEAVING_BACKEND = 'encoder-1'
 
 let system: RunningSystem
 let client: HttpLogClient
@@ -21,7 +21,7 @@
 })
 
 afterEach(() => system.recover(async () => {
-  await order(BackendOrder.In)
+  await publishOrder(BackendOrder.In)
   await system.setVirtualMachines(system.listedVirtualMachines.map(machine => ({ ...machine, state: 'live' as const })))
 }), 30_000)
 
@@ -30,72 +30,72 @@
   await system.stop()
 })
 
-async function order(wanted: BackendOrder): Promise<void> {
+async function publishOrder(order: BackendOrder): Promise<void> {
   const configuration = await readConfiguration(client)
-  if (configuration!.get(ObjectKind.Backend, LEAVING)!.value.order === wanted)
+  if (configuration!.get(ObjectKind.Backend, LEAVING_BACKEND)!.value.order === order)
     return
-  const publication = await changeBackend(client, LEAVING, { order: wanted })
+  const publication = await changeBackend(client, LEAVING_BACKEND, { order })
   expect(publication.outcome).toBe(PublishOutcome.Accepted)
 }
 
-/** Sends requests to every entry while a backend server leaves; returns when it got its last run, after the leave. */
-async function measureLastRun(leave: () => Promise<void>): Promise<number> {
+/** Sends requests to all entries while a backend server leaves; returns the delay between its leaving and its last run. */
+async function measureLastRunDelay(leave: () => Promise<void>): Promise<number> {
   const record = new CallerRecord()
   const sends: Promise<unknown>[] = []
   const timer = setInterval(() => {
     const url = system.entryUrls[record.requests.length % system.entryUrls.length]
     sends.push(record.send(record.begin('rider-answer', `question ${record.requests.length}`, false), url, { 'eidermast-deadline-ms': '20000' }))
-  }, SEND_EVERY_MS)
-  await expect.poll(() => system.runTimes(LEAVING).length, { timeout: 10_000 }).toBeGreaterThan(5)
+  }, SEND_INTERVAL_MS)
+  await expect.poll(() => system.runTimes(LEAVING_BACKEND).length, { timeout: 10_000 }).toBeGreaterThan(5)
   await leave()
   const leftAt = Date.now()
-  await wait(WATCHED_MS + FEW_SECONDS_MS / 2)
+  await wait(BASE_OBSERVATION_MS + MAX_LAST_RUN_DELAY_MS / 2)
   clearInterval(timer)
   await Promise.all(sends)
   expect(record.violations(system)).toEqual([])
-  const lastRunMs = Math.max(0, system.runTimes(LEAVING).at(-1)! - leftAt)
+  const lastRunDelayMs = Math.max(0, system.runTimes(LEAVING_BACKEND).at(-1)! - leftAt)
   if (process.env.EIDERMAST_SHOW_FAULTS)
-    console.log(`last run ${lastRunMs} ms after the leave; answers ${JSON.stringify(record.summarize())}`)
-  return lastRunMs
+    console.log(`last run ${lastRunDelayMs} ms after leaving; answers ${JSON.stringify(record.summarize())}`)
+  return lastRunDelayMs
 }
 
 describe('a leaving backend server gets no new work after a few seconds', () => {
-  test('by the operators\' order', async () => {
-    expect(await measureLastRun(() => order(BackendOrder.Out))).toBeLessThan(FEW_SECONDS_MS)
+  test('if ordered out by operators', async () => {
+    expect(await measureLastRunDelay(() => publishOrder(BackendOrder.Out))).toBeLessThan(MAX_LAST_RUN_DELAY_MS)
   })
 
-  test('by the operators\' order, with the log out straight after', async () => {
+  test('if ordered out by operators, with an outage of the log directly afterwards', async () => {
     const leave = async (): Promise<void> => {
-      await order(BackendOrder.Out)
+      await publishOrder(BackendOrder.Out)
       await system.setFaults(system.logServiceUrl, { outage: LogOutage.Refuse })
     }
-    expect(await measureLastRun(leave)).toBeLessThan(FEW_SECONDS_MS)
+    expect(await measureLastRunDelay(leave)).toBeLessThan(MAX_LAST_RUN_DELAY_MS)
   })
 
-  test('by the operators\' order, whatever an entry believes that was frozen meanwhile', async () => {
+  test('if ordered out by operators, even from an entry that was frozen meanwhile', async () => {
     const leave = async (): Promise<void> => {
       system.signal('entry-1', 'SIGSTOP')
-      await order(BackendOrder.Out)
+      await publishOrder(BackendOrder.Out)
       await wait(1000)
       system.signal('entry-1', 'SIGCONT')
     }
-    expect(await measureLastRun(leave)).toBeLessThan(FEW_SECONDS_MS)
+    expect(await measureLastRunDelay(leave)).toBeLessThan(MAX_LAST_RUN_DELAY_MS)
   })
 
-  test('by the platform\'s list', async () => {
-    const listed = system.listedVirtualMachines.map(machine => machine.name === LEAVING
+  test('if listed as leaving by the platform', async () => {
+    const listed = system.listedVirtualMachines.map(machine => machine.name === LEAVING_BACKEND
       ? { ...machine, state: 'leaving' as const }
       : machine)
-    expect(await measureLastRun(() => system.setVirtualMachines(listed))).toBeLessThan(FEW_SECONDS_MS)
+    expect(await measureLastRunDelay(() => system.setVirtualMachines(listed))).toBeLessThan(MAX_LAST_RUN_DELAY_MS)
   })
 
-  test('by its side\'s report', async () => {
-    expect(await measureLastRun(async () => system.signal(LEAVING, 'SIGTERM'))).toBeLessThan(FEW_SECONDS_MS)
+  test('if its side reports that it is stopping', async () => {
+    expect(await measureLastRunDelay(async () => system.signal(LEAVING_BACKEND, 'SIGTERM'))).toBeLessThan(MAX_LAST_RUN_DELAY_MS)
   })
 
-  test('by its own report, with the log and the list out', async () => {
+  test('if it reports itself that it is leaving, during an outage of the log and the VM list', async () => {
     await system.setFaults(system.logServiceUrl, { outage: LogOutage.Refuse })
     await system.setFaults(system.virtualMachineListUrl, { out: true })
-    expect(await measureLastRun(async () => system.signal(`${LEAVING}.backend`, 'SIGTERM'))).toBeLessThan(FEW_SECONDS_MS)
+    expect(await measureLastRunDelay(async () => system.signal(`${LEAVING_BACKEND}.backend`, 'SIGTERM'))).toBeLessThan(MAX_LAST_RUN_DELAY_MS)
   })
 })
--- a/test/promises/mixed-faults.test.ts
+++ b/test/promises/mixed-faults.test.ts
@@ -27,7 +27,7 @@
 
 afterAll(() => system.stop())
 
-/** Faults, each placed at random while requests are under way. */
+/** Faults that are injected at random while requests are in flight. */
 enum Fault {
   KillEntry = 'kill-entry',
   KillSide = 'kill-side',
@@ -48,7 +48,7 @@
   readonly record = new CallerRecord()
   private readonly random
   private readonly sends: Promise<unknown>[] = []
-  private readonly placed: string[] = []
+  private readonly injected: string[] = []
 
   constructor(private readonly seed: number) {
     this.random = xoroshiro128plus(seed)
@@ -56,11 +56,11 @@
 
   async run(): Promise<void> {
     for (let step = 0; step < STEPS; step++) {
-      this.sendSome()
-      await this.place(this.pick(Object.values(Fault)))
+      this.sendBatch()
+      await this.inject(this.pickRandom(Object.values(Fault)))
       await wait(STEP_MS)
     }
-    // What is frozen must wake before its callers hear from it.
+    // Frozen processes have to resume before their callers get a response.
     for (const { name, child } of system.processes.values()) {
       if (child.exitCode === null && child.signalCode === null)
         system.signal(name, 'SIGCONT')
@@ -69,42 +69,42 @@
   }
 
   describe(): string {
-    return `seed ${this.seed}, faults ${this.placed.join(', ')}, answers ${JSON.stringify(this.record.summarize())}`
+    return `seed ${this.seed}, faults ${this.injected.join(', ')}, answers ${JSON.stringify(this.record.summarize())}`
   }
 
-  /** New requests, and old ones once more under their ids. */
-  private sendSome(): void {
+  /** Sends new requests and repeats some earlier unrepeatable ones under the same request ids. */
+  private sendBatch(): void {
     for (let index = 0; index < REQUESTS_PER_STEP; index++) {
-      const { name, unrepeatable } = this.pick(PIPELINES)
+      const { name, unrepeatable } = this.pickRandom(PIPELINES)
       const request = this.record.begin(name, `${name} ${this.seed} ${this.record.requests.length}`, unrepeatable)
       this.send(request)
-      if (unrepeatable && this.draw(3) === 0)
+      if (unrepeatable && this.randomBelow(3) === 0)
         this.send(request)
     }
     const old = this.record.requests.filter(request => request.unrepeatable)
     for (let index = 0; index < 3 && old.length > 0; index++)
-      this.send(this.pick(old))
+      this.send(this.pickRandom(old))
   }
 
   private send(request: RecordedRequest): void {
-    this.sends.push(this.record.send(request, this.pick(system.entryUrls), DEADLINE))
+    this.sends.push(this.record.send(request, this.pickRandom(system.entryUrls), DEADLINE))
   }
 
-  private async place(fault: Fault): Promise<void> {
-    this.placed.push(fault)
+  private async inject(fault: Fault): Promise<void> {
+    this.injected.push(fault)
     switch (fault) {
       case Fault.KillEntry:
-        return this.endOne(ProcessKind.Entry)
+        return this.restartOne(ProcessKind.Entry)
       case Fault.KillSide:
-        return this.endOne(ProcessKind.Side)
+        return this.restartOne(ProcessKind.Side)
       case Fault.KillBackend:
-        return this.endOne(ProcessKind.Backend)
+        return this.restartOne(ProcessKind.Backend)
       case Fault.FreezeEntry:
         return this.freezeOne(ProcessKind.Entry)
       case Fault.FreezeSide:
         return this.freezeOne(ProcessKind.Side)
       case Fault.LogOut:
-        return system.setFaults(system.logServiceUrl, { outage: this.pick([LogOutage.Refuse, LogOutage.Hang]) })
+        return system.setFaults(system.logServiceUrl, { outage: this.pickRandom([LogOutage.Refuse, LogOutage.Hang]) })
       case Fault.LogSlow:
         return system.setFaults(system.logServiceUrl, { delayMs: 300 })
       case Fault.LogLosesAcknowledgements:
@@ -122,41 +122,41 @@
     }
   }
 
-  private async endOne(kind: ProcessKind): Promise<void> {
-    const { name } = this.pick(system.list(kind))
+  private async restartOne(kind: ProcessKind): Promise<void> {
+    const { name } = this.pickRandom(system.list(kind))
     await system.end(name, 'SIGKILL')
     await system.restart(name)
   }
 
   private async freezeOne(kind: ProcessKind): Promise<void> {
-    const { name } = this.pick(system.list(kind))
+    const { name } = this.pickRandom(system.list(kind))
     system.signal(name, 'SIGSTOP')
     setTimeout(() => system.signal(name, 'SIGCONT'), STEP_MS * 4)
   }
 
   private async setBackendFaults(faults: object): Promise<void> {
-    await system.setFaults(this.pick(system.list(ProcessKind.Backend)).url!, faults)
+    await system.setFaults(this.pickRandom(system.list(ProcessKind.Backend)).url!, faults)
   }
 
-  private pick<Value>(values: readonly Value[]): Value {
-    return values[this.draw(values.length)]
+  private pickRandom<Value>(values: readonly Value[]): Value {
+    return values[this.randomBelow(values.length)]
   }
 
-  private draw(limit: number): number {
+  private randomBelow(limit: number): number {
     return unsafeUniformIntDistribution(0, limit - 1, this.random)
   }
 }
 
-describe('under mixed faults, one after another and together', () => {
-  test.each([1, 2, 3, 4, 5, 6])('no result is lost, doubled or handed to another, and "not run" means that nothing ran (seed %i)', async (seed) => {
+describe('under mixed faults, sequential and concurrent', () => {
+  test.each([1, 2, 3, 4, 5, 6])('no result is lost, duplicated or returned to another caller, and "not run" means that nothing ran (seed %i)', async (seed) => {
     const run = new FaultRun(seed)
     await run.run()
     await system.recover()
     expect(run.record.violations(system), run.describe()).toEqual([])
-    const silent = run.record.requests.filter(({ answers, broken }) => answers.length + broken === 0)
-    expect(silent, 'every send is answered or its connection broken').toEqual([])
-    const promised = run.record.requests.flatMap(request => request.answers).filter(answer => answer.status !== 200)
-    expect(promised.every(answer => answer.ran !== undefined && Object.values(Ran).includes(answer.ran))).toBe(true)
+    const unanswered = run.record.requests.filter(({ answers, broken }) => answers.length + broken === 0)
+    expect(unanswered, 'every request gets a response or its connection is closed').toEqual([])
+    const errorAnswers = run.record.requests.flatMap(request => request.answers).filter(answer => answer.status !== 200)
+    expect(errorAnswers.every(answer => answer.ran !== undefined && Object.values(Ran).includes(answer.ran))).toBe(true)
     if (process.env.EIDERMAST_SHOW_FAULTS)
       console.log(run.describe())
   }, 60_000)
--- a/test/promises/planned-stop.test.ts
+++ b/test/promises/planned-stop.test.ts
@@ -4,8 +4,8 @@
 import { DEFAULT_ACCOUNT, smallAnswer, streamPipeline } from '../support/caller.js'
 import { CallerRecord } from '../support/oracle.js'
 
-const PROBE_MS = 100
-const CALLERS = 6
+const PROBE_INTERVAL_MS = 100
+const CALLER_COUNT = 6
 const DEADLINE = { 'eidermast-deadline-ms': '20000' }
 
 let system: RunningSystem
@@ -16,11 +16,11 @@
 
 afterAll(() => system.stop())
 
-/** A balancer's view: entries that answered ready at the last probe. */
+/** A load balancer that selects entries that reported ready at the last probe. */
 class Balancer {
   private ready: string[] = []
   private next = 0
-  private readonly timer = setInterval(() => void this.probe(), PROBE_MS)
+  private readonly timer = setInterval(() => void this.probe(), PROBE_INTERVAL_MS)
 
   async probe(): Promise<void> {
     const probes = system.entryUrls.map(async url => await isReady(url) ? [url] : [])
@@ -47,15 +47,15 @@
   }
 }
 
-/** Callers that send one request after another: pipelines, streams and lookups at a plain service. */
+/** Callers that send sequential requests: pipelines, streams and lookups in a plain service. */
 class Callers {
   readonly record = new CallerRecord()
-  readonly faults: string[] = []
+  readonly failures: string[] = []
   private running = true
   private readonly loops: Promise<void>[]
 
   constructor(private readonly balancer: Balancer) {
-    this.loops = Array.from({ length: CALLERS }, (_, index) => this.loop(index))
+    this.loops = Array.from({ length: CALLER_COUNT }, (_, index) => this.loop(index))
   }
 
   async stop(): Promise<void> {
@@ -64,16 +64,16 @@
   }
 
   private async loop(index: number): Promise<void> {
-    const kinds = [() => this.call('rider-answer', false), () => this.call('departure-alert', true), () => this.stream(), () => this.lookUp()]
+    const callFunctions = [() => this.call('rider-answer', false), () => this.call('departure-alert', true), () => this.stream(), () => this.lookUp()]
     while (this.running)
-      await kinds[index % kinds.length]()
+      await callFunctions[index % callFunctions.length]()
   }
 
   private async call(pipeline: string, unrepeatable: boolean): Promise<void> {
     const sent = this.record.begin(pipeline, `${pipeline} ${this.record.requests.length}`, unrepeatable)
     const answer = await this.record.send(sent, this.balancer.pick(), DEADLINE)
     if (answer?.status !== 200)
-      this.faults.push(`${pipeline}: ${JSON.stringify(answer)}`)
+      this.failures.push(`${pipeline}: ${JSON.stringify(answer)}`)
   }
 
   private async stream(): Promise<void> {
@@ -82,10 +82,10 @@
       const response = await streamPipeline({ entryUrl: this.balancer.pick(), pipeline: 'rider-answer', input, headers: DEADLINE })
       const text = await response.body.text()
       if (!text.includes('"whole":true') || !text.includes(smallAnswer('rider-answer', input)))
-        this.faults.push(`stream: ${text.slice(-300)}`)
+        this.failures.push(`stream: ${text.slice(-300)}`)
     }
     catch (error) {
-      this.faults.push(`stream: ${String(error)}`)
+      this.failures.push(`stream: ${String(error)}`)
     }
   }
 
@@ -95,16 +95,16 @@
       const response = await request(url, { headers: { 'eidermast-account': DEFAULT_ACCOUNT, ...DEADLINE } })
       const text = await response.body.text()
       if (response.statusCode !== 200)
-        this.faults.push(`stop lookup: ${text}`)
+        this.failures.push(`stop lookup: ${text}`)
     }
     catch (error) {
-      this.faults.push(`stop lookup: ${String(error)}`)
+      this.failures.push(`stop lookup: ${String(error)}`)
     }
   }
 }
 
 describe('a planned stop', () => {
-  test('of every process in turn, under load, cuts off no request and ends with exit code 0', async () => {
+  test('of each process in turn under load interrupts no request and ends with exit code 0', async () => {
     const balancer = new Balancer()
     await balancer.probe()
     const callers = new Callers(balancer)
@@ -119,11 +119,11 @@
     }
     await callers.stop()
     balancer.close()
-    expect(callers.faults).toEqual([])
+    expect(callers.failures).toEqual([])
     expect(callers.record.violations(system)).toEqual([])
     expect(exitCodes).toEqual(names.map(() => 0))
     expect(callers.record.requests.length).toBeGreaterThan(names.length)
     if (process.env.EIDERMAST_SHOW_FAULTS)
-      console.log(`${names.length} processes replaced, ${callers.record.requests.length} requests beside streams and lookups`)
+      console.log(`${names.length} processes replaced, ${callers.record.requests.length} requests besides streams and lookups`)
   }, 180_000)
 })
--- a/test/promises/starting-entry.test.ts
+++ b/test/promises/starting-entry.test.ts
@@ -1,13 +1,12 @@
 /**
- * What users saw: during a planned replacement of every process, one request
- * was answered 503 "no backend server takes work for one of the stages", while
- * all of them served.
- * Order of events: an entry is replaced; it reads the configuration and says
- * that it is ready; the balancer sends it a request; only then do its links to
- * the sides stand.
- * Cause: readiness asked for the configuration alone.
- * Evidence: of 12 requests sent to a restarted entry as soon as it was ready,
- * 10 got that answer.
+ * Guards against an entry that reports ready before its links to the sides are
+ * established. During a planned replacement of all processes, a request was
+ * answered with 503 "no backend server takes work for one of the stages" although
+ * all backend servers were up: the entry had read the configuration and reported
+ * ready, and the load balancer sent it a request before its links were
+ * established. Readiness depended on the configuration alone. Of 12 requests
+ * that were each sent to a restarted entry as soon as it was ready, 10 failed
+ * this way.
  */
 import { DeploymentName, ProcessKind, resolveDeployment, RunningSystem } from '@eidermast/stand-ins'
 import { request } from 'undici'
@@ -16,8 +15,8 @@
 
 const RESTARTS = 6
 const DEADLINE = { 'eidermast-deadline-ms': '20000' }
-/** Milliseconds, far above a start beside busy processes, below any wait without an end. */
-const READY_WITHIN_MS = 10_000
+/** Well above the startup time on a busy machine, so that only an entry that never becomes ready exceeds it. */
+const READY_TIMEOUT_MS = 10_000
 
 let system: RunningSystem
 const record = new CallerRecord()
@@ -34,21 +33,21 @@
   return response.statusCode === 200
 }
 
-/** Restarts an entry and returns its URL as soon as it says that it is ready. */
+/** Restarts an entry and returns its URL as soon as it reports ready. */
 async function restartUntilReady(name: string): Promise<string> {
   await system.end(name, 'SIGKILL')
   await system.restart(name)
   const url = system.find(name).url!
-  const latest = Date.now() + READY_WITHIN_MS
+  const readyDeadline = Date.now() + READY_TIMEOUT_MS
   while (!await isReady(url)) {
-    if (Date.now() > latest)
-      throw new Error(`${name} is not ready after ${READY_WITHIN_MS} ms`)
+    if (Date.now() > readyDeadline)
+      throw new Error(`${name} did not become ready within ${READY_TIMEOUT_MS} ms`)
   }
   return url
 }
 
-describe('an entry that starts', () => {
-  test('serves the first request that comes after it is ready', async () => {
+describe('a starting entry', () => {
+  test('serves the first request after it reports ready', async () => {
     const { name } = system.list(ProcessKind.Entry)[0]
     const statuses: (number | undefined)[] = []
     for (let restart = 0; restart < RESTARTS; restart++) {
@@ -61,7 +60,7 @@
     expect(record.violations(system)).toEqual([])
   }, 90_000)
 
-  test('becomes ready and serves although one side is frozen', async () => {
+  test('becomes ready and serves requests while one side is frozen', async () => {
     const { name } = system.list(ProcessKind.Entry)[0]
     const frozen = system.list(ProcessKind.Side)[0].name
     system.signal(frozen, 'SIGSTOP')
