--- a/packages/daemon/src/eidermastd.ts
+++ b/packages/daemon/src/eidermastd.ts
@@ -18,9 +18,9 @@
 }
 
 const program = new Command('eidermastd')
-  .description('Eidermast daemon: an entry before callers, or a side beside a backend server')
+  .description('Eidermast daemon: an entry that serves callers, or a side that fronts one backend server')
   .requiredOption('--settings <file>', 'INI file with the settings')
-  .option('--check', 'check the settings and exit: 0 if they are good, 2 if not', false)
+  .option('--check', 'validate the settings and exit: 0 if they are valid, 2 if not', false)
   .exitOverride(error => process.exit(error.exitCode === 0 ? 0 : EXIT_BAD_INPUT))
 
 program.parse()
--- a/packages/daemon/src/process/daemon.ts
+++ b/packages/daemon/src/process/daemon.ts
@@ -4,13 +4,13 @@
 
 /** A running daemon. */
 export interface Daemon {
-  addresses: DaemonAddresses
+  addresses: DaemonInfo
   /** Stops gracefully: lets work in flight finish, for at most the setting `stop-timeout-ms`. */
   stop: () => Promise<void>
 }
 
 /** Identity and listen addresses of a daemon; printed and logged at startup. */
-export interface DaemonAddresses {
+export interface DaemonInfo {
   role: string
   name: string
   incarnation: string
--- a/packages/daemon/src/process/entry/entry.ts
+++ b/packages/daemon/src/process/entry/entry.ts
@@ -5,7 +5,7 @@
  * that a request may have run here, and the configuration is read again.
  */
 import type { Server } from 'node:http'
-import type { Daemon, DaemonAddresses } from '../daemon.js'
+import type { Daemon, DaemonInfo } from '../daemon.js'
 import type { OperationsSource } from '../operations.js'
 import type { Settings } from '../settings.js'
 import type { RequestComponents } from './request-components.js'
@@ -40,7 +40,7 @@
   private readonly incarnation = createIncarnation()
   private readonly configuration = new Configuration()
   private readonly metrics = new EntryMetrics()
-  private readonly stopping = new AbortController()
+  private readonly abortController = new AbortController()
   private readonly logClient: HttpLogClient
   private readonly follower: ConfigurationFollower
   private readonly machines: VirtualMachineList
@@ -95,7 +95,7 @@
     return entry
   }
 
-  get addresses(): DaemonAddresses {
+  get addresses(): DaemonInfo {
     const { name, role } = this.settings.process
     return { role, name, incarnation: this.incarnation, pid: process.pid, peer: this.peerServer.address, caller: this.callerAddress }
   }
@@ -105,7 +105,7 @@
     log('stopping', { name: identity.name, inFlight: this.callerService.inFlight })
     const timeouts = { stopTimeoutMs: identity['stop-timeout-ms'], writeTimeoutMs: entry['write-timeout-ms'] }
     await stopGracefully(this.callerService, this.callerServer, timeouts)
-    this.stopping.abort()
+    this.abortController.abort()
     this.membership.close()
     this.peers.close()
     await this.peerServer.close()
@@ -165,7 +165,7 @@
   }
 
   private runTasks(): void {
-    const { signal } = this.stopping
+    const { signal } = this.abortController
     const retentionMs = this.settings.platform['log-retention-ms']
     void this.follower.run(signal)
     void this.requestComponents.claims.run(signal)
--- a/packages/daemon/src/process/membership/membership.ts
+++ b/packages/daemon/src/process/membership/membership.ts
@@ -1,5 +1,5 @@
 /**
- * The backend servers that an entry knows. Maintains a link to each watched
+ * The backend servers of an entry. Maintains a link to each watched
  * backend server of the configuration and finds those that can execute a stage.
  * Owns the links for the lifetime of the process; after a restart they are
  * recreated from the configuration. `watched-backends` decides which backend
--- a/packages/daemon/src/process/membership/watched-backends.ts
+++ b/packages/daemon/src/process/membership/watched-backends.ts
@@ -30,6 +30,6 @@
 function selectFromPool(pool: UsableObject<Backend>[], entryName: string, watchLimit: number): UsableObject<Backend>[] {
   if (pool.length <= watchLimit)
     return pool
-  const rank = (backend: UsableObject<Backend>): number => rendezvousHash(backend.name, entryName)
-  return pool.sort((left, right) => rank(right) - rank(left)).slice(0, watchLimit)
+  const score = (backend: UsableObject<Backend>): number => rendezvousHash(backend.name, entryName)
+  return pool.sort((left, right) => score(right) - score(left)).slice(0, watchLimit)
 }
--- a/packages/daemon/src/process/side/side.ts
+++ b/packages/daemon/src/process/side/side.ts
@@ -5,7 +5,7 @@
  * after a crash, entries treat their calls as lost, and the placement is ordered
  * again.
  */
-import type { Daemon, DaemonAddresses } from '../daemon.js'
+import type { Daemon, DaemonInfo } from '../daemon.js'
 import type { OperationsSource } from '../operations.js'
 import type { Settings, SideSettings } from '../settings.js'
 import process from 'node:process'
@@ -45,7 +45,7 @@
   private readonly incarnation = createIncarnation()
   private readonly configuration = new Configuration(SIDE_OBJECT_KINDS)
   private readonly metrics = new SideMetrics()
-  private readonly stopping = new AbortController()
+  private readonly abortController = new AbortController()
   private readonly decisions: DecisionLog
   private readonly logClient: HttpLogClient
   private readonly backend: HttpBackendClient
@@ -90,7 +90,7 @@
     return side
   }
 
-  get addresses(): DaemonAddresses {
+  get addresses(): DaemonInfo {
     const { name, role } = this.settings.process
     return { role, name, incarnation: this.incarnation, pid: process.pid, peer: this.peerServer.address }
   }
@@ -103,7 +103,7 @@
     this.state.logDraining()
     await waitUntilIdle(() => this.runner.idle, identity['stop-timeout-ms'])
     await wait(peers['greet-interval-ms'] + REPLY_FLUSH_MS)
-    this.stopping.abort()
+    this.abortController.abort()
     await this.peerServer.close()
     await this.backend.close()
     await this.logClient.close()
@@ -157,7 +157,7 @@
   }
 
   private runTasks(): void {
-    const { signal } = this.stopping
+    const { signal } = this.abortController
     void this.sideConfiguration.loadUntilKnown(signal)
     void this.reconciler.run(signal)
     void this.healthMonitor.run(signal)
