--- a/packages/daemon/src/eidermastd.ts
+++ b/packages/daemon/src/eidermastd.ts
@@ -1,5 +1,5 @@
 /**
- * The daemon's command line.
+ * Command-line entry point of the daemon.
  */
 import process from 'node:process'
 import { formatError, formatFault } from '@eidermast/common'
@@ -7,9 +7,9 @@
 import { runDaemon } from './process/run-daemon.js'
 import { loadSettings } from './process/settings.js'
 
-/** Exit code for faulty settings or arguments. */
+/** Exit code for invalid settings or arguments. */
 const EXIT_BAD_INPUT = 2
-/** Exit code when the daemon could not start. */
+/** Exit code if the daemon fails to start. */
 const EXIT_FAILED = 1
 
 interface DaemonOptions {
@@ -18,9 +18,9 @@
 }
 
 const program = new Command('eidermastd')
-  .description('Eidermast daemon: an entry before callers, or a side beside a backend server')
+  .description('Eidermast daemon: an entry that serves callers, or a side that fronts one backend server')
   .requiredOption('--settings <file>', 'INI file with the settings')
-  .option('--check', 'check the settings and exit: 0 if they are good, 2 if not', false)
+  .option('--check', 'validate the settings and exit: 0 if they are valid, 2 if not', false)
   .exitOverride(error => process.exit(error.exitCode === 0 ? 0 : EXIT_BAD_INPUT))
 
 program.parse()
