--- a/packages/command-line/src/commands/command-context.ts
+++ b/packages/command-line/src/commands/command-context.ts
@@ -3,11 +3,11 @@
  * settings, an operator's connection for the time of the command, its output
  * and help, and the failures that more than one command ends with.
  */
-import type { SettingsFault } from '@eidermast/common'
+import type { SettingsError } from '@eidermast/common'
 import type { Configuration, Publication } from '@eidermast/daemon'
 import type { Command } from 'commander'
 import type { CommandLineSettings } from '../settings.js'
-import { formatFault } from '@eidermast/common'
+import { formatSettingsError } from '@eidermast/common'
 import { CommandFailure, ExitCode, PUBLISH_EXIT_CODES } from '../exit-codes.js'
 import { Operator } from '../operator.js'
 import { loadCommandLineSettings } from '../settings.js'
@@ -55,8 +55,8 @@
 }
 
 /** Ends a command because of faults in a file. */
-export function failWithFaults(faults: SettingsFault[]): never {
-  throw new CommandFailure(ExitCode.BadInput, faults.map(formatFault).join('\n'))
+export function failWithFaults(faults: SettingsError[]): never {
+  throw new CommandFailure(ExitCode.BadInput, faults.map(formatSettingsError).join('\n'))
 }
 
 /** Ends a command because the platform's log does not answer. */
--- a/packages/command-line/src/commands/config-commands.ts
+++ b/packages/command-line/src/commands/config-commands.ts
@@ -2,7 +2,7 @@
  * The command group `config`: check files, show the configuration and its
  * history.
  */
-import type { SettingsFault } from '@eidermast/common'
+import type { SettingsError } from '@eidermast/common'
 import type { Command } from 'commander'
 import type { Result } from 'ts-results-es'
 import type { HistoryLine } from '../configuration-history.js'
@@ -68,7 +68,7 @@
   print(globalOptions(command), { file, faults }, [`${file} is good`])
 }
 
-function findFaults(file: string, kind: CheckedFile): SettingsFault[] {
+function findFaults(file: string, kind: CheckedFile): SettingsError[] {
   switch (kind) {
     case CheckedFile.Daemon:
       return faultsOf(loadSettings(file))
@@ -81,7 +81,7 @@
   }
 }
 
-function faultsOf(result: Result<unknown, SettingsFault[]>): SettingsFault[] {
+function faultsOf(result: Result<unknown, SettingsError[]>): SettingsError[] {
   return result.isErr() ? result.error : []
 }
 
--- a/packages/command-line/src/object-file.ts
+++ b/packages/command-line/src/object-file.ts
@@ -2,7 +2,7 @@
  * Templates and client accounts as operators write them: INI files with the
  * same keys as the settings style, or JSON in the form that `show` prints.
  */
-import type { SettingsFault } from '@eidermast/common'
+import type { SettingsError } from '@eidermast/common'
 import type { ObjectValues } from '@eidermast/daemon'
 import type { Result } from 'ts-results-es'
 import { loadSettingsFile, parseSettingsText } from '@eidermast/common'
@@ -75,7 +75,7 @@
 }
 
 /** Reads and checks an object file; names every fault. */
-export function loadObjectFile<Kind extends FileKind>(kind: Kind, file: string): Result<ObjectValues[Kind], SettingsFault[]> {
+export function loadObjectFile<Kind extends FileKind>(kind: Kind, file: string): Result<ObjectValues[Kind], SettingsError[]> {
   const isJson = file.endsWith('.json')
   return loadSettingsFile(file, (text) => {
     const value = isJson ? Ok(JSON.parse(text) as unknown) : parseSettingsText(text, fileSchemas[kind])
@@ -83,12 +83,12 @@
   })
 }
 
-function checkValue<Kind extends FileKind>(kind: Kind, value: unknown): Result<ObjectValues[Kind], SettingsFault[]> {
+function checkValue<Kind extends FileKind>(kind: Kind, value: unknown): Result<ObjectValues[Kind], SettingsError[]> {
   const checked = objectSchemas[kind].safeParse(value)
   return checked.success ? Ok(checked.data) : Err(describeValueFaults(checked.error))
 }
 
-function describeValueFaults(error: z.ZodError): SettingsFault[] {
+function describeValueFaults(error: z.ZodError): SettingsError[] {
   return error.issues.map(issue => ({
     section: issue.path.slice(0, -1).join('.') || 'file',
     key: String(issue.path.at(-1) ?? '(file)'),
--- a/packages/command-line/src/settings.ts
+++ b/packages/command-line/src/settings.ts
@@ -2,7 +2,7 @@
  * Settings of the command line: an INI file that names the platform, the key
  * and, for load runs, the entries.
  */
-import type { SettingsFault } from '@eidermast/common'
+import type { SettingsError } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
 import { loadSettingsFile, optionalSection, parseSettingsText, textSetting } from '@eidermast/common'
 import * as z from 'zod'
@@ -27,6 +27,6 @@
 export type CommandLineSettings = z.infer<typeof settingsSchema>
 
 /** Reads and checks a settings file; names every fault. */
-export function loadCommandLineSettings(file: string): Result<CommandLineSettings, SettingsFault[]> {
+export function loadCommandLineSettings(file: string): Result<CommandLineSettings, SettingsError[]> {
   return loadSettingsFile(file, text => parseSettingsText(text, settingsSchema))
 }
--- a/packages/common/src/ejection.ts
+++ b/packages/common/src/ejection.ts
@@ -1,53 +1,56 @@
 /**
- * Decides, for each caller of a pool, which of its backend servers get no work
- * for a while, because they fail or are far slower than the pool.
+ * Decides, for each caller of a pool, which backend servers are temporarily
+ * ejected from load balancing because they fail or are much slower than the
+ * rest of the pool (outlier ejection).
  *
- * Inputs: the end of each of this process's own calls (success with its time
- * in ms, failure, or abandoned after a time in ms); the calls under way at a
- * candidate, as of now. Nothing is exchanged with other processes.
- * Rule: a backend server is ejected after MAX_CONSECUTIVE_FAILURES failures in
- * a row, when the moving share of its failures reaches MAX_FAILURE_SHARE, or
- * when its median time exceeds the pool's median by SLOW_FACTOR and
- * SLOW_MARGIN_MS. Each ejection in a row lasts twice as long, up to
- * MAX_EJECTION_MS; after it one call at a time probes, and one success readmits.
- * At most MAX_EJECTED_SHARE of the candidates are ejected at once.
- * Why: health checks alone miss a server that answers them and fails or delays
- * its calls. Slow and abandoned calls are compared with the pool's median
- * instead of a fixed time, because pools differ by orders of magnitude and a
+ * Inputs: the outcome of each of this process's own calls (success with its
+ * duration in ms, failure, or cancellation after a duration in ms); the number
+ * of calls in flight to each candidate, as of now. Nothing is exchanged with
+ * other processes.
+ * Rule: a backend server is ejected after MAX_CONSECUTIVE_FAILURES consecutive
+ * failures, when the moving average of its failure rate reaches
+ * MAX_FAILURE_RATE, or when its median duration exceeds SLOW_FACTOR times the
+ * pool's median plus SLOW_MARGIN_MS. Each consecutive ejection lasts twice as
+ * long as the one before, up to MAX_EJECTION_MS. After that, one call at a time
+ * probes the server, and one success readmits it. At most MAX_EJECTED_FRACTION
+ * of the candidates are ejected at a time.
+ * Why: health checks alone miss a server that answers them but fails or delays
+ * its calls. Slow and cancelled calls are compared with the pool's median
+ * instead of a fixed limit, because pools differ by orders of magnitude and a
  * caller's short deadline says nothing about the server.
  * Log events: `eject`, `readmit` (namespace `eidermast:placement`).
  *
- * State: one record a backend server name, in memory for the life of the
- * process; a restarted process starts with nobody ejected.
+ * State: one record for each backend server name, in memory for the lifetime of
+ * the process; after a restart no server is ejected.
  */
 
+import { DurationWindow, DurationWindowsByKey } from './duration-window.js'
 import { createLogger } from './logger.js'
-import { RecentTimes, RecentTimesByKey } from './recent-times.js'
 
 const log = createLogger('placement')
 
-/** A candidate, as far as ejection looks at it. */
-export interface EjectionSubject {
+/** The properties of a candidate that ejection reads. */
+export interface EjectionCandidate {
   readonly backendName: string
-  /** Calls of this process under way there. */
+  /** Calls from this process in flight to this backend server. */
   readonly outstanding: number
 }
 
-/** A way to eject bad backend servers. */
+/** Strategy that ejects unhealthy backend servers. */
 export interface EjectionPolicy {
-  /** The candidates that should get work; never empty unless the candidates are. */
-  filter: <Subject extends EjectionSubject>(candidates: readonly Subject[]) => Subject[]
-  /** A call ended well; its time is compared with those of its pool. */
-  recordSuccess: (backendName: string, pool: string, milliseconds: number) => void
-  /** A call failed through the backend server's fault. */
+  /** Returns the candidates that may get calls; empty only if there are no candidates. */
+  filter: <Candidate extends EjectionCandidate>(candidates: readonly Candidate[]) => Candidate[]
+  /** Records a successful call and its duration, which is compared with the pool's. */
+  recordSuccess: (backendName: string, pool: string, durationMs: number) => void
+  /** Records a call that failed because of the backend server. */
   recordFailure: (backendName: string) => void
-  /** A call was abandoned by its caller after a time, in milliseconds, without an end. */
-  recordAbandoned: (backendName: string, pool: string, milliseconds: number) => void
+  /** Records a call that its caller cancelled after the given time, before it had completed. */
+  recordCancelled: (backendName: string, pool: string, durationMs: number) => void
 }
 
-/** The baseline, for the setting `ejection = none`: nobody is ejected. */
+/** Ejects no backend server; selected by the setting `ejection = none`. */
 export class NoEjection implements EjectionPolicy {
-  filter<Subject extends EjectionSubject>(candidates: readonly Subject[]): Subject[] {
+  filter<Candidate extends EjectionCandidate>(candidates: readonly Candidate[]): Candidate[] {
     return [...candidates]
   }
 
@@ -55,21 +58,21 @@
 
   recordFailure(): void {}
 
-  recordAbandoned(): void {}
+  recordCancelled(): void {}
 }
 
 interface BackendHealth {
   consecutiveFailures: number
-  /** Moving share of calls that failed, between 0 and 1. */
-  failureShare: number
-  /** Ejections since the backend server was last readmitted. */
+  /** Exponential moving average of the failure rate, between 0 and 1. */
+  failureRate: number
+  /** Number of ejections since the backend server was last readmitted. */
   ejections: number
-  /** Milliseconds of the process clock; 0 while not ejected. */
+  /** Monotonic time in milliseconds; 0 while not ejected. */
   ejectedUntil: number
-  /** Whether its ejection is over and the next call decides. */
+  /** Whether the ejection time is over and the result of the next call decides on readmission. */
   probing: boolean
-  /** Times of its newest successful calls since its last ejection. */
-  times: RecentTimes
+  /** Durations of the most recent successful calls since the last ejection. */
+  durations: DurationWindow
 }
 
 enum EjectionReason {
@@ -77,57 +80,57 @@
   Failing = 'failing',
 }
 
-/** Share of a pool. Half protects the rest less from the sick, twice loads the rest threefold. */
-const MAX_EJECTED_SHARE = 1 / 3
-/** Calls. Half ejects for a single lost connection, twice costs three more failed calls. */
+/** Fraction of a pool. With half, more unhealthy servers stay in use; with twice, the load on the remaining servers triples. */
+const MAX_EJECTED_FRACTION = 1 / 3
+/** With half, a single lost connection causes an ejection; with twice, each ejection costs three more failed calls. */
 const MAX_CONSECUTIVE_FAILURES = 3
-/** Share of calls. Half ejects for a fifth of calls failing, twice leaves only the rule of failures in a row. */
-const MAX_FAILURE_SHARE = 0.4
-/** Weight of the newest call in the moving share. Half looks back over twice the calls, and finds a fault later. */
+/** With half, a failure rate of 20% causes an ejection; with twice, only consecutive failures do. */
+const MAX_FAILURE_RATE = 0.4
+/** Weight of the most recent call in the moving average. With half, the average covers twice as many calls and detects a failure later. */
 const FAILURE_WEIGHT = 0.1
-/** Milliseconds. Half probes a sick server twice as often, twice leaves a recovered one idle for longer. */
+/** With half, an unhealthy server is probed twice as often; with twice, a recovered one stays idle for longer. */
 const FIRST_EJECTION_MS = 1000
-/** Milliseconds. Bounds how long a recovered server stays without work; half doubles the probes of a dead one. */
+/** Limits how long a recovered server gets no calls. With half, a dead server is probed twice as often. */
 const MAX_EJECTION_MS = 30_000
-/** Each ejection in a row lasts this many times as long as the one before. With 1 a dead server would be probed each second. */
+/** Factor by which each consecutive ejection is longer than the one before. With 1, a dead server would be probed every second. */
 const EJECTION_GROWTH = 2
-/** Times the pool's median. Half ejects for ordinary spread between models, twice tolerates an 8 times slower server. */
+/** Multiple of the pool's median. With half, the normal variance between models causes ejections; with twice, a server that is 8 times slower is tolerated. */
 const SLOW_FACTOR = 4
-/** Milliseconds on top, so that pools of very short calls are not ejected for jitter. */
+/** Added to the limit so that jitter does not cause ejections in pools with very short calls. */
 const SLOW_MARGIN_MS = 20
-/** Successful calls of one backend server. Half is misled by one long call, twice finds a slow server later. */
+/** Number of successful calls of a backend server. With half, a single long call distorts the median; with twice, a slow server is detected later. */
 const SLOW_WINDOW = 8
-/** Calls before a median counts. Half judges by two calls, twice needs more than the window holds. */
+/** Number of calls needed for a median. With half, two calls would decide; twice is more than the window holds. */
 const MIN_CALLS_FOR_MEDIAN = 5
 
-/** Ejects on failures in a row, a high share of failures, or times far above the pool's median. */
+/** Ejects after consecutive failures, at a high failure rate, or when durations are far above the pool's median. */
 export class OutlierEjection implements EjectionPolicy {
   private readonly backends = new Map<string, BackendHealth>()
-  private readonly poolTimes = new RecentTimesByKey()
+  private readonly poolDurations = new DurationWindowsByKey()
 
   constructor(private readonly now: () => number = () => performance.now()) {}
 
-  filter<Subject extends EjectionSubject>(candidates: readonly Subject[]): Subject[] {
-    const maxEjected = Math.floor(candidates.length * MAX_EJECTED_SHARE)
-    const kept: Subject[] = []
+  filter<Candidate extends EjectionCandidate>(candidates: readonly Candidate[]): Candidate[] {
+    const maxEjected = Math.floor(candidates.length * MAX_EJECTED_FRACTION)
+    const remaining: Candidate[] = []
     let ejected = 0
     for (const candidate of candidates) {
       if (ejected < maxEjected && this.isEjected(candidate))
         ejected++
       else
-        kept.push(candidate)
+        remaining.push(candidate)
     }
-    return kept
+    return remaining
   }
 
-  recordSuccess(backendName: string, pool: string, milliseconds: number): void {
+  recordSuccess(backendName: string, pool: string, durationMs: number): void {
     const health = this.healthOf(backendName)
-    const poolTimes = this.poolTimes.of(pool)
+    const poolDurations = this.poolDurations.of(pool)
     health.consecutiveFailures = 0
-    health.failureShare *= 1 - FAILURE_WEIGHT
-    poolTimes.add(milliseconds)
-    health.times.add(milliseconds)
-    if (isSlow(health.times, poolTimes))
+    health.failureRate *= 1 - FAILURE_WEIGHT
+    poolDurations.add(durationMs)
+    health.durations.add(durationMs)
+    if (isSlow(health.durations, poolDurations))
       this.eject(backendName, health, EjectionReason.Slow)
     else if (health.probing)
       this.readmit(backendName, health)
@@ -136,21 +139,21 @@
   recordFailure(backendName: string): void {
     const health = this.healthOf(backendName)
     health.consecutiveFailures++
-    health.failureShare = health.failureShare * (1 - FAILURE_WEIGHT) + FAILURE_WEIGHT
-    const failing = health.consecutiveFailures >= MAX_CONSECUTIVE_FAILURES || health.failureShare >= MAX_FAILURE_SHARE
+    health.failureRate = health.failureRate * (1 - FAILURE_WEIGHT) + FAILURE_WEIGHT
+    const failing = health.consecutiveFailures >= MAX_CONSECUTIVE_FAILURES || health.failureRate >= MAX_FAILURE_RATE
     if (health.probing || failing)
       this.eject(backendName, health, EjectionReason.Failing)
   }
 
-  /** A call that ran far longer than its pool's calls do counts as failed, whoever abandoned it. */
-  recordAbandoned(backendName: string, pool: string, milliseconds: number): void {
-    const poolTimes = this.poolTimes.of(pool)
-    if (poolTimes.count >= MIN_CALLS_FOR_MEDIAN && milliseconds > slowLimitMs(poolTimes))
+  /** Counts a cancelled call as failed if it ran far longer than the pool's calls, whatever the reason for the cancellation. */
+  recordCancelled(backendName: string, pool: string, durationMs: number): void {
+    const poolDurations = this.poolDurations.of(pool)
+    if (poolDurations.count >= MIN_CALLS_FOR_MEDIAN && durationMs > slowLimitMs(poolDurations))
       this.recordFailure(backendName)
   }
 
-  /** An ejected backend server gets one call at a time once its time is over. */
-  private isEjected(candidate: EjectionSubject): boolean {
+  /** After its ejection time, a backend server counts as ejected only while a probe is in flight to it. */
+  private isEjected(candidate: EjectionCandidate): boolean {
     const health = this.backends.get(candidate.backendName)
     if (!health || health.ejectedUntil === 0)
       return false
@@ -168,9 +171,9 @@
     health.ejectedUntil = this.now() + milliseconds
     health.probing = false
     health.consecutiveFailures = 0
-    health.failureShare = 0
-    // Old times would eject it again whatever the probe shows.
-    health.times = new RecentTimes(SLOW_WINDOW)
+    health.failureRate = 0
+    // Durations from before the ejection would eject it again whatever the result of the probe.
+    health.durations = new DurationWindow(SLOW_WINDOW)
     log('eject', { backend: backendName, reason, milliseconds })
   }
 
@@ -187,22 +190,22 @@
       return existing
     const created: BackendHealth = {
       consecutiveFailures: 0,
-      failureShare: 0,
+      failureRate: 0,
       ejections: 0,
       ejectedUntil: 0,
       probing: false,
-      times: new RecentTimes(SLOW_WINDOW),
+      durations: new DurationWindow(SLOW_WINDOW),
     }
     this.backends.set(backendName, created)
     return created
   }
 }
 
-function isSlow(times: RecentTimes, poolTimes: RecentTimes): boolean {
-  return times.count >= MIN_CALLS_FOR_MEDIAN && times.median() > slowLimitMs(poolTimes)
+function isSlow(durations: DurationWindow, poolDurations: DurationWindow): boolean {
+  return durations.count >= MIN_CALLS_FOR_MEDIAN && durations.median() > slowLimitMs(poolDurations)
 }
 
-/** Time above which a call is far slower than its pool's, in milliseconds. */
-function slowLimitMs(poolTimes: RecentTimes): number {
-  return poolTimes.median() * SLOW_FACTOR + SLOW_MARGIN_MS
+/** Duration in milliseconds above which a call counts as slow in its pool. */
+function slowLimitMs(poolDurations: DurationWindow): number {
+  return poolDurations.median() * SLOW_FACTOR + SLOW_MARGIN_MS
 }
--- a/packages/common/src/errors.ts
+++ b/packages/common/src/errors.ts
@@ -1,19 +1,20 @@
 /**
- * Decides how a failed request is answered: its HTTP status, what may be said
- * of work that ran, and whether the answer carries a time after which to retry.
+ * Decides how a failed request is answered: its HTTP status, what the response
+ * may state about executed work, and whether it includes a retry delay.
  *
- * Inputs: the error's kind; what its finder knows of work that ran; the time in
- * ms after which a retry is worthwhile, where the finder has an estimate.
- * Rule: one table row a kind. A claim about work that the row does not permit
- * becomes `unknown`; a kind without `retryAfter` carries no time.
- * Why: `none` allows a caller to send an unrepeatable request again, so a kind
- * that is raised after work may have started must not be able to say it by
- * mistake.
- * Log events: the kind and `ran` stand in `answer` (daemon) and in the
- * gateway's line for each answered request.
+ * Inputs: the error kind; what the code that raises the error knows about
+ * executed work; the delay in ms after which a retry is worthwhile, if that
+ * code has an estimate.
+ * Rule: one table row for each kind. A statement about executed work that the
+ * row does not allow becomes `unknown`; a kind without `retryAfter` includes no
+ * delay.
+ * Why: `none` allows a caller to resend an unrepeatable request, so a kind that
+ * is raised after work may have started must not be able to state it by mistake.
+ * Log events: the kind and `ran` are fields of `answer` (daemon) and of the
+ * gateway's log line for each answered request.
  */
 
-/** What of a request ran. `None` is a promise. */
+/** How much of a request was executed. `None` guarantees that nothing was. */
 export enum Ran {
   None = 'none',
   Part = 'part',
@@ -40,7 +41,7 @@
   AccountOverShare = 'account-over-share',
   DeadlineUnreachable = 'deadline-unreachable',
   NoBackend = 'no-backend',
-  /** Requests like it ended the backend servers that ran them. */
+  /** Requests with the same fingerprint crashed the backend servers that ran them. */
   Quarantined = 'quarantined',
   NotReady = 'not-ready',
   Stopping = 'stopping',
@@ -55,9 +56,9 @@
 /** How an error kind is answered. */
 export interface ErrorAnswer {
   status: number
-  /** What may be said of work done with this kind. */
+  /** What the response may state about executed work; the first value is the default. */
   ran: readonly Ran[]
-  /** Whether the answer carries a time after which to retry. */
+  /** Whether the response includes a retry delay. */
   retryAfter: boolean
 }
 
@@ -65,7 +66,7 @@
 const STARTED = [Ran.Part, Ran.Unknown] as const
 const ANY = [Ran.None, Ran.Part, Ran.Unknown] as const
 
-/** The one table from error kind to answer. */
+/** Maps each error kind to its response. */
 export const ERROR_ANSWERS: Readonly<Record<ErrorKind, ErrorAnswer>> = {
   [ErrorKind.InvalidRequest]: { status: 400, ran: NONE, retryAfter: false },
   [ErrorKind.HeadersTooLarge]: { status: 431, ran: NONE, retryAfter: false },
@@ -85,7 +86,7 @@
   [ErrorKind.AccountOverShare]: { status: 429, ran: NONE, retryAfter: true },
   [ErrorKind.DeadlineUnreachable]: { status: 503, ran: ANY, retryAfter: true },
   [ErrorKind.NoBackend]: { status: 503, ran: ANY, retryAfter: true },
-  // It would end the next one too: no time to come back is given.
+  // A retry would crash another backend server, so no retry delay is included.
   [ErrorKind.Quarantined]: { status: 503, ran: NONE, retryAfter: false },
   [ErrorKind.NotReady]: { status: 503, ran: NONE, retryAfter: true },
   [ErrorKind.Stopping]: { status: 503, ran: NONE, retryAfter: true },
@@ -100,27 +101,27 @@
 /** An error as the caller receives it. */
 export interface RequestError {
   kind: ErrorKind
-  /** A sentence that says what to do. */
+  /** A sentence that tells the caller what to do. */
   message: string
   ran: Ran
-  /** Milliseconds after which to retry; kinds without one carry none. */
+  /** Milliseconds after which to retry; absent for kinds without a retry delay. */
   retryAfterMs?: number
 }
 
-/** Milliseconds, where no estimate is known. Half doubles the retries at a full entry, twice delays what would fit. */
+/** Used if there is no estimate. With half, a full entry gets twice as many retries; with twice, requests that would be admitted are delayed. */
 const DEFAULT_RETRY_AFTER_MS = 1000
 
-/** Parts of an error that its kind does not fix. */
+/** Properties of an error that its kind does not determine. */
 export interface ErrorDetails {
   ran?: Ran
   retryAfterMs?: number
 }
 
-/** Creates an error; what it says of work done is held to its kind's row. */
+/** Creates an error; its statement about executed work is limited to what the kind's row allows. */
 export function createError(kind: ErrorKind, message: string, details: ErrorDetails = {}): RequestError {
   const answer = ERROR_ANSWERS[kind]
   const wanted = details.ran ?? answer.ran[0]
-  // A kind that cannot say what was found says what promises nothing.
+  // A statement that the kind does not allow becomes the one that guarantees nothing.
   const ran = answer.ran.includes(wanted) ? wanted : Ran.Unknown
   if (!answer.retryAfter)
     return { kind, message, ran }
--- a/packages/common/src/event-log.ts
+++ b/packages/common/src/event-log.ts
@@ -1,14 +1,14 @@
 /**
- * Structured log lines on standard output: one JSON object a line. Writing
- * never blocks: one write is under way at a time, and lines that exceed the
- * buffer or the rate of their event are counted and dropped. It owns the lines
- * that wait to be written; they are lost when the process dies.
+ * Structured logging to standard output, one JSON object per line. Writing
+ * never blocks: one write is in progress at a time, and lines that exceed the
+ * buffer or their event's rate limit are counted and dropped. Buffered lines are
+ * lost if the process dies.
  */
 import type { LogFields } from './logger.js'
 import { write as writeFile } from 'node:fs'
 import createDebug from 'debug'
 
-/** Takes finished lines. */
+/** Receives formatted lines. */
 export interface LineWriter {
   write: (line: string) => void
 }
@@ -16,19 +16,18 @@
 /** File descriptor of standard output. */
 const STANDARD_OUTPUT = 1
 /**
- * Characters that wait while a write is under way. Half of it drops lines of a
- * burst, twice as much is memory for a reader that hangs.
+ * Characters buffered during a write. With half, lines of a burst are dropped;
+ * twice uses more memory while the reader hangs.
  */
 const MAX_BUFFER_LENGTH = 256 * 1024
-/** Milliseconds over which the lines of an event are counted. */
 const RATE_WINDOW_MS = 1000
 /**
- * Lines of one event in a window. Half of it hides requests of a busy second,
- * twice as much costs processor time in a storm of failures.
+ * Lines per event and window. With half, requests of a busy second are not
+ * logged; twice costs CPU time when many requests fail at once.
  */
 const MAX_LINES_PER_WINDOW = 200
 
-/** Writes lines to a file descriptor without blocking; drops what exceeds its buffer. */
+/** Writes lines to a file descriptor without blocking; drops lines that exceed the buffer. */
 export class DescriptorWriter implements LineWriter {
   private pending = ''
   private writing = false
@@ -62,15 +61,15 @@
       if (!error && written < bytes.length)
         return this.writeRest(bytes.subarray(written))
       this.writing = false
-      // Lines whose write failed are lost: there is no other place to say so. The next line tries again.
+      // Lines of a failed write are lost, since the failure cannot be logged elsewhere. The next line triggers another write.
       if (this.pending !== '' && !error)
         this.flush()
     })
   }
 }
 
-/** Milliseconds of the process clock. */
-function readProcessClock(): number {
+/** Monotonic time in milliseconds. */
+function monotonicNow(): number {
   return performance.now()
 }
 
@@ -80,24 +79,24 @@
   suppressed: number
 }
 
-/** Writes events of one process; each event has a rate of its own. */
+/** Writes the events of one process; each event is rate-limited separately. */
 export class EventLog {
   private readonly rates = new Map<string, EventRate>()
-  /** Events that were asked for, and whether they are written. */
+  /** Caches for each event whether its namespace is enabled. */
   private readonly enabled = new Map<string, boolean>()
 
   constructor(
     private readonly writer: LineWriter,
     private readonly common: LogFields,
     namespaces = 'eidermast:*',
-    private readonly now = readProcessClock,
+    private readonly now = monotonicNow,
   ) {
     createDebug.enable(namespaces)
   }
 
-  /** Writes one line, unless its event is switched off or over its rate. */
+  /** Writes one line, unless its event is disabled or exceeds its rate limit. */
   write(event: string, fields: LogFields = {}): void {
-    if (!this.isEnabled(event) || !this.withinRate(event))
+    if (!this.isEnabled(event) || !this.isWithinRateLimit(event))
       return
     this.writeLine(event, fields)
   }
@@ -115,7 +114,7 @@
     return decided
   }
 
-  private withinRate(event: string): boolean {
+  private isWithinRateLimit(event: string): boolean {
     const rate = this.currentRate(event)
     if (rate.lines >= MAX_LINES_PER_WINDOW) {
       rate.suppressed++
@@ -125,7 +124,7 @@
     return true
   }
 
-  /** The event's rate in the current window; reports what the last window suppressed. */
+  /** Returns the event's counters for the current window; logs how many lines the previous window suppressed. */
   private currentRate(event: string): EventRate {
     const now = this.now()
     const rate = this.rates.get(event) ?? { windowStart: now, lines: 0, suppressed: 0 }
--- a/packages/common/src/index.ts
+++ b/packages/common/src/index.ts
@@ -1,11 +1,12 @@
+export * from './duration-window.js'
 /**
- * What both programs, the adapter and the tools share: errors, ejection, logs,
- * recent times, settings files and waits. It relies on none of them.
+ * Code shared by both programs, the platform adapter and the tools: errors,
+ * outlier ejection, logging, sliding windows of durations, settings files and
+ * time-outs. It depends on none of them.
  */
 export * from './ejection.js'
 export * from './errors.js'
 export * from './event-log.js'
 export * from './logger.js'
-export * from './recent-times.js'
 export * from './settings-file.js'
 export * from './wait.js'
--- a/packages/common/src/logger.ts
+++ b/packages/common/src/logger.ts
@@ -1,10 +1,9 @@
 /**
- * Structured log lines: one line of key=value for each decision, under
+ * Structured debug logging: one line of key=value pairs for each decision, in
  * `debug` namespaces that start with `eidermast:`.
  */
 import createDebug from 'debug'
 
-/** A value that a log field may hold. */
 export type LogValue = string | number | boolean | undefined
 
 /** The fields of one log line. */
@@ -16,24 +15,24 @@
 export type Logger = (event: string, fields?: LogFields) => void
 
 const ROOT_NAMESPACE = 'eidermast'
-/** Numbers are written with three decimals. */
+/** Numbers are rounded to three decimal places. */
 const DECIMAL_SCALE = 1000
 
-/** Creates the logger of one subject, such as `route` or `placement`. */
-export function createLogger(subject: string): Logger {
-  const write = createDebug(`${ROOT_NAMESPACE}:${subject}`)
+/** Creates the logger of one namespace, such as `route` or `placement`. */
+export function createLogger(namespace: string): Logger {
+  const write = createDebug(`${ROOT_NAMESPACE}:${namespace}`)
   return (event, fields = {}) => {
     if (write.enabled)
       write('%s', formatLine(event, fields))
   }
 }
 
-/** Enables log namespaces, in the notation of `debug`. */
+/** Enables log namespaces, in the syntax of the `debug` package. */
 export function enableLogs(namespaces: string): void {
   createDebug.enable(namespaces)
 }
 
-/** Formats one log line; values with white space or quotes are quoted as JSON. */
+/** Formats one log line; empty values and values with white space, quotes or equals signs are quoted as JSON. */
 export function formatLine(event: string, fields: LogFields): string {
   const parts = [`event=${event}`]
   for (const [field, value] of Object.entries(fields)) {
@@ -48,7 +47,7 @@
   return text === '' || /[\s"=]/.test(text) ? JSON.stringify(text) : text
 }
 
-/** Describes any thrown value in one line. */
+/** Formats any thrown value as one line. */
 export function formatError(error: unknown): string {
   if (error instanceof Error) {
     const cause = error.cause instanceof Error ? `: ${error.cause.message}` : ''
--- a/packages/common/src/settings-file.ts
+++ b/packages/common/src/settings-file.ts
@@ -1,8 +1,8 @@
 /**
- * Reads an INI settings file by a schema: the values that settings are made
- * of, and one way from a file to checked settings or to all its faults, each
- * with its section, its key and what is allowed there. Values of secret keys
- * never appear. It holds no state; each program brings its own schema.
+ * Loads an INI settings file and validates it with a schema. The result is
+ * either the settings or a list of all errors, each with its section, its key
+ * and the allowed values. Values of secret keys are never included. Each program
+ * provides its own schema.
  */
 import type { Result } from 'ts-results-es'
 import { readFileSync } from 'node:fs'
@@ -11,61 +11,61 @@
 import * as z from 'zod'
 import { formatError } from './logger.js'
 
-/** One fault of a settings file. */
-export interface SettingsFault {
+/** A validation error of a settings file. */
+export interface SettingsError {
   section: string
   key: string
   value: string
   allowed: string
 }
 
-/** Formats a fault in one line. */
-export function formatFault(fault: SettingsFault): string {
-  return `[${fault.section}] ${fault.key} = ${fault.value}: allowed is ${fault.allowed}`
+/** Formats a validation error as one line. */
+export function formatSettingsError(error: SettingsError): string {
+  return `[${error.section}] ${error.key} = ${error.value}: allowed is ${error.allowed}`
 }
 
-/** The highest port of TCP. */
+/** Highest TCP port number. */
 export const MAX_PORT = 65_535
 
 const INTEGER = /^\d+$/
 const NUMBER = /^\d+(\.\d+)?$/
-/** Keys whose values never appear in messages. */
+/** Keys whose values are never included in messages. */
 const SECRET_KEYS = new Set(['key'])
-/** Section name of keys that stand above the first section. */
+/** Section name in messages for keys before the first section. */
 const TOP_LEVEL = 'top level'
 
-/** A whole number in a range, both ends included, as INI text. */
+/** Schema of an integer in an inclusive range, as INI text. */
 export function integerSetting(minimum: number, maximum: number) {
   return rangeSetting(`a whole number from ${minimum} to ${maximum}`, INTEGER, minimum, maximum)
 }
 
-/** A number in a range, both ends included, as INI text. */
+/** Schema of a number in an inclusive range, as INI text. */
 export function numberSetting(minimum: number, maximum: number) {
   return rangeSetting(`a number from ${minimum} to ${maximum}`, NUMBER, minimum, maximum)
 }
 
-/** A text that matches a pattern; `allowed` is what a fault says about it. */
+/** Schema of a text that matches a pattern; `allowed` describes it in error messages. */
 export function textSetting(allowed: string, pattern = /\S/) {
   return z.string({ error: allowed }).regex(pattern, allowed)
 }
 
-/** A section that may be absent: its defaults are those of an empty one. */
+/** Schema of an optional section; an absent one has the defaults of an empty one. */
 export function optionalSection<Schema extends z.ZodType>(schema: Schema) {
   return z.preprocess(value => value ?? {}, schema)
 }
 
-/** Checks the text of a settings file; the error names every fault. */
-export function parseSettingsText<Settings>(iniText: string, schema: z.ZodType<Settings>): Result<Settings, SettingsFault[]> {
+/** Validates the text of a settings file; the error lists every invalid key and section. */
+export function parseSettingsText<Settings>(iniText: string, schema: z.ZodType<Settings>): Result<Settings, SettingsError[]> {
   const raw: unknown = parseIni(iniText)
   const parsed = schema.safeParse(raw)
-  return parsed.success ? Ok(parsed.data) : Err(describeFaults(parsed.error, raw))
+  return parsed.success ? Ok(parsed.data) : Err(convertSchemaErrors(parsed.error, raw))
 }
 
-/** Reads a settings file and checks its text; a file that cannot be read is a fault of its path. */
+/** Reads a settings file and validates its text; an unreadable file is reported as a validation error of its path. */
 export function loadSettingsFile<Settings>(
   file: string,
-  parse: (iniText: string) => Result<Settings, SettingsFault[]>,
-): Result<Settings, SettingsFault[]> {
+  parse: (iniText: string) => Result<Settings, SettingsError[]>,
+): Result<Settings, SettingsError[]> {
   try {
     return parse(readFileSync(file, 'utf8'))
   }
@@ -82,20 +82,20 @@
     .refine(value => value >= minimum && value <= maximum, allowed)
 }
 
-/** Lists the faults that a schema found in an INI document, key by key. */
-function describeFaults(error: z.ZodError, raw: unknown): SettingsFault[] {
+/** Converts the schema errors of an INI document to one validation error per key. */
+function convertSchemaErrors(error: z.ZodError, raw: unknown): SettingsError[] {
   return error.issues.flatMap((issue) => {
     const path = issue.path.map(String)
     if (issue.code === 'unrecognized_keys')
-      return issue.keys.map(key => describeFault([...path, key], raw, 'no key or section of this name'))
-    const wantsSection = issue.code === 'invalid_type' && (issue.expected === 'object' || issue.expected === 'record')
-    if (wantsSection)
+      return issue.keys.map(key => createSettingsError([...path, key], raw, 'no key or section of this name'))
+    const expectsSection = issue.code === 'invalid_type' && (issue.expected === 'object' || issue.expected === 'record')
+    if (expectsSection)
       return [{ section: path.join('.'), key: '(section)', value: describeValue(raw, path), allowed: `the section [${path.join('.')}]` }]
-    return [describeFault(path, raw, issue.message)]
+    return [createSettingsError(path, raw, issue.message)]
   })
 }
 
-function describeFault(path: string[], raw: unknown, allowed: string): SettingsFault {
+function createSettingsError(path: string[], raw: unknown, allowed: string): SettingsError {
   const section = path.slice(0, -1).join('.') || TOP_LEVEL
   return { section, key: path.at(-1) ?? '(file)', value: describeValue(raw, path), allowed }
 }
--- a/packages/common/src/wait.ts
+++ b/packages/common/src/wait.ts
@@ -1,13 +1,13 @@
 /**
- * Waits that leave no listener behind on signals that live longer. All times
- * are in milliseconds.
+ * Delays and time-outs that remove their listeners from abort signals that
+ * outlive them. All times are in milliseconds.
  */
 
-/** A signal that never aborts, for a wait that only its time ends. */
-export const UNABORTED: AbortSignal = new AbortController().signal
+/** A signal that is never aborted, for waits that end only by their time-out. */
+export const NEVER_ABORTED: AbortSignal = new AbortController().signal
 
-/** Waits for a time, or until one of the signals aborts. */
-export function wait(milliseconds: number, ...signals: AbortSignal[]): Promise<void> {
+/** Resolves after a delay, or as soon as one of the signals is aborted. */
+export function wait(delayMs: number, ...signals: AbortSignal[]): Promise<void> {
   return new Promise((resolve) => {
     if (signals.some(signal => signal.aborted))
       return resolve()
@@ -17,38 +17,38 @@
         signal.removeEventListener('abort', end)
       resolve()
     }
-    const timer = setTimeout(end, milliseconds)
+    const timer = setTimeout(end, delayMs)
     for (const signal of signals)
       signal.addEventListener('abort', end)
   })
 }
 
-/** A signal that aborts after a time or with another signal; released by `dispose`. */
-export interface BoundedSignal {
+/** A signal with a time-out; `dispose` clears its timer and removes its listener. */
+export interface TimeoutSignal {
   signal: AbortSignal
   dispose: () => void
 }
 
-/** Creates a signal that aborts after a time or with another signal. */
-export function createBoundedSignal(milliseconds: number, outer?: AbortSignal): BoundedSignal {
+/** Creates a signal that is aborted after a time-out or together with another signal. */
+export function createTimeoutSignal(timeoutMs: number, parent?: AbortSignal): TimeoutSignal {
   const controller = new AbortController()
   const abort = (): void => controller.abort()
-  const timer = setTimeout(abort, milliseconds)
-  if (outer?.aborted)
+  const timer = setTimeout(abort, timeoutMs)
+  if (parent?.aborted)
     abort()
-  outer?.addEventListener('abort', abort)
+  parent?.addEventListener('abort', abort)
   const dispose = (): void => {
     clearTimeout(timer)
-    outer?.removeEventListener('abort', abort)
+    parent?.removeEventListener('abort', abort)
   }
   return { signal: controller.signal, dispose }
 }
 
 /**
- * A promise's value, or undefined where the time is over or the signal aborts
- * first. The promise must never reject.
+ * Resolves with the promise's value, or with undefined if the time-out elapses or
+ * the signal is aborted first. The promise must never reject.
  */
-export function settleWithin<Value>(promise: Promise<Value>, milliseconds: number, signal: AbortSignal): Promise<Value | undefined> {
+export function settleWithin<Value>(promise: Promise<Value>, timeoutMs: number, signal: AbortSignal): Promise<Value | undefined> {
   return new Promise((resolve) => {
     const end = (value?: Value): void => {
       clearTimeout(timer)
@@ -56,7 +56,7 @@
       resolve(value)
     }
     const onAbort = (): void => end()
-    const timer = setTimeout(end, Math.max(0, milliseconds))
+    const timer = setTimeout(end, Math.max(0, timeoutMs))
     signal.addEventListener('abort', onAbort)
     void promise.then(end)
   })
--- a/packages/daemon/src/connection/json-http.ts
+++ b/packages/daemon/src/connection/json-http.ts
@@ -7,7 +7,7 @@
 import type { Result } from 'ts-results-es'
 import type { Dispatcher } from 'undici'
 import type { CallError } from '../version/call-error.js'
-import { createBoundedSignal, formatError } from '@eidermast/common'
+import { createTimeoutSignal, formatError } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
 import { request } from 'undici'
 import { CallFailure } from '../version/call-error.js'
@@ -32,7 +32,7 @@
 
 /** Calls a JSON endpoint and returns the parsed answer of a 2xx status; undefined where its body is empty. */
 export async function callJson(call: JsonCall): Promise<Result<unknown, CallError>> {
-  const { signal, dispose } = createBoundedSignal(call.timeoutMs, call.signal)
+  const { signal, dispose } = createTimeoutSignal(call.timeoutMs, call.signal)
   try {
     return await sendAndRead(call, signal)
   }
--- a/packages/daemon/src/eidermastd.ts
+++ b/packages/daemon/src/eidermastd.ts
@@ -2,7 +2,7 @@
  * The daemon's command line.
  */
 import process from 'node:process'
-import { formatError, formatFault } from '@eidermast/common'
+import { formatError, formatSettingsError } from '@eidermast/common'
 import { Command } from 'commander'
 import { runDaemon } from './process/run-daemon.js'
 import { loadSettings } from './process/settings.js'
@@ -30,7 +30,7 @@
   const settings = loadSettings(options.settings)
   if (settings.isErr()) {
     for (const fault of settings.error)
-      console.error(formatFault(fault))
+      console.error(formatSettingsError(fault))
     process.exitCode = EXIT_BAD_INPUT
     return
   }
--- a/packages/daemon/src/process/entry/request-intake.ts
+++ b/packages/daemon/src/process/entry/request-intake.ts
@@ -16,7 +16,7 @@
 import type { RequestService } from '../../request/request-service.js'
 import type { Configuration, UsableObject } from '../../version/configuration.js'
 import type { Account } from '../../version/objects.js'
-import { createError, ErrorKind, UNABORTED } from '@eidermast/common'
+import { createError, ErrorKind, NEVER_ABORTED } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
 import { TicketFault } from '../../request/authority/tickets.js'
 import { planPipeline, planService } from '../../request/plan.js'
@@ -110,7 +110,7 @@
       body: request.body,
       arrivedAt: performance.now(),
       // The caller's connection ends at the other entry; the deadline bounds the run.
-      callerGone: UNABORTED,
+      callerGone: NEVER_ABORTED,
     }
   }
 
--- a/packages/daemon/src/process/settings.ts
+++ b/packages/daemon/src/process/settings.ts
@@ -4,7 +4,7 @@
  * keys and values are operators' and keep their forms; `greet-interval-ms` is
  * the interval of heartbeats.
  */
-import type { SettingsFault } from '@eidermast/common'
+import type { SettingsError } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
 import { integerSetting, loadSettingsFile, MAX_PORT, optionalSection, parseSettingsText, textSetting } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
@@ -156,17 +156,17 @@
 export type SideSettings = NonNullable<Settings['side']>
 
 /** Reads and checks a settings file. */
-export function loadSettings(file: string): Result<Settings, SettingsFault[]> {
+export function loadSettings(file: string): Result<Settings, SettingsError[]> {
   return loadSettingsFile(file, parseSettings)
 }
 
 /** Checks the text of a settings file; names every fault. */
-export function parseSettings(iniText: string): Result<Settings, SettingsFault[]> {
+export function parseSettings(iniText: string): Result<Settings, SettingsError[]> {
   return parseSettingsText(iniText, settingsSchema).andThen(checkTogether)
 }
 
 /** Checks what keys of several sections must hold together. */
-function checkTogether(settings: Settings): Result<Settings, SettingsFault[]> {
+function checkTogether(settings: Settings): Result<Settings, SettingsError[]> {
   const { process: { role }, platform, entry, side } = settings
   const claimMemoryMs = entry['claim-memory-ms']
   // A claim that is remembered must still be on the log, or an entry that starts meanwhile does not know of it.
--- a/packages/daemon/src/request/authority/outcome-finder.ts
+++ b/packages/daemon/src/request/authority/outcome-finder.ts
@@ -18,7 +18,7 @@
 import type { Claim } from './claim-records.js'
 import type { ClaimRegistry } from './claims.js'
 import type { Ticket } from './tickets.js'
-import { createError, ErrorKind, settleWithin, UNABORTED } from '@eidermast/common'
+import { createError, ErrorKind, NEVER_ABORTED, settleWithin } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
 import { parseAnswer } from '../../connection/answer.js'
 import { ForwardState } from '../../connection/entry-peers.js'
@@ -68,7 +68,7 @@
     if (known && known.digest !== digest)
       return Err(createError(ErrorKind.RequestIdReused, 'This request id was already used for a different request; generate a new id.'))
     if (known) {
-      const answer = await settleWithin(known.answer, deadlineMs, UNABORTED)
+      const answer = await settleWithin(known.answer, deadlineMs, NEVER_ABORTED)
       const advice = 'get its outcome with GET /v1/requests/{id}.'
       return known.finished ?? answer ?? unknownOutcome(`The request is still running or its answer is no longer stored; ${advice}`)
     }
--- a/packages/daemon/src/request/request-runner.ts
+++ b/packages/daemon/src/request/request-runner.ts
@@ -15,7 +15,7 @@
 import type { StageBudgetPolicy } from './stages/stage-budget.js'
 import type { StageCaller } from './stages/stage-caller.js'
 import type { RequestProgress, StageTask } from './stages/stage-task.js'
-import { createError, ErrorKind, RecentTimesByKey } from '@eidermast/common'
+import { createError, DurationWindowsByKey, ErrorKind } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
 import { remainingMs } from './incoming-request.js'
 import { formatStageInput } from './stages/stage-input.js'
@@ -38,7 +38,7 @@
 
 /** Runs requests at one entry. */
 export class RequestRunner {
-  private readonly times = new RecentTimesByKey()
+  private readonly times = new DurationWindowsByKey()
 
   constructor(private readonly options: RequestRunnerOptions) {}
 
--- a/packages/daemon/src/request/request-service.ts
+++ b/packages/daemon/src/request/request-service.ts
@@ -20,7 +20,7 @@
 import type { RequestMetrics } from './request-metrics.js'
 import type { RequestRunner } from './request-runner.js'
 import type { LinkedBackends } from './stages/linked-backends.js'
-import { createError, ErrorKind, Ran, settleWithin, UNABORTED } from '@eidermast/common'
+import { createError, ErrorKind, NEVER_ABORTED, Ran, settleWithin } from '@eidermast/common'
 import { Err } from 'ts-results-es'
 import { createRequestId, createRequestKey, digestRequest } from '../connection/identity.js'
 import { OutcomeState } from '../connection/messages.js'
@@ -145,7 +145,7 @@
     }
     const { plan } = incoming
     // The only run of an unrepeatable request continues without its caller, which may get the answer later.
-    const callerGone = plan.unrepeatable ? UNABORTED : incoming.callerGone
+    const callerGone = plan.unrepeatable ? NEVER_ABORTED : incoming.callerGone
     const answer = await runner.run({ ...incoming, callerGone }, requestId)
     outcomes.finish(outcome, answer)
     // A failed repeatable request may be sent again with the same id.
--- a/packages/daemon/src/request/side/service-times.ts
+++ b/packages/daemon/src/request/side/service-times.ts
@@ -3,14 +3,14 @@
  * restarted side has no samples and expects 0.
  */
 import type { StageCall } from '../../connection/messages.js'
-import { RecentTimesByKey } from '@eidermast/common'
+import { DurationWindowsByKey } from '@eidermast/common'
 
 /** Key for the times of all calls; cannot collide with the key of a call. */
 const ALL_CALLS = ''
 
 /** Recent service times of one side, in milliseconds. */
 export class ServiceTimes {
-  private readonly times = new RecentTimesByKey()
+  private readonly times = new DurationWindowsByKey()
 
   /** Adds the service time of a successful call. */
   add(call: StageCall, serviceMs: number): void {
--- a/packages/daemon/src/request/stages/stage-caller.ts
+++ b/packages/daemon/src/request/stages/stage-caller.ts
@@ -161,7 +161,7 @@
     const { backendName } = attempt.backend
     // A call that was cancelled with its request says nothing about the backend server unless it had run far too long.
     if (task.signal.aborted)
-      this.options.ejection.recordAbandoned(backendName, task.stage.service, performance.now() - attempt.startedAt)
+      this.options.ejection.recordCancelled(backendName, task.stage.service, performance.now() - attempt.startedAt)
     else
       this.options.ejection.recordFailure(backendName)
   }
--- a/packages/gateway/src/connection/peers/peer-router.ts
+++ b/packages/gateway/src/connection/peers/peer-router.ts
@@ -8,7 +8,7 @@
 import type { ListedBackends } from '../backends/backend.js'
 import type { Heartbeat, HeartbeatReply, PreparationReplyMessage } from './peer-messages.js'
 import type { PreparationFailure, PreparationRequest, PreparedInputs } from './preparation.js'
-import { UNABORTED } from '@eidermast/common'
+import { NEVER_ABORTED } from '@eidermast/common'
 import { initTRPC } from '@trpc/server'
 import * as z from 'zod'
 import { encodeHeartbeatReply, encodeListedBackends, encodePreparationReply, heartbeatSchema, preparationRequestSchema } from './peer-messages.js'
@@ -36,7 +36,7 @@
     configuration: trpc.procedure.query(() => service.configuration() ?? null),
     backends: trpc.procedure.query(() => encodeListedBackends(service.backends())),
     prepare: trpc.procedure.input(preparationRequestSchema).mutation(async ({ input, signal }): Promise<PreparationReplyMessage> => {
-      const result = await service.prepare(input, signal ?? UNABORTED)
+      const result = await service.prepare(input, signal ?? NEVER_ABORTED)
       return encodePreparationReply(result)
     }),
     release: trpc.procedure.input(z.array(z.string())).mutation(({ input }) => service.release(input)),
--- a/packages/gateway/src/process/gateway-settings.ts
+++ b/packages/gateway/src/process/gateway-settings.ts
@@ -4,7 +4,7 @@
  * are read once at start-up. The section `[platform]` is validated by the
  * platform's adapter with its own schema.
  */
-import type { SettingsFault } from '@eidermast/common'
+import type { SettingsError } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
 import { loadSettingsFile, MAX_PORT, numberSetting, optionalSection, parseSettingsText, textSetting } from '@eidermast/common'
 import * as z from 'zod'
@@ -64,11 +64,11 @@
 export type GatewaySettings = z.infer<typeof settingsSchema>
 
 /** Parses and validates the text of a settings file; reports every fault. */
-export function parseGatewaySettings(iniText: string): Result<GatewaySettings, SettingsFault[]> {
+export function parseGatewaySettings(iniText: string): Result<GatewaySettings, SettingsError[]> {
   return parseSettingsText(iniText, settingsSchema)
 }
 
 /** Reads, parses and validates a settings file. */
-export function loadGatewaySettings(file: string): Result<GatewaySettings, SettingsFault[]> {
+export function loadGatewaySettings(file: string): Result<GatewaySettings, SettingsError[]> {
   return loadSettingsFile(file, parseGatewaySettings)
 }
--- a/packages/gateway/src/process/stages/pool/stage-calls.ts
+++ b/packages/gateway/src/process/stages/pool/stage-calls.ts
@@ -12,7 +12,7 @@
 import type { StagePoolDependencies } from './pool-dependencies.js'
 import type { PoolItem } from './pool-task.js'
 import type { TaskQueue } from './task-queue.js'
-import { createBoundedSignal, wait } from '@eidermast/common'
+import { createTimeoutSignal, wait } from '@eidermast/common'
 import { ItemFailure, StageCallEnd } from '../../../connection/backends/stage-client.js'
 import { logBackendPaused, logStageCall } from '../stage-log.js'
 import { callTimeoutMs } from './call-timeout.js'
@@ -51,7 +51,7 @@
     backend.startCall(items.length, resultBytesOf(items), startedAt)
     const timeoutMs = callTimeoutMs(backend.expectedCallMs(items.length))
     const fetchTimer = this.startFetchTimer(items, limits, startedAt)
-    const timeout = createBoundedSignal(timeoutMs)
+    const timeout = createTimeoutSignal(timeoutMs)
     const result = await this.dependencies.client.run(backend.backend, items.map(item => describeItem(item, startedAt)), timeout.signal)
     timeout.dispose()
     clearTimeout(fetchTimer)
--- a/packages/gateway/src/request/attempts/health-signal.ts
+++ b/packages/gateway/src/request/attempts/health-signal.ts
@@ -59,7 +59,7 @@
     case BackendHealthSignal.Failure:
       return ejection.recordFailure(backend.backendName)
     case BackendHealthSignal.Abandoned:
-      return ejection.recordAbandoned(backend.backendName, backend.service, tookMs)
+      return ejection.recordCancelled(backend.backendName, backend.service, tookMs)
     case BackendHealthSignal.None:
   }
 }
--- a/test/common/ejection.test.ts
+++ b/test/common/ejection.test.ts
@@ -1,24 +1,24 @@
 import { NoEjection, OutlierEjection } from '@eidermast/common'
 import { describe, expect, test } from 'vitest'
 
-describe('ejecting bad backend servers', () => {
+describe('outlier ejection', () => {
   let clock = 0
   const pool = ['a', 'b', 'c'].map(backendName => ({ backendName, outstanding: 0 }))
-  const names = (kept: { backendName: string }[]): string[] => kept.map(subject => subject.backendName)
+  const names = (candidates: { backendName: string }[]): string[] => candidates.map(candidate => candidate.backendName)
 
-  test('ejects after failures in a row, and lets one call probe after a while', () => {
+  test('ejects after consecutive failures, then lets one call at a time probe', () => {
     const ejection = new OutlierEjection(() => clock)
     for (let index = 0; index < 3; index++)
       ejection.recordFailure('b')
     expect(names(ejection.filter(pool))).toEqual(['a', 'c'])
     clock += 1001
     expect(names(ejection.filter(pool))).toEqual(['a', 'b', 'c'])
-    expect(names(ejection.filter(pool.map(subject => ({ ...subject, outstanding: 1 }))))).toEqual(['a', 'c'])
+    expect(names(ejection.filter(pool.map(candidate => ({ ...candidate, outstanding: 1 }))))).toEqual(['a', 'c'])
     ejection.recordSuccess('b', 'pool', 10)
-    expect(names(ejection.filter(pool.map(subject => ({ ...subject, outstanding: 1 }))))).toEqual(['a', 'b', 'c'])
+    expect(names(ejection.filter(pool.map(candidate => ({ ...candidate, outstanding: 1 }))))).toEqual(['a', 'b', 'c'])
   })
 
-  test('ejects a backend server that fails half of its calls', () => {
+  test('ejects a backend server at a failure rate of 50%', () => {
     const ejection = new OutlierEjection(() => clock)
     for (let index = 0; index < 12; index++) {
       ejection.recordFailure('b')
@@ -27,7 +27,7 @@
     expect(names(ejection.filter(pool))).toEqual(['a', 'c'])
   })
 
-  test('ejects a backend server ten times as slow as its pool', () => {
+  test('ejects a backend server that is ten times slower than its pool', () => {
     const ejection = new OutlierEjection(() => clock)
     for (let index = 0; index < 10; index++) {
       for (const name of ['a', 'c'])
@@ -37,25 +37,25 @@
     expect(names(ejection.filter(pool))).toEqual(['a', 'c'])
   })
 
-  test('counts calls that were abandoned after far too long, and no others', () => {
+  test('counts cancelled calls as failed only if they ran far longer than calls of the pool', () => {
     const ejection = new OutlierEjection(() => clock)
     for (let index = 0; index < 5; index++)
       ejection.recordSuccess('a', 'pool', 10)
     for (let index = 0; index < 3; index++) {
-      ejection.recordAbandoned('b', 'pool', 500)
-      ejection.recordAbandoned('c', 'pool', 30)
+      ejection.recordCancelled('b', 'pool', 500)
+      ejection.recordCancelled('c', 'pool', 30)
     }
     expect(names(ejection.filter(pool))).toEqual(['a', 'c'])
   })
 
-  test('never ejects more than a third of a pool, and nobody in the baseline', () => {
+  test('ejects at most a third of a pool, and none with NoEjection', () => {
     const ejection = new OutlierEjection(() => clock)
-    const baseline = new NoEjection()
+    const noEjection = new NoEjection()
     for (const { backendName } of [...pool, ...pool, ...pool]) {
       ejection.recordFailure(backendName)
-      baseline.recordFailure()
+      noEjection.recordFailure()
     }
     expect(ejection.filter(pool)).toHaveLength(2)
-    expect(baseline.filter(pool)).toHaveLength(3)
+    expect(noEjection.filter(pool)).toHaveLength(3)
   })
 })
--- a/test/common/event-log.test.ts
+++ b/test/common/event-log.test.ts
@@ -1,8 +1,8 @@
 import { EventLog } from '@eidermast/common'
 import { describe, expect, test } from 'vitest'
 
-describe('the log', () => {
-  test('bounds the lines of one event and counts what it leaves out', () => {
+describe('event log', () => {
+  test('limits the rate of each event and logs how many lines were dropped', () => {
     const lines: string[] = []
     let now = 0
     const log = new EventLog({ write: line => lines.push(line) }, { process: 'p' }, 'eidermast:*', () => now)
@@ -15,7 +15,7 @@
     expect(JSON.parse(lines.at(-2)!)).toMatchObject({ event: 'log-rate-limited', limited: 'route', count: 800 })
   })
 
-  test('writes only the events that are switched on', () => {
+  test('writes only events whose namespace is enabled', () => {
     const lines: string[] = []
     const log = new EventLog({ write: line => lines.push(line) }, {}, 'eidermast:*,-eidermast:route')
     log.write('route')
--- a/test/process/settings.test.ts
+++ b/test/process/settings.test.ts
@@ -1,4 +1,4 @@
-import { formatFault, formatLine } from '@eidermast/common'
+import { formatLine, formatSettingsError } from '@eidermast/common'
 import { parseSettings } from '@eidermast/daemon'
 import { describe, expect, test } from 'vitest'
 
@@ -20,7 +20,7 @@
 
 function faultsOf(ini: string): string[] {
   const settings = parseSettings(ini)
-  return settings.isErr() ? settings.error.map(formatFault) : []
+  return settings.isErr() ? settings.error.map(formatSettingsError) : []
 }
 
 describe('daemon settings', () => {
