--- a/test/platform/backend-notice.test.ts
+++ b/test/platform/backend-notice.test.ts
@@ -12,11 +12,11 @@
   { header: 'soon', limit: undefined },
   { header: '', limit: undefined },
   { header: 'Infinity', limit: undefined },
-])('a limit header $header names $limit requests a second', ({ header, limit }) => {
+])('limit header $header sets a limit of $limit requests per second', ({ header, limit }) => {
   expect(readNotice(200, { 'server-limit': header }).limitPerSecond).toBe(limit)
 })
 
-test('an answer of another backend server at the address names no limit', () => {
+test('a misdirected response sets no limit', () => {
   expect(readNotice(421, { 'server-limit': '1' }).limitPerSecond).toBeUndefined()
 })
 
@@ -28,7 +28,7 @@
   { status: 503, header: undefined, restMs: undefined },
   { status: 429, header: '3', restMs: undefined },
   { status: 200, header: '3', restMs: undefined },
-])('status $status with Retry-After $header asks for a rest of $restMs ms', ({ status, header, restMs }) => {
+])('status $status with Retry-After $header requests a pause of $restMs ms', ({ status, header, restMs }) => {
   expect(readNotice(status, { 'retry-after': header }).restMs).toBe(restMs)
 })
 
@@ -36,6 +36,6 @@
   { header: '1', isLeaving: true },
   { header: '0', isLeaving: false },
   { header: undefined, isLeaving: false },
-])('a leaving header $header says that it leaves: $isLeaving', ({ header, isLeaving }) => {
+])('leaving header $header is decoded as isLeaving = $isLeaving', ({ header, isLeaving }) => {
   expect(readNotice(200, { 'server-leaving': header }).isLeaving).toBe(isLeaving)
 })
--- a/test/platform/clients-that-leave.test.ts
+++ b/test/platform/clients-that-leave.test.ts
@@ -5,7 +5,7 @@
  */
 import type { ServerResponse } from 'node:http'
 import type { StartedGateway } from './support/in-process-gateway.js'
-import type { SeenRequest } from './support/stand-in-backend.js'
+import type { ReceivedRequest } from './support/stand-in-backend.js'
 import { wait } from '@eidermast/common'
 import { request } from 'undici'
 import { afterEach, beforeEach, describe, expect, test, vi } from 'vitest'
@@ -78,7 +78,7 @@
   await sent
 }
 
-function startStream({ headers }: SeenRequest, response: ServerResponse): void {
+function startStream({ headers }: ReceivedRequest, response: ServerResponse): void {
   response.writeHead(200, { 'Attempt-Id': String(headers['attempt-id']), 'Server-Signature': 'signed', 'Content-Type': 'text/event-stream' })
   response.write('id: 1\ndata: 1\n\n')
 }
--- a/test/platform/crashing-requests.test.ts
+++ b/test/platform/crashing-requests.test.ts
@@ -121,33 +121,33 @@
 describe('a request that crashes every backend server that runs it', () => {
   test('is no longer forwarded by any gateway soon after the third crash', async () => {
     await sendCrashing(CRASHING_MS)
-    expect(pool.ends.length).toBeGreaterThanOrEqual(MAX_CRASHES)
-    expect(pool.sentLaterThan(CONTACT_MS, PATH).length).toBeLessThanOrEqual(MAX_LATE_REQUESTS)
+    expect(pool.crashes.length).toBeGreaterThanOrEqual(MAX_CRASHES)
+    expect(pool.receivedAfterThirdCrash(CONTACT_MS, PATH).length).toBeLessThanOrEqual(MAX_LATE_REQUESTS)
   })
 
   test('is refused immediately as not run, without a request to retry', async () => {
     await crashUntilRefused()
-    const seenBefore = pool.crashingSeen.length
+    const seenBefore = pool.crashingRequests.length
     const answers = await sendCrashing(CRASHING_INTERVAL_MS * GATEWAYS)
     expect(answers).toEqual(answers.map(() => ({ status: 503, retryAfter: undefined })))
-    expect(pool.crashingSeen.length).toBe(seenBefore)
+    expect(pool.crashingRequests.length).toBe(seenBefore)
   })
 
   test('crashes few backend servers during a store outage too, because gateways exchange reports', async () => {
     store.fault = StoreFault.Reset
     await sendCrashing(CONTACT_MS)
     expect(statusesOf(await sendCrashing(CONTACT_MS))).toEqual([503])
-    expect(pool.ends.length).toBeLessThanOrEqual(MAX_CRASHES + MAX_LATE_REQUESTS)
+    expect(pool.crashes.length).toBeLessThanOrEqual(MAX_CRASHES + MAX_LATE_REQUESTS)
   })
 
   test('is refused by gateways that start after all others were lost', async () => {
     await crashUntilRefused()
-    const endedBefore = pool.ends.length
+    const endedBefore = pool.crashes.length
     await Promise.all(gateways.map(({ gateway }) => gateway.close()))
     gateways = [await startGateway('gateway-0', storeAddress), await startGateway('gateway-new', storeAddress)]
     await vi.waitFor(() => expect(gateways.map(({ gateway }) => gateway.crashTracker.quarantined)).toEqual([1, 1]), { timeout: CONTACT_MS })
     expect(statusesOf(await sendCrashing(CRASHING_INTERVAL_MS * 4))).toEqual([503])
-    expect(pool.ends.length).toBe(endedBefore)
+    expect(pool.crashes.length).toBe(endedBefore)
   })
 
   test('does not affect other callers once it is refused, and none of them is refused', async () => {
@@ -167,11 +167,11 @@
     const answers = sendFor(WAVES * WAVE_INTERVAL_MS + CONTACT_MS, OTHER_INTERVAL_MS, () => 'look-up')
     for (let wave = 0; wave < WAVES; wave++) {
       await wait(WAVE_INTERVAL_MS)
-      pool.endSome(POOL_SIZE / 2)
+      pool.crashSome(POOL_SIZE / 2)
     }
     const last = (await answers).slice(-CONTACT_MS / OTHER_INTERVAL_MS / 2)
     clearInterval(checks)
-    expect(pool.ends.length).toBeGreaterThan(POOL_SIZE)
+    expect(pool.crashes.length).toBeGreaterThan(POOL_SIZE)
     expect(refused).toBe(0)
     // A request may be sent only to backend servers that have ended and are still listed.
     expect(last.filter(({ status }) => status === 200).length).toBeGreaterThan(last.length * MIN_SERVED_SHARE)
--- a/test/platform/gateway.test.ts
+++ b/test/platform/gateway.test.ts
@@ -2,7 +2,7 @@
 import { request } from 'undici'
 import { afterEach, beforeEach, describe, expect, test, vi } from 'vitest'
 import { startGateway } from './support/in-process-gateway.js'
-import { answerUnframed, answerWhole, hang, StandInBackend, streamEvents } from './support/stand-in-backend.js'
+import { answerCompletely, answerUnframed, hang, StandInBackend, streamEvents } from './support/stand-in-backend.js'
 import { StandInStore } from './support/stand-in-store.js'
 
 const ROUTE = { Host: 'host.example', TimeoutMs: 4000, TargetLatencyMs: 1000, MaxAttempts: 2 }
@@ -101,7 +101,7 @@
   })
 
   test('that is idempotent gets the backend server\'s own error if there is no other backend server', async () => {
-    backends[0].respond = answerWhole(500)
+    backends[0].respond = answerCompletely(500)
     const response = await send('/plain/x')
     expect(response.statusCode).toBe(500)
     expect(response.headers['server-signature']).toBe('signed')
@@ -184,7 +184,7 @@
     await publish()
     backends[0].respond = async (seen, response) => {
       await new Promise(resolve => setTimeout(resolve, 300))
-      await answerWhole()(seen, response)
+      await answerCompletely()(seen, response)
     }
     const inFlight = send('/plain/x')
     await vi.waitFor(() => expect(backends[0].seen).toHaveLength(1))
--- a/test/platform/gateways.test.ts
+++ b/test/platform/gateways.test.ts
@@ -1,5 +1,5 @@
 import type { StartedGateway } from './support/in-process-gateway.js'
-import type { SeenRequest } from './support/stand-in-backend.js'
+import type { ReceivedRequest } from './support/stand-in-backend.js'
 import { wait } from '@eidermast/common'
 import { request } from 'undici'
 import { afterEach, beforeEach, describe, expect, test, vi } from 'vitest'
@@ -72,7 +72,7 @@
   return request(`${gateway.address}/staged/x`, { method: 'POST', headers, body: 'body' })
 }
 
-function stageCalls(): SeenRequest[] {
+function stageCalls(): ReceivedRequest[] {
   return encoder.seen.filter(seen => seen.path === '/-/stage-run')
 }
 
--- a/test/platform/leaving-backends.test.ts
+++ b/test/platform/leaving-backends.test.ts
@@ -3,7 +3,7 @@
 import { request } from 'undici'
 import { afterEach, beforeEach, describe, expect, test, vi } from 'vitest'
 import { startGateway } from './support/in-process-gateway.js'
-import { answerWhole, StandInBackend } from './support/stand-in-backend.js'
+import { answerCompletely, StandInBackend } from './support/stand-in-backend.js'
 import { StandInStore } from './support/stand-in-store.js'
 
 const SERVER_TOPIC = 'keyed.servers'
@@ -59,7 +59,7 @@
   ])('is rejected immediately when its backend server %s', async (_name, entry) => {
     backend.respond = async (seen, response) => {
       await wait(ANSWER_MS)
-      await answerWhole()(seen, response)
+      await answerCompletely()(seen, response)
     }
     const inFlight = Array.from({ length: CONNECTIONS }, (_, index) => send(`in-flight-${index}`))
     await vi.waitFor(() => expect(backend.seen).toHaveLength(CONNECTIONS))
@@ -76,7 +76,7 @@
 describe('a backend server whose entry is removed', () => {
   test('gets no more work if the store deletes its history but keeps responding', async () => {
     store.put(SERVER_TOPIC, backend.id, undefined)
-    store.dropHistory(SERVER_TOPIC)
+    store.deleteHistory(SERVER_TOPIC)
     await wait(600)
     expect(isUsed()).toBe(false)
   })
--- a/test/platform/store.test.ts
+++ b/test/platform/store.test.ts
@@ -5,118 +5,118 @@
 import { afterEach, beforeEach, describe, expect, test, vi } from 'vitest'
 import { createLog } from '../gateway/support/fakes.js'
 import { StandInStore, StoreFault } from './support/stand-in-store.js'
-import { StoreLine } from './support/store-line.js'
+import { StoreProxy } from './support/store-proxy.js'
 
 const TOPIC = 'keyed.op'
 let store: StandInStore
 let storeAddress: string
 let client: StoreClient
-let ending: AbortController
-let seen: string[]
+let abortController: AbortController
+let received: string[]
 let following: Promise<void>
 
 function follow(options: Pick<TopicSink, 'restMs'> = {}): void {
-  const record = ({ key, value }: KeyedRecord): void => void seen.push(`${key}=${value.toString()}`)
+  const record = ({ key, value }: KeyedRecord): void => void received.push(`${key}=${value.toString()}`)
   const sink = { snapshot: (records: KeyedRecord[]) => records.forEach(record), record, ...options }
-  following = new TopicFollower(client, TOPIC, sink, new PlatformLog(createLog().log)).follow(ending.signal)
+  following = new TopicFollower(client, TOPIC, sink, new PlatformLog(createLog().log)).follow(abortController.signal)
 }
 
-/** Follows the topic, whose first record has been seen when this resolves. */
+/** Writes a record, follows the topic and waits until the record has been delivered. */
 async function followFromFirstRecord(): Promise<void> {
   store.put(TOPIC, 'config', 'one')
   follow()
-  await vi.waitFor(() => expect(seen).toEqual(['config=one']))
+  await vi.waitFor(() => expect(received).toEqual(['config=one']))
 }
 
 beforeEach(async () => {
   store = new StandInStore()
   storeAddress = await store.start()
   client = new StoreClient(storeAddress)
-  ending = new AbortController()
-  seen = []
+  abortController = new AbortController()
+  received = []
   following = Promise.resolve()
 })
 
 afterEach(async () => {
-  ending.abort()
+  abortController.abort()
   await store.stop()
   await following
 })
 
 describe('following a topic', () => {
-  test('starts with the newest record of each key and goes on with each further one', async () => {
+  test('delivers the latest record of each key, then every further record', async () => {
     store.put(TOPIC, 'config', 'one')
     store.put(TOPIC, 'config', 'two')
     follow()
-    await vi.waitFor(() => expect(seen).toEqual(['config=two']))
+    await vi.waitFor(() => expect(received).toEqual(['config=two']))
     store.put(TOPIC, 'config', 'three')
-    await vi.waitFor(() => expect(seen).toEqual(['config=two', 'config=three']))
+    await vi.waitFor(() => expect(received).toEqual(['config=two', 'config=three']))
   })
 
   test.each([
-    ['before its offsets are given out again', 0],
-    ['when its offsets are given out again', 3],
-  ])('begins anew where the store came back from an older copy, %s', async (_when, writes) => {
+    ['before offsets are reused', 0],
+    ['when offsets are reused', 3],
+  ])('starts again if the store was restored from an older snapshot, %s', async (_when, writes) => {
     await followFromFirstRecord()
-    store.keepCopy()
+    store.takeSnapshot()
     for (const value of ['two', 'three', 'four'])
       store.put(TOPIC, 'config', value)
-    await vi.waitFor(() => expect(seen.at(-1)).toBe('config=four'))
-    seen.length = 0
-    store.comeBackFromCopy()
+    await vi.waitFor(() => expect(received.at(-1)).toBe('config=four'))
+    received.length = 0
+    store.restoreSnapshot()
     for (let write = 0; write < writes; write++)
       store.put(TOPIC, `key-${write}`, 'again')
-    await vi.waitFor(() => expect(seen).toContain('config=one'))
-    expect(seen).toEqual(['config=one', ...Array.from({ length: writes }, (_, write) => `key-${write}=again`)])
+    await vi.waitFor(() => expect(received).toContain('config=one'))
+    expect(received).toEqual(['config=one', ...Array.from({ length: writes }, (_, write) => `key-${write}=again`)])
     store.put(TOPIC, 'config', 'five')
-    await vi.waitFor(() => expect(seen.at(-1)).toBe('config=five'))
+    await vi.waitFor(() => expect(received.at(-1)).toBe('config=five'))
   })
 
-  test.each([StoreFault.Busy, StoreFault.Reset, StoreFault.Cut])('resumes after a store that is %s, without a lost or a repeated record', async (fault) => {
+  test.each([StoreFault.Busy, StoreFault.Reset, StoreFault.Truncated])('resumes after the store fault "%s" without losing or repeating a record', async (fault) => {
     await followFromFirstRecord()
     store.fault = fault
     store.put(TOPIC, 'config', 'two')
     await wait(300)
     store.fault = StoreFault.None
     store.put(TOPIC, 'config', 'three')
-    await vi.waitFor(() => expect(seen).toEqual(['config=one', 'config=two', 'config=three']), { timeout: 5000 })
+    await vi.waitFor(() => expect(received).toEqual(['config=one', 'config=two', 'config=three']), { timeout: 5000 })
   })
 
-  test('notices within some seconds that a read was lost by a store that was silent', async () => {
+  test('detects within a few seconds that a hanging store lost a read', async () => {
     await followFromFirstRecord()
-    store.fault = StoreFault.Silent
+    store.fault = StoreFault.Hanging
     await wait(300)
     store.fault = StoreFault.None
     store.put(TOPIC, 'config', 'two')
-    await vi.waitFor(() => expect(seen).toEqual(['config=one', 'config=two']), { timeout: 4500 })
+    await vi.waitFor(() => expect(received).toEqual(['config=one', 'config=two']), { timeout: 4500 })
   })
 
-  test('rests after a read that brought records where the sink asks for it, and misses none', async () => {
+  test('pauses after a read that returned records if the sink requests it, and loses none', async () => {
     follow({ restMs: 400 })
     await vi.waitFor(() => expect(store.calls).toBeGreaterThan(1))
     store.put(TOPIC, 'first', '1')
-    await vi.waitFor(() => expect(seen).toEqual(['first=1']))
+    await vi.waitFor(() => expect(received).toEqual(['first=1']))
     const calls = store.calls
     for (const key of ['second', 'third', 'fourth']) {
       store.put(TOPIC, key, '1')
       await wait(20)
     }
-    await vi.waitFor(() => expect(seen).toHaveLength(4))
+    await vi.waitFor(() => expect(received).toHaveLength(4))
     expect(store.calls - calls).toBeLessThanOrEqual(2)
   })
 
-  test('starts again with the newest records when the history is gone', async () => {
+  test('starts again with the latest records if the history was deleted', async () => {
     await followFromFirstRecord()
     store.fault = StoreFault.Busy
     await wait(250)
     store.put(TOPIC, 'config', 'two')
     store.put(TOPIC, 'config', 'three')
-    store.dropHistory(TOPIC)
+    store.deleteHistory(TOPIC)
     store.fault = StoreFault.None
-    await vi.waitFor(() => expect(seen.at(-1)).toBe('config=three'), { timeout: 5000 })
+    await vi.waitFor(() => expect(received.at(-1)).toBe('config=three'), { timeout: 5000 })
   })
 
-  test('misses nothing that changes between two pages of the newest records, and takes nothing older after newer', async () => {
+  test('delivers changes made between two pages of the latest records, and never an older record after a newer one', async () => {
     store.pageSize = 1
     store.put(TOPIC, 'first', 'one')
     store.put(TOPIC, 'second', 'one')
@@ -130,37 +130,37 @@
       isFirstPage = false
     }
     follow()
-    await vi.waitFor(() => expect(seen).toContain('first=two'))
+    await vi.waitFor(() => expect(received).toContain('first=two'))
     await wait(100)
-    expect(seen).toEqual(['first=one', 'second=three', 'first=two'])
+    expect(received).toEqual(['first=one', 'second=three', 'first=two'])
   })
 
-  test('notices the return of a store that was silent for more than one read within a margin and a pause', async () => {
+  test('detects the recovery of a store that hung for more than one read, within the read margin and a retry delay', async () => {
     await followFromFirstRecord()
-    store.fault = StoreFault.Silent
+    store.fault = StoreFault.Hanging
     await wait(3200)
     store.fault = StoreFault.None
     store.put(TOPIC, 'config', 'two')
     const returnedAt = performance.now()
-    await vi.waitFor(() => expect(seen).toEqual(['config=one', 'config=two']), { timeout: 6000 })
+    await vi.waitFor(() => expect(received).toEqual(['config=one', 'config=two']), { timeout: 6000 })
     expect(performance.now() - returnedAt).toBeLessThan(READ_MARGIN_MS + 800)
   })
 
-  test('opens connections anew after a call that ran out of time: those that were open may be silent too', async () => {
-    const line = new StoreLine(storeAddress)
-    client = new StoreClient(await line.start())
+  test('uses new connections after a call that timed out, because the open ones may be dead too', async () => {
+    const proxy = new StoreProxy(storeAddress)
+    client = new StoreClient(await proxy.start())
     store.put(TOPIC, 'config', 'one')
-    // Reads that end together leave more than one connection open.
+    // Concurrent calls leave more than one connection open.
     await Promise.all([1, 2, 3].map(() => client.newest(TOPIC)))
-    line.silenceOpenConnections()
-    await expect(client.read(TOPIC, 0, ending.signal, 0)).rejects.toThrow('timeout')
+    proxy.stallOpenConnections()
+    await expect(client.read(TOPIC, 0, abortController.signal, 0)).rejects.toThrow('timeout')
     const calledAt = performance.now()
-    expect((await client.read(TOPIC, 0, ending.signal, 0)).records).toHaveLength(1)
+    expect((await client.read(TOPIC, 0, abortController.signal, 0)).records).toHaveLength(1)
     expect(performance.now() - calledAt).toBeLessThan(READ_MARGIN_MS / 2)
-    line.stop()
+    proxy.stop()
   })
 
-  test('seldom calls a store that refuses', async () => {
+  test('limits the rate of calls to a store that rejects them', async () => {
     store.fault = StoreFault.Busy
     follow()
     await wait(1500)
@@ -169,12 +169,12 @@
   })
 })
 
-describe('the wait of a read', () => {
+describe('the maximum wait of a read', () => {
   test.each([
-    ['small sites', 3000, 2000, 2000],
-    ['grown sites', 4000, 3000, 3000],
-    ['a bound that is shorter', 3000, 2000, 500],
-  ])('lets what a lost read hid be in force in time on %s', (_name, contact, configuration, drain) => {
+    ['a small site', 3000, 2000, 2000],
+    ['a grown site', 4000, 3000, 3000],
+    ['a site with a shorter drain bound', 3000, 2000, 500],
+  ])('lets changes that a lost read missed take effect in time on %s', (_name, contact, configuration, drain) => {
     const bounds = { contactMs: contact, configurationMs: configuration, drainMs: drain, evacuationMs: 5000 }
     const toldMs = maxReadWaitMs(bounds, true)
     expect(toldMs).toBeGreaterThanOrEqual(1000)
@@ -184,30 +184,30 @@
     expect(aloneMs + READ_MARGIN_MS + 300).toBeLessThan(Math.max(contact, Math.min(configuration, drain)))
   })
 
-  test('ends the use of entries that went before a gateway is in touch again', () => {
+  test('stops the use of removed entries before the contact bound ends', () => {
     expect(usableAfterReturnMs({ contactMs: 3000, configurationMs: 2000, drainMs: 2000, evacuationMs: 5000 })).toBeLessThan(3000)
   })
 })
 
-describe('the rest after changes', () => {
+describe('the pause after changes', () => {
   const BOUNDS = { contactMs: 5000, configurationMs: 4000, drainMs: 4000, evacuationMs: 5000 }
 
   test.each([
-    ['none at the coordinator, which the others hear', BOUNDS, { isTold: false, count: 70 }, 0],
-    ['a second where there are few gateways', BOUNDS, { isTold: true, count: 4 }, 1000],
-    ['longer the more there are', BOUNDS, { isTold: true, count: 50 }, 1500],
-    ['no longer than half of the time in which a leaving must take effect', BOUNDS, { isTold: true, count: 400 }, 2000],
-    ['a second where that time is short', { ...BOUNDS, drainMs: 1000 }, { isTold: true, count: 400 }, 1000],
-  ])('of the list of backend servers is %s', (_name, bounds, peers, restMs) => {
+    ['zero at the coordinator, which updates the others', BOUNDS, { isTold: false, count: 70 }, 0],
+    ['one second for few gateways', BOUNDS, { isTold: true, count: 4 }, 1000],
+    ['longer for more gateways', BOUNDS, { isTold: true, count: 50 }, 1500],
+    ['at most half of the drain bound', BOUNDS, { isTold: true, count: 400 }, 2000],
+    ['one second if the drain bound is short', { ...BOUNDS, drainMs: 1000 }, { isTold: true, count: 400 }, 1000],
+  ])('of the backend server list is %s', (_name, bounds, peers, restMs) => {
     expect(restAfterChangesMs(bounds, peers)).toBe(restMs)
   })
 
-  test('keeps the calls of all gateways together in bounds, however many there are', () => {
+  test('limits the total call rate of all gateways, whatever their number', () => {
     const callsASecond = (gateways: number): number => gateways * 1000 / restOfDirectoryMs(gateways, 60_000)
     expect([10, 70, 400].map(callsASecond).every(calls => calls < 34)).toBe(true)
   })
 
-  test('of the directory is short while a gateway starts, so that those that start together know each other', () => {
+  test('of the member directory is short while a gateway starts, so that gateways that start together discover each other', () => {
     expect(restOfDirectoryMs(400, 0)).toBe(400)
   })
 })
@@ -215,14 +215,14 @@
 describe('records', () => {
   test.each([
     ['an empty value', 'key', ''],
-    ['a value of many bytes', 'key', 'x'.repeat(70_000)],
-    ['a key that is not ASCII', 'schlüssel', 'value'],
-  ])('are read as they were written, with %s', (_name, key, value) => {
+    ['a large value', 'key', 'x'.repeat(70_000)],
+    ['a non-ASCII key', 'schlüssel', 'value'],
+  ])('are decoded as they were encoded, with %s', (_name, key, value) => {
     const bytes = Buffer.concat([Buffer.alloc(16), encodeRecord({ key, value: Buffer.from(value) })])
     expect(readRecords(bytes).map(record => [record.key, record.value.toString()])).toEqual([[key, value]])
   })
 
-  test.each([1, 3, 6])('that are cut by %i bytes are an error, not a shorter record', (missing) => {
+  test.each([1, 3, 6])('truncated by %i bytes are an error, not a shorter record', (missing) => {
     const bytes = Buffer.concat([Buffer.alloc(16), encodeRecord({ key: 'key', value: Buffer.from('value') })])
     expect(() => readRecords(bytes.subarray(0, bytes.length - missing))).toThrow('truncated record')
   })
--- a/test/platform/support/crashing-pool.ts
+++ b/test/platform/support/crashing-pool.ts
@@ -1,45 +1,44 @@
 /**
- * A pool of stand-in backend servers, each of which ends with its process when
- * it begins to run a certain body, and is replaced after some time under a new
- * id, as the platform does it: the entry of the old one lapses later.
+ * A pool of stand-in backend servers that crash when they execute a request with
+ * a certain body. A crashed one is replaced after some time under a new id, and
+ * its entry expires later, as on the platform.
  */
-import type { SeenRequest } from './stand-in-backend.js'
+import type { ReceivedRequest } from './stand-in-backend.js'
 import type { StandInStore } from './stand-in-store.js'
 import { wait } from '@eidermast/common'
-import { answerWhole, StandInBackend } from './stand-in-backend.js'
+import { answerCompletely, StandInBackend } from './stand-in-backend.js'
 
-/** The body that ends every backend server that runs it. */
+/** Request body that crashes every backend server that executes it. */
 export const CRASHING_BODY = 'crash'
 
 const SERVER_TOPIC = 'keyed.servers'
-/** Milliseconds from the end of a backend server until another one serves in its place. */
+/** Time from a crash until the replacement is available. */
 const RESTART_MS = 2000
-/** Milliseconds until the entry of one that said nothing lapses: three heartbeats of the platform. */
-const LAPSE_MS = 3600
+/** Time from a crash until the entry expires: three heartbeat intervals of the platform. */
+const ENTRY_EXPIRY_MS = 3600
 
-/** What differs between pools. */
 export interface CrashingPoolOptions {
   service: string
   size: number
-  /** Milliseconds of work before an answer, and before a crash. */
+  /** Processing time before a response or a crash. */
   workMs: number
 }
 
-/** The end of a backend server. */
-export interface BackendEnd {
-  /** Milliseconds of the test's clock. */
+/** A crash of a backend server. */
+export interface BackendCrash {
+  /** Monotonic time in milliseconds. */
   at: number
-  /** Path of the request that ended it; absent where none did. */
+  /** Path of the request that caused the crash; absent if none did. */
   path?: string
 }
 
-/** Backend servers of one service that crash and come back. */
+/** Backend servers of one service that crash and are replaced. */
 export class CrashingPool {
-  readonly ends: BackendEnd[] = []
-  /** Requests with the crashing body, as backend servers got them. */
-  readonly crashingSeen: SeenRequest[] = []
-  private readonly alive = new Set<StandInBackend>()
-  private readonly underWay = new Set<Promise<void>>()
+  readonly crashes: BackendCrash[] = []
+  /** Requests with the crashing body that backend servers received. */
+  readonly crashingRequests: ReceivedRequest[] = []
+  private readonly running = new Set<StandInBackend>()
+  private readonly replacements = new Set<Promise<void>>()
   private started = 0
   private stopped = false
 
@@ -47,49 +46,49 @@
 
   async start(): Promise<void> {
     for (let index = 0; index < this.options.size; index++)
-      await this.startOne()
+      await this.startBackend()
   }
 
   async stop(): Promise<void> {
     this.stopped = true
-    await Promise.all(this.underWay)
-    await Promise.all([...this.alive].map(backend => backend.stop()))
+    await Promise.all(this.replacements)
+    await Promise.all([...this.running].map(backend => backend.stop()))
   }
 
-  /** Backend servers end together, without any request being the cause. */
-  endSome(count: number): void {
-    for (const backend of [...this.alive].slice(0, count))
-      this.end(backend)
+  /** Crashes several backend servers at once without a request as the cause. */
+  crashSome(count: number): void {
+    for (const backend of [...this.running].slice(0, count))
+      this.crash(backend)
   }
 
-  private async startOne(): Promise<void> {
+  private async startBackend(): Promise<void> {
     const { service, workMs } = this.options
     const backend = new StandInBackend(`${service}-${this.started++}`, service)
     backend.respond = async (seen, response) => {
       if (seen.body === CRASHING_BODY)
-        this.crashingSeen.push(seen)
+        this.crashingRequests.push(seen)
       await wait(workMs)
       if (seen.body === CRASHING_BODY)
-        return this.end(backend, seen.path)
-      await answerWhole()(seen, response)
+        return this.crash(backend, seen.path)
+      await answerCompletely()(seen, response)
     }
     await backend.start()
-    this.alive.add(backend)
+    this.running.add(backend)
     this.store.put(SERVER_TOPIC, backend.id, backend.entry())
   }
 
-  /** Requests with the crashing body and this path that came later than a time after the third end under such a request. */
-  sentLaterThan(afterThirdMs: number, path: string): SeenRequest[] {
-    const third = this.ends.filter(end => end.path === path)[2]
-    return third ? this.crashingSeen.filter(seen => seen.path === path && seen.at > third.at + afterThirdMs) : []
+  /** Returns the crashing requests with this path that were received more than `afterThirdMs` after the third crash by such a request. */
+  receivedAfterThirdCrash(afterThirdMs: number, path: string): ReceivedRequest[] {
+    const third = this.crashes.filter(crash => crash.path === path)[2]
+    return third ? this.crashingRequests.filter(request => request.path === path && request.at > third.at + afterThirdMs) : []
   }
 
-  private end(backend: StandInBackend, path?: string): void {
-    if (!this.alive.delete(backend))
+  private crash(backend: StandInBackend, path?: string): void {
+    if (!this.running.delete(backend))
       return
-    this.ends.push({ at: performance.now(), path })
-    const replaced = this.replace(backend).finally(() => this.underWay.delete(replaced))
-    this.underWay.add(replaced)
+    this.crashes.push({ at: performance.now(), path })
+    const replacement = this.replace(backend).finally(() => this.replacements.delete(replacement))
+    this.replacements.add(replacement)
   }
 
   private async replace(backend: StandInBackend): Promise<void> {
@@ -98,8 +97,8 @@
       return
     await wait(RESTART_MS)
     if (!this.stopped)
-      await this.startOne()
-    await wait(LAPSE_MS - RESTART_MS)
+      await this.startBackend()
+    await wait(ENTRY_EXPIRY_MS - RESTART_MS)
     this.store.put(SERVER_TOPIC, backend.id, undefined)
   }
 }
--- a/test/platform/support/gateway-settings.ts
+++ b/test/platform/support/gateway-settings.ts
@@ -1,10 +1,9 @@
 /**
- * Settings of gateways under test, with ports that are free.
+ * Creates settings of gateways under test, with free ports.
  */
 import { createServer } from 'node:net'
 import process from 'node:process'
 
-/** Ports of one gateway. */
 export interface GatewayPorts {
   clients: number
   readiness: number
@@ -13,11 +12,11 @@
 }
 
 /**
- * Below the range from which systems take ports for outgoing connections
- * (32768 to 60999 on Linux): a port from there may be taken again between the
- * probe and the gateway's start. Processes that test at the same time take
- * theirs from different blocks, and each takes the next one every time, since a
- * gateway listens some tenths of a second after the probe.
+ * Below the ephemeral port range (32768 to 60999 on Linux), because an ephemeral
+ * port could be taken by an outgoing connection between the check and the
+ * gateway's start. Concurrent test processes use different blocks, and each uses
+ * the next port every time, since a gateway only listens some tenths of a second
+ * after the check.
  */
 const PORT_RANGE = { first: 10_000, blocks: 100, blockSize: 200 }
 const firstPort = PORT_RANGE.first + (process.pid % PORT_RANGE.blocks) * PORT_RANGE.blockSize
@@ -39,21 +38,20 @@
   })
 }
 
-/** Ports that nobody listens on. */
+/** Returns ports that are not in use. */
 export async function freePorts(): Promise<GatewayPorts> {
   const [clients, readiness, peers, metrics] = await Promise.all([freePort(), freePort(), freePort(), freePort()])
   return { clients, readiness, peers, metrics }
 }
 
-/** What differs between gateways. */
 export interface SettingsOptions {
   /** @default zone-a */
   failureDomain?: string
-  /** Further lines of the section `[platform]`. @default none */
+  /** Additional lines of the section `[platform]`. @default none */
   platform?: readonly string[]
 }
 
-/** The text of a settings file. */
+/** Creates the text of a settings file. */
 export function createSettings(name: string, ports: GatewayPorts, storeAddress: string, { failureDomain = 'zone-a', platform = [] }: SettingsOptions = {}): string {
   return [
     '[process]',
--- a/test/platform/support/in-process-gateway.ts
+++ b/test/platform/support/in-process-gateway.ts
@@ -1,12 +1,12 @@
 /**
- * Starts gateways in the process of the test, against a stand-in store.
+ * Starts gateways inside the test process, connected to a stand-in store.
  */
 import { Gateway, parseGatewaySettings } from '@eidermast/gateway'
 import { createAdapter } from '@eidermast/platform'
 import { createLog } from '../../gateway/support/fakes.js'
 import { createSettings, freePorts } from './gateway-settings.js'
 
-/** A gateway and where it listens. */
+/** A started gateway with its addresses. */
 export interface StartedGateway {
   gateway: Gateway
   /** URL for clients. */
@@ -14,7 +14,7 @@
   readiness: string
 }
 
-/** Starts a gateway with ports from the system. */
+/** Starts a gateway on free ports. */
 export async function startGateway(name: string, storeAddress: string): Promise<StartedGateway> {
   const ports = await freePorts()
   const settings = parseGatewaySettings(createSettings(name, ports, storeAddress)).unwrap()
--- a/test/platform/support/notice-pool.ts
+++ b/test/platform/support/notice-pool.ts
@@ -3,10 +3,10 @@
  * each adds headers of the test's choice, and turns requests away. Every request
  * is kept with the gateway that sent it and the answer that it got.
  */
-import type { Respond, SeenRequest } from './stand-in-backend.js'
+import type { ReceivedRequest, RequestHandler } from './stand-in-backend.js'
 import type { StandInStore } from './stand-in-store.js'
 import { wait } from '@eidermast/common'
-import { answerWhole, StandInBackend } from './stand-in-backend.js'
+import { answerCompletely, StandInBackend } from './stand-in-backend.js'
 
 const SERVER_TOPIC = 'keyed.servers'
 const REPORT_PATH = '/-/report'
@@ -19,7 +19,7 @@
 }
 
 /** The gateway that the id of a request names. */
-function senderById(seen: SeenRequest): string {
+function senderById(seen: ReceivedRequest): string {
   return String(seen.headers['attempt-id']).split(NAME_END)[0]
 }
 
@@ -54,10 +54,10 @@
 export interface NoticeBackendOptions {
   /** Milliseconds of work before an answer. @default 0 */
   workMs?: number
-  /** @default answerWhole */
-  respond?: Respond
+  /** @default answerCompletely */
+  respond?: RequestHandler
   /** The gateway that sent a request. @default by the request's id, see `requestIdAt` */
-  senderOf?: (seen: SeenRequest) => string
+  senderOf?: (seen: ReceivedRequest) => string
 }
 
 /** One backend server whose answers carry a notice. */
@@ -69,7 +69,7 @@
   /** Its answers to requests, but not to reports, wait until this is resolved. @default none wait */
   heldUntil: Promise<void> | undefined
 
-  constructor(readonly stand: StandInBackend, { workMs = 0, respond = answerWhole(), senderOf = senderById }: NoticeBackendOptions = {}) {
+  constructor(readonly stand: StandInBackend, { workMs = 0, respond = answerCompletely(), senderOf = senderById }: NoticeBackendOptions = {}) {
     stand.respond = async (seen, response) => {
       const arrival = { gateway: senderOf(seen), requestId: String(seen.headers['attempt-id']), path: seen.path, at: seen.at }
       this.arrivals.push(arrival)
@@ -139,8 +139,8 @@
   size: number
   /** Milliseconds of work before an answer. */
   workMs: number
-  /** @default answerWhole */
-  respond?: Respond
+  /** @default answerCompletely */
+  respond?: RequestHandler
 }
 
 /** Starts backend servers of a service and lists them in the store. */
--- a/test/platform/support/stand-in-backend.ts
+++ b/test/platform/support/stand-in-backend.ts
@@ -1,6 +1,6 @@
 /**
- * A small stand-in for a backend server behind the platform's wire: plain answers
- * and streams of events, with faults that a test decides.
+ * Stand-in for a backend server that uses the platform's protocol: plain responses
+ * and event streams, with injectable faults.
  */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -8,38 +8,38 @@
 import { createServer } from 'node:http'
 import { wait } from '@eidermast/common'
 
-/** One request as the backend server got it. */
-export interface SeenRequest {
+/** A request as received by the backend server. */
+export interface ReceivedRequest {
   method: string
   path: string
   headers: IncomingMessage['headers']
   body: string
-  /** When it came: milliseconds of the test's clock. */
+  /** Monotonic time of arrival in milliseconds. */
   at: number
 }
 
-/** Answers one request. */
-export type Respond = (request: SeenRequest, response: ServerResponse) => void | Promise<void>
+/** Handles a request. */
+export type RequestHandler = (request: ReceivedRequest, response: ServerResponse) => void | Promise<void>
 
-/** The id that an answer echoes; probes carry none. */
-function echoedId(request: SeenRequest): Record<string, string> {
+/** Header with the request's id, which a response echoes; empty for probes, which have no id. */
+function requestIdHeader(request: ReceivedRequest): Record<string, string> {
   const id = request.headers['attempt-id']
   return typeof id === 'string' ? { 'Attempt-Id': id } : {}
 }
 
-/** Answers whole with the backend server's name. */
-export function answerWhole(status = 200): Respond {
+/** Sends a complete response that names the path of the request. */
+export function answerCompletely(status = 200): RequestHandler {
   return (request, response) => {
-    response.writeHead(status, { ...echoedId(request), 'Server-Signature': 'signed' })
+    response.writeHead(status, { ...requestIdHeader(request), 'Server-Signature': 'signed' })
     response.end(`answer to ${request.path}`)
   }
 }
 
-/** Streams events after the one that the request names, and breaks off after some. */
-export function streamEvents(count: number, breakAfter = Number.POSITIVE_INFINITY): Respond {
+/** Streams the events after the request's `Last-Event-Id`, and breaks the connection after event `breakAfter`. */
+export function streamEvents(count: number, breakAfter = Number.POSITIVE_INFINITY): RequestHandler {
   return async (request, response) => {
     const from = Number(request.headers['last-event-id'] ?? 0)
-    response.writeHead(200, { ...echoedId(request), 'Server-Signature': 'signed', 'Content-Type': 'text/event-stream' })
+    response.writeHead(200, { ...requestIdHeader(request), 'Server-Signature': 'signed', 'Content-Type': 'text/event-stream' })
     for (let id = from + 1; id <= count; id++) {
       if (id > breakAfter) {
         response.write(`id: ${id}\nda`)
@@ -53,22 +53,22 @@
   }
 }
 
-/** Answers without a length; the end of the connection ends the answer. */
-export function answerUnframed(body: string): Respond {
+/** Sends a response without a length, which ends when the connection is closed. */
+export function answerUnframed(body: string): RequestHandler {
   return (request, response) => {
     response.socket!.end(`HTTP/1.1 200 OK\r\nAttempt-Id: ${request.headers['attempt-id']}\r\nServer-Signature: signed\r\n\r\n${body}`)
   }
 }
 
-/** Never answers; resolves when its caller has left. */
-export function hang(left: () => void): Respond {
-  return (_, response) => void response.on('close', left)
+/** Never responds; calls back when the connection is closed. */
+export function hang(onClose: () => void): RequestHandler {
+  return (_, response) => void response.on('close', onClose)
 }
 
-/** A backend server on a port of its own. */
+/** Backend server on its own port. */
 export class StandInBackend {
-  readonly seen: SeenRequest[] = []
-  respond: Respond = answerWhole()
+  readonly seen: ReceivedRequest[] = []
+  respond: RequestHandler = answerCompletely()
   private readonly server: Server
 
   constructor(readonly id: string, readonly service: string, readonly failureDomain = 'zone-a') {
@@ -93,7 +93,7 @@
     await new Promise(resolve => this.server.close(resolve))
   }
 
-  /** Its entry in the store; takes the milliseconds for which it is cold. */
+  /** Creates its entry for the store; `coldMs` is the remaining time of its cold start. */
   entry(state = 'ready', coldMs = 0): object {
     return { ColdRemainingMs: coldMs, Service: this.service, Address: `127.0.0.1:${(this.server.address() as AddressInfo).port}`, Zone: this.failureDomain, Capacity: 4, State: state }
   }
--- a/test/platform/support/stand-in-store.ts
+++ b/test/platform/support/stand-in-store.ts
@@ -1,6 +1,6 @@
 /**
- * A small stand-in for the platform's store: keyed topics over HTTP, with
- * faults that a test switches on.
+ * Stand-in for the platform's store: keyed topics over HTTP, with injectable
+ * faults.
  */
 import type { Server, ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -13,35 +13,35 @@
   value: Buffer
 }
 
-/** Ways in which the store fails. */
+/** Faults that tests can inject. */
 export enum StoreFault {
   None = 'none',
   Busy = 'busy',
   Reset = 'reset',
-  Cut = 'cut',
-  /** Takes calls and never answers them, also after the fault is over. */
-  Silent = 'silent',
+  Truncated = 'truncated',
+  /** Accepts calls and never responds to them, even after the fault has ended. */
+  Hanging = 'hanging',
 }
 
-/** Milliseconds for which a read is held where no record waits. */
-const HOLD_MS = 200
+/** Maximum time for which a long-poll read without records is held. */
+const MAX_HOLD_MS = 200
 
-/** Keyed topics in memory. */
+/** Store with keyed topics in memory. */
 export class StandInStore {
   fault = StoreFault.None
   calls = 0
-  /** Calls by topic. */
+  /** Number of calls by topic. */
   readonly callsTo = new Map<string, number>()
-  /** Rises by one each time that the store comes back from an older copy; told in every answer. */
+  /** Incremented each time the store is restored from an older snapshot; sent with every response. */
   era = 1
-  /** Items of one page of the newest records. */
+  /** Maximum number of items on a page of the latest records. */
   pageSize = 500
-  /** Called after each page. */
+  /** Called after each page of the latest records. */
   onPage: (topic: string) => void = () => {}
   private readonly topics = new Map<string, StoredRecord[]>()
-  private readonly dropped = new Map<string, number>()
-  /** Records of each topic in the copy. */
-  private copy = new Map<string, number>()
+  private readonly deletedLengths = new Map<string, number>()
+  /** Number of records of each topic in the snapshot. */
+  private snapshotLengths = new Map<string, number>()
   private readonly server: Server
 
   constructor() {
@@ -66,20 +66,20 @@
     this.records(topic).push({ key, value: encodeValue(value) })
   }
 
-  /** Forgets the records so far; the newest of each key stay. */
-  dropHistory(topic: string): void {
-    this.dropped.set(topic, this.records(topic).length)
+  /** Deletes the history of a topic; the latest record of each key remains. */
+  deleteHistory(topic: string): void {
+    this.deletedLengths.set(topic, this.records(topic).length)
   }
 
-  /** Remembers what the store holds now. */
-  keepCopy(): void {
-    this.copy = new Map([...this.topics].map(([topic, records]) => [topic, records.length]))
+  /** Takes a snapshot of the current contents. */
+  takeSnapshot(): void {
+    this.snapshotLengths = new Map([...this.topics].map(([topic, records]) => [topic, records.length]))
   }
 
-  /** Goes back to what it held when the copy was kept: offsets after that are given out again. */
-  comeBackFromCopy(): void {
+  /** Restores the snapshot; later offsets are then assigned again. */
+  restoreSnapshot(): void {
     for (const [topic, records] of this.topics)
-      records.length = this.copy.get(topic) ?? 0
+      records.length = this.snapshotLengths.get(topic) ?? 0
     this.era++
   }
 
@@ -94,7 +94,7 @@
       return void response.writeHead(503).end()
     if (this.fault === StoreFault.Reset)
       return void response.destroy()
-    if (this.fault === StoreFault.Silent)
+    if (this.fault === StoreFault.Hanging)
       return
     response.setHeader('Store-Era', this.era)
     const topic = url.searchParams.get('topic') ?? ''
@@ -103,7 +103,7 @@
       return this.append(topic, body, response)
     if (url.pathname === '/-/log-newest')
       return this.newest(topic, url.searchParams.get('WatchRevision') ?? '', response)
-    await this.read(topic, Number(url.searchParams.get('Source')), Math.min(HOLD_MS, Number(url.searchParams.get('WaitMs'))), response)
+    await this.read(topic, Number(url.searchParams.get('Source')), Math.min(MAX_HOLD_MS, Number(url.searchParams.get('WaitMs'))), response)
   }
 
   private append(topic: string, body: Buffer, response: ServerResponse): void {
@@ -128,15 +128,15 @@
   private async read(topic: string, offset: number, holdMs: number, response: ServerResponse): Promise<void> {
     for (let waited = 0; waited < holdMs && this.records(topic).length <= offset; waited += 10)
       await wait(10)
-    if (this.fault === StoreFault.Silent)
+    if (this.fault === StoreFault.Hanging)
       return
     response.setHeader('Store-Era', this.era)
-    if (offset < (this.dropped.get(topic) ?? 0) || offset > this.records(topic).length)
-      return void response.writeHead(410).end(JSON.stringify({ first: this.dropped.get(topic) }))
+    if (offset < (this.deletedLengths.get(topic) ?? 0) || offset > this.records(topic).length)
+      return void response.writeHead(410).end(JSON.stringify({ first: this.deletedLengths.get(topic) }))
     const header = Buffer.alloc(16)
-    const records = this.records(topic).slice(offset).map(encode)
+    const records = this.records(topic).slice(offset).map(encodeRecord)
     const bytes = Buffer.concat([header, ...records])
-    response.end(this.fault === StoreFault.Cut && records.length > 0 ? bytes.subarray(0, bytes.length - 2) : bytes)
+    response.end(this.fault === StoreFault.Truncated && records.length > 0 ? bytes.subarray(0, bytes.length - 2) : bytes)
   }
 
   private records(topic: string): StoredRecord[] {
@@ -149,14 +149,14 @@
   }
 }
 
-/** Text as it is, all else as JSON; undefined drops the key. */
+/** Encodes text as is and other values as JSON; undefined as an empty value, which deletes the key. */
 function encodeValue(value: unknown): Buffer {
   if (value === undefined)
     return Buffer.alloc(0)
   return Buffer.from(typeof value === 'string' ? value : JSON.stringify(value))
 }
 
-function encode(record: StoredRecord): Buffer {
+function encodeRecord(record: StoredRecord): Buffer {
   const key = Buffer.from(record.key)
   const length = Buffer.alloc(5)
   length.writeUInt32BE(1 + key.length + record.value.length)
--- a/test/soak/crashing-soak.test.ts
+++ b/test/soak/crashing-soak.test.ts
@@ -1,4 +1,4 @@
-import type { SeenRequest } from '../platform/support/stand-in-backend.js'
+import type { ReceivedRequest } from '../platform/support/stand-in-backend.js'
 import type { Draw, SentRequest } from './support/soak-clients.js'
 import process from 'node:process'
 import { wait } from '@eidermast/common'
@@ -71,9 +71,9 @@
       () => gateways[gateway].replace('SIGTERM'),
       () => this.pause(gateway),
       () => this.cut(gateway),
-      () => lines[gateway].silenceOpenConnections(),
+      () => lines[gateway].stallOpenConnections(),
     ]
-    const common: (() => Promise<void> | void)[] = [() => this.failStore(), () => plainPool!.endSome(END_TOGETHER)]
+    const common: (() => Promise<void> | void)[] = [() => this.failStore(), () => plainPool!.crashSome(END_TOGETHER)]
     const number = this.draw(steps.length + common.length)
     if (number < steps.length)
       this.trouble(gateway, steps[number])
@@ -84,7 +84,7 @@
   /** Crashing requests that gateways in touch sent too late, where there are more than may be. */
   sentTooLate(): string[] {
     return PATHS.flatMap((path) => {
-      const late = this.deployment.plainPool!.sentLaterThan(CONTACT_MS + SLACK_MS, path).filter(seen => this.isInTouch(seen))
+      const late = this.deployment.plainPool!.receivedAfterThirdCrash(CONTACT_MS + SLACK_MS, path).filter(seen => this.isInTouch(seen))
       return late.length > SENT_AFTER ? late.map(seen => `${path} of ${seen.headers['attempt-id']} at ${Math.round(seen.at)} ms`) : []
     })
   }
@@ -104,15 +104,15 @@
 
   private async cut(gateway: number): Promise<void> {
     const line = this.deployment.lines[gateway]
-    line.isCut = true
-    line.silenceOpenConnections()
+    line.isPartitioned = true
+    line.stallOpenConnections()
     await wait(300 + this.draw(2000))
-    line.isCut = false
+    line.isPartitioned = false
   }
 
   private async failStore(): Promise<void> {
     const { store } = this.deployment
-    store.fault = [StoreFault.Busy, StoreFault.Reset, StoreFault.Silent][this.draw(3)]
+    store.fault = [StoreFault.Busy, StoreFault.Reset, StoreFault.Hanging][this.draw(3)]
     await wait(300 + this.draw(2000))
     store.fault = StoreFault.None
   }
@@ -121,7 +121,7 @@
   show(seed: number, { requests }: SoakClients): void {
     if (!process.env.EIDERMAST_SHOW_FAULTS)
       return
-    const { ends } = this.deployment.plainPool!
+    const { crashes: ends } = this.deployment.plainPool!
     const byPath = PATHS.map(path => ends.filter(end => end.path === path).length)
     const plain = requests.filter(sent => sent.kind === RequestKind.Plain && sent.status !== undefined)
     const answered = plain.filter(({ status }) => status === 200)
@@ -129,7 +129,7 @@
   }
 
   /** Whether the gateway that sent a request has been in touch. */
-  private isInTouch(seen: SeenRequest): boolean {
+  private isInTouch(seen: ReceivedRequest): boolean {
     const gateway = Number(String(seen.headers['attempt-id']).split('-')[1])
     return !this.troubles.some(trouble => (trouble.gateway ?? gateway) === gateway
       && trouble.from < seen.at && trouble.to + CONTACT_MS + SLACK_MS > seen.at)
@@ -164,7 +164,7 @@
       await crashing
       await clients.stop()
       for (const path of PATHS)
-        expect(deployment.plainPool!.ends.filter(end => end.path === path).length).toBeGreaterThan(0)
+        expect(deployment.plainPool!.crashes.filter(end => end.path === path).length).toBeGreaterThan(0)
       expect(run.sentTooLate()).toEqual([])
       expect(clients.requests.filter(isRefusedForCrashes)).toEqual([])
       run.show(seed, clients)
--- a/test/soak/domains-soak.test.ts
+++ b/test/soak/domains-soak.test.ts
@@ -119,10 +119,10 @@
   private async disturbStore(): Promise<void> {
     const trouble = this.troubles.begin()
     const { store } = this.deployment
-    store.fault = [StoreFault.Busy, StoreFault.Reset, StoreFault.Silent][this.draw(3)]
+    store.fault = [StoreFault.Busy, StoreFault.Reset, StoreFault.Hanging][this.draw(3)]
     await wait(300 + this.draw(900))
     store.fault = StoreFault.None
-    store.dropHistory(OPERATOR_TOPIC)
+    store.deleteHistory(OPERATOR_TOPIC)
     trouble.to = performance.now()
   }
 
@@ -130,16 +130,16 @@
     const gateway = this.draw(this.deployment.gateways.length)
     const trouble = this.troubles.begin(gateway)
     const line = this.deployment.lines[gateway]
-    line.isCut = true
-    line.silenceOpenConnections()
+    line.isPartitioned = true
+    line.stallOpenConnections()
     await wait(300 + this.draw(3000))
-    line.isCut = false
+    line.isPartitioned = false
     trouble.to = performance.now()
   }
 
   private loseReads(): void {
     const gateway = this.draw(this.deployment.gateways.length)
-    this.deployment.lines[gateway].silenceOpenConnections()
+    this.deployment.lines[gateway].stallOpenConnections()
     this.troubles.add(gateway, performance.now(), performance.now())
   }
 
--- a/test/soak/gateway-soak.test.ts
+++ b/test/soak/gateway-soak.test.ts
@@ -23,7 +23,7 @@
     gateway.signal('SIGCONT')
   },
   async ({ store }, draw) => {
-    store.fault = [StoreFault.Busy, StoreFault.Reset, StoreFault.Cut, StoreFault.Silent][draw(4)]
+    store.fault = [StoreFault.Busy, StoreFault.Reset, StoreFault.Truncated, StoreFault.Hanging][draw(4)]
     await wait(PAUSE_MS)
     store.fault = StoreFault.None
   },
--- a/test/soak/intake-soak.test.ts
+++ b/test/soak/intake-soak.test.ts
@@ -1,4 +1,4 @@
-import type { SeenRequest } from '../platform/support/stand-in-backend.js'
+import type { ReceivedRequest } from '../platform/support/stand-in-backend.js'
 import type { Draw } from './support/soak-clients.js'
 import { wait } from '@eidermast/common'
 import { beforeAll, describe, expect, test } from 'vitest'
@@ -31,7 +31,7 @@
 
   /** Lets those backend servers give notices whose requests come from clients. */
   wrap(clients: SoakClients): void {
-    const gatewayOf = (seen: SeenRequest): string => isWork(seen) ? `gateway-${senderOf(seen, clients)}` : 'none'
+    const gatewayOf = (seen: ReceivedRequest): string => isWork(seen) ? `gateway-${senderOf(seen, clients)}` : 'none'
     for (const service of ['plain', 'model']) {
       const backends = this.deployment.backends.filter(backend => backend.service === service)
       for (const backend of backends.slice(SILENT_EACH))
@@ -74,7 +74,7 @@
     const number = this.draw(gateways.length)
     const kind = this.draw(4)
     if (kind === 0) {
-      store.fault = [StoreFault.Busy, StoreFault.Reset, StoreFault.Silent][this.draw(3)]
+      store.fault = [StoreFault.Busy, StoreFault.Reset, StoreFault.Hanging][this.draw(3)]
       await wait(500 + this.draw(1500))
       store.fault = StoreFault.None
       return
--- a/test/soak/leaving-soak.test.ts
+++ b/test/soak/leaving-soak.test.ts
@@ -1,9 +1,9 @@
-import type { Respond } from '../platform/support/stand-in-backend.js'
+import type { RequestHandler } from '../platform/support/stand-in-backend.js'
 import type { Leave, LeavingPlay } from './support/leaving-servers.js'
 import type { Draw } from './support/soak-clients.js'
 import { wait } from '@eidermast/common'
 import { beforeAll, describe, test } from 'vitest'
-import { answerWhole } from '../platform/support/stand-in-backend.js'
+import { answerCompletely } from '../platform/support/stand-in-backend.js'
 import { StoreFault } from '../platform/support/stand-in-store.js'
 import { leaveOne, playLeaving } from './support/leaving-servers.js'
 import { SoakDeployment } from './support/soak-deployment.js'
@@ -40,9 +40,9 @@
 
   constructor(private readonly draw: Draw) {
     let answers = 0
-    const plainAnswer: Respond = async (seen, response) => {
+    const plainAnswer: RequestHandler = async (seen, response) => {
       await wait(answers++ % SLOW_ONE_IN === 0 ? SLOW_ANSWER_MS : 20)
-      await answerWhole()(seen, response)
+      await answerCompletely()(seen, response)
     }
     this.deployment = new SoakDeployment({ plainConnections: PLAIN_CONNECTIONS, plainAnswer, backendsEach: BACKENDS_EACH })
   }
@@ -76,9 +76,9 @@
     const { store } = this.deployment
     const kind = this.draw(5)
     if (kind === 4)
-      return store.dropHistory('keyed.servers')
+      return store.deleteHistory('keyed.servers')
     const from = performance.now()
-    store.fault = [StoreFault.Busy, StoreFault.Reset, StoreFault.Silent, StoreFault.Silent][kind]
+    store.fault = [StoreFault.Busy, StoreFault.Reset, StoreFault.Hanging, StoreFault.Hanging][kind]
     await wait(300 + this.draw(1200))
     store.fault = StoreFault.None
     this.troubles.push({ from, to: performance.now() })
--- a/test/soak/lost-reads-soak.test.ts
+++ b/test/soak/lost-reads-soak.test.ts
@@ -57,7 +57,7 @@
   private silence(gateways: number[]): void {
     const now = performance.now()
     for (const gateway of gateways) {
-      this.deployment.lines[gateway].silenceOpenConnections()
+      this.deployment.lines[gateway].stallOpenConnections()
       this.troubles.add(gateway, now, now)
     }
   }
@@ -65,10 +65,10 @@
   private async cut(gateway: number): Promise<void> {
     const line = this.deployment.lines[gateway]
     const trouble = this.troubles.begin(gateway)
-    line.isCut = true
-    line.silenceOpenConnections()
+    line.isPartitioned = true
+    line.stallOpenConnections()
     await wait(300 + this.draw(3000))
-    line.isCut = false
+    line.isPartitioned = false
     trouble.to = performance.now()
   }
 
--- a/test/soak/support/soak-deployment.ts
+++ b/test/soak/support/soak-deployment.ts
@@ -2,17 +2,17 @@
  * What a soak plays with: a stand-in store, stand-in backend servers, and gateways
  * as processes of their own.
  */
-import type { Respond } from '../../platform/support/stand-in-backend.js'
+import type { RequestHandler } from '../../platform/support/stand-in-backend.js'
 import { mkdtempSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import path from 'node:path'
 import { wait } from '@eidermast/common'
 import { expect, vi } from 'vitest'
 import { CrashingPool } from '../../platform/support/crashing-pool.js'
-import { answerWhole, StandInBackend, streamEvents } from '../../platform/support/stand-in-backend.js'
+import { answerCompletely, StandInBackend, streamEvents } from '../../platform/support/stand-in-backend.js'
 import { makeStageResults, STAGE_LIMITS } from '../../platform/support/stand-in-stages.js'
 import { StandInStore } from '../../platform/support/stand-in-store.js'
-import { StoreLine } from '../../platform/support/store-line.js'
+import { StoreProxy } from '../../platform/support/store-proxy.js'
 import { GatewayChild } from './gateway-child.js'
 import { RequestKind } from './soak-clients.js'
 
@@ -36,9 +36,9 @@
   { Name: 'encode', MaxConnections: MAX_CONNECTIONS, Segments: STAGE_LIMITS },
 ]
 
-const delayed: Respond = async (seen, response) => {
+const delayed: RequestHandler = async (seen, response) => {
   await wait(ANSWER_MS)
-  await answerWhole()(seen, response)
+  await answerCompletely()(seen, response)
 }
 
 /** What differs between soaks. */
@@ -46,7 +46,7 @@
   /** Connections that a backend server of the plain service accepts from all gateways. @default 60 */
   plainConnections?: number
   /** How backend servers of the plain service answer. @default after ANSWER_MS */
-  plainAnswer?: Respond
+  plainAnswer?: RequestHandler
   /** Backend servers of each service. @default BACKENDS_EACH */
   backendsEach?: number
   /** Backend servers of the plain service in a pool whose members a body ends and that come back (`plainPool`), in place of the others. @default none */
@@ -71,7 +71,7 @@
   readonly plainPool: CrashingPool | undefined
   gateways: GatewayChild[] = []
   /** The gateways' ways to the store, in their order, where the options ask for them. */
-  lines: StoreLine[] = []
+  lines: StoreProxy[] = []
   private version = 0
 
   constructor(private readonly options: SoakOptions = {}) {
@@ -142,7 +142,7 @@
   private async storeAddressFor(gateway: number, address: string): Promise<string> {
     if (!this.options.ownLines)
       return address
-    this.lines[gateway] = new StoreLine(address)
+    this.lines[gateway] = new StoreProxy(address)
     return this.lines[gateway].start()
   }
 
@@ -162,7 +162,7 @@
     return backend
   }
 
-  private answerOf(service: string): Respond {
+  private answerOf(service: string): RequestHandler {
     if (service === 'plain')
       return this.options.plainAnswer ?? delayed
     return service === 'model' ? streamEvents(STREAM_EVENTS) : makeStageResults()
