--- a/packages/common/src/errors.ts
+++ b/packages/common/src/errors.ts
@@ -53,8 +53,8 @@
   Internal = 'internal',
 }
 
-/** How an error kind is answered. */
-export interface ErrorAnswer {
+/** Response to requests that fail with an error kind. */
+export interface ErrorResponse {
   status: number
   /** What the response may state about executed work; the first value is the default. */
   ran: readonly Ran[]
@@ -67,7 +67,7 @@
 const ANY = [Ran.None, Ran.Part, Ran.Unknown] as const
 
 /** Maps each error kind to its response. */
-export const ERROR_ANSWERS: Readonly<Record<ErrorKind, ErrorAnswer>> = {
+export const ERROR_RESPONSES: Readonly<Record<ErrorKind, ErrorResponse>> = {
   [ErrorKind.InvalidRequest]: { status: 400, ran: NONE, retryAfter: false },
   [ErrorKind.HeadersTooLarge]: { status: 431, ran: NONE, retryAfter: false },
   [ErrorKind.BodyTooLarge]: { status: 413, ran: NONE, retryAfter: false },
@@ -119,11 +119,11 @@
 
 /** Creates an error; its statement about executed work is limited to what the kind's row allows. */
 export function createError(kind: ErrorKind, message: string, details: ErrorDetails = {}): RequestError {
-  const answer = ERROR_ANSWERS[kind]
-  const wanted = details.ran ?? answer.ran[0]
+  const response = ERROR_RESPONSES[kind]
+  const requested = details.ran ?? response.ran[0]
   // A statement that the kind does not allow becomes the one that guarantees nothing.
-  const ran = answer.ran.includes(wanted) ? wanted : Ran.Unknown
-  if (!answer.retryAfter)
+  const ran = response.ran.includes(requested) ? requested : Ran.Unknown
+  if (!response.retryAfter)
     return { kind, message, ran }
   return { kind, message, ran, retryAfterMs: Math.max(1, Math.round(details.retryAfterMs ?? DEFAULT_RETRY_AFTER_MS)) }
 }
--- a/packages/daemon/src/connection/answer-writer.ts
+++ b/packages/daemon/src/connection/answer-writer.ts
@@ -6,7 +6,7 @@
 import type { RequestError } from '@eidermast/common'
 import type { ServerResponse } from 'node:http'
 import type { RequestAnswer, WholeAnswer } from './answer.js'
-import { ERROR_ANSWERS } from '@eidermast/common'
+import { ERROR_RESPONSES } from '@eidermast/common'
 
 /** The unit of the header `retry-after` is the second. */
 const MILLISECONDS_PER_SECOND = 1000
@@ -65,7 +65,7 @@
     const headers: Record<string, string> = endConnection ? { connection: 'close' } : {}
     if (error.retryAfterMs !== undefined)
       headers['retry-after'] = String(Math.ceil(error.retryAfterMs / MILLISECONDS_PER_SECOND))
-    this.sendJson(ERROR_ANSWERS[error.kind].status, error, headers)
+    this.sendJson(ERROR_RESPONSES[error.kind].status, error, headers)
   }
 
   sendJson(status: number, body: unknown, headers: Record<string, string> = {}): void {
--- a/packages/gateway/src/connection/clients/error-status.ts
+++ b/packages/gateway/src/connection/clients/error-status.ts
@@ -9,7 +9,7 @@
  * Log event: `request-ended`.
  */
 import type { RequestError } from '@eidermast/common'
-import { ERROR_ANSWERS, Ran } from '@eidermast/common'
+import { ERROR_RESPONSES, Ran } from '@eidermast/common'
 
 /** Statuses that promise that the request has not run and never will. */
 const PROMISE_STATUSES = new Set([408, 421, 429, 503])
@@ -18,6 +18,6 @@
 
 /** The status of an error's answer. */
 export function chooseErrorStatus({ kind, ran }: Pick<RequestError, 'kind' | 'ran'>): number {
-  const { status } = ERROR_ANSWERS[kind]
+  const { status } = ERROR_RESPONSES[kind]
   return PROMISE_STATUSES.has(status) && ran !== Ran.None ? NO_PROMISE_STATUS : status
 }
--- a/test/platform/codecs.test.ts
+++ b/test/platform/codecs.test.ts
@@ -1,7 +1,7 @@
 import type { BackendCall } from '@eidermast/gateway'
 import { createError, ErrorKind, Ran } from '@eidermast/common'
 import { Backend, CallFailureKind, ItemFailure, StageCallEnd } from '@eidermast/gateway'
-import { decodeConfiguration, decodeRunAnswer, PlatformBackendCodec, PlatformClientCodec } from '@eidermast/platform'
+import { decodeConfiguration, decodeRunResponse, PlatformBackendCodec, PlatformClientCodec } from '@eidermast/platform'
 import { describe, expect, test } from 'vitest'
 import { createRecord } from '../gateway/support/fakes.js'
 
@@ -110,7 +110,7 @@
 describe('the response to a stage call', () => {
   test('contains the outcomes of all items in order', () => {
     const text = JSON.stringify({ Items: [{ PromptHandle: 'a/1' }, { Reason: 'gone' }, { Reason: 'late' }, { Reason: 'room' }, { Reason: 'other' }] })
-    expect(decodeRunAnswer(text, 5)).toEqual({ end: StageCallEnd.Done, outcomes: [{ handle: 'a/1' }, { failure: ItemFailure.InputGone }, { failure: ItemFailure.Late }, { failure: ItemFailure.NoMemory }, { failure: ItemFailure.Error }] })
+    expect(decodeRunResponse(text, 5)).toEqual({ end: StageCallEnd.Done, outcomes: [{ handle: 'a/1' }, { failure: ItemFailure.InputGone }, { failure: ItemFailure.Late }, { failure: ItemFailure.NoMemory }, { failure: ItemFailure.Error }] })
   })
 
   test.each([
@@ -119,6 +119,6 @@
     ['that is truncated', '{"Items":[{"Prompt'],
     ['of another type', '[]'],
   ])('%s is invalid', (_name, text) => {
-    expect(decodeRunAnswer(text, 2).end).toBe(StageCallEnd.Broken)
+    expect(decodeRunResponse(text, 2).end).toBe(StageCallEnd.Broken)
   })
 })
--- a/test/platform/store.test.ts
+++ b/test/platform/store.test.ts
@@ -176,12 +176,12 @@
     ['a site with a shorter drain bound', 3000, 2000, 500],
   ])('lets changes that a lost read missed take effect in time on %s', (_name, contact, configuration, drain) => {
     const bounds = { contactMs: contact, configurationMs: configuration, drainMs: drain, evacuationMs: 5000 }
-    const toldMs = maxReadWaitMs(bounds, true)
-    expect(toldMs).toBeGreaterThanOrEqual(1000)
-    expect(toldMs + READ_MARGIN_MS + 300).toBeLessThan(contact + Math.min(configuration, drain))
-    const aloneMs = maxReadWaitMs(bounds, false)
-    expect(aloneMs).toBeGreaterThanOrEqual(1000)
-    expect(aloneMs + READ_MARGIN_MS + 300).toBeLessThan(Math.max(contact, Math.min(configuration, drain)))
+    const withUpdatesMs = maxReadWaitMs(bounds, true)
+    expect(withUpdatesMs).toBeGreaterThanOrEqual(1000)
+    expect(withUpdatesMs + READ_MARGIN_MS + 300).toBeLessThan(contact + Math.min(configuration, drain))
+    const withoutUpdatesMs = maxReadWaitMs(bounds, false)
+    expect(withoutUpdatesMs).toBeGreaterThanOrEqual(1000)
+    expect(withoutUpdatesMs + READ_MARGIN_MS + 300).toBeLessThan(Math.max(contact, Math.min(configuration, drain)))
   })
 
   test('stops the use of removed entries before the contact bound ends', () => {
