--- a/packages/gateway/src/process/gateway.ts
+++ b/packages/gateway/src/process/gateway.ts
@@ -74,7 +74,7 @@
   private readonly stageCoordinators: StageCoordinators
   private readonly readiness: Readiness
   private readonly internalServers = new InternalServers()
-  private readonly coordinatorOutages = new CoordinatorOutageWatch(() => this.platform.reconnect())
+  private readonly coordinatorOutages = new CoordinatorOutageWatch(() => this.platform.restartReads())
   private readonly suspensionDetector = new SuspensionDetector(awayMs => this.handleResume(awayMs))
   /** Aborts everything that follows the platform. */
   private readonly shutdown = new AbortController()
@@ -190,7 +190,7 @@
   /** The process may have been suspended: its state may be stale, and peers may have made decisions meanwhile. */
   private handleResume(awayMs: number): void {
     this.gatewayLog.woke(awayMs)
-    this.platform.reconnect()
+    this.platform.restartReads()
     this.members.restartDiscovery()
   }
 
--- a/packages/gateway/src/process/platform-adapter.ts
+++ b/packages/gateway/src/process/platform-adapter.ts
@@ -137,5 +137,5 @@
   backendCodec: BackendCodec
   stageClient: (connections: BackendConnections) => StageClient
   /** Aborts pending reads of the platform and starts them again on new connections, because the old connections may be dead. */
-  reconnect: () => void
+  restartReads: () => void
 }
