--- a/packages/daemon/src/process/settings.ts
+++ b/packages/daemon/src/process/settings.ts
@@ -4,7 +4,7 @@
  * file. The keys and values are a public interface and must not be renamed;
  * `greet-interval-ms` is the heartbeat interval.
  */
-import type { SettingsFault } from '@eidermast/common'
+import type { SettingsError } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
 import { integerSetting, loadSettingsFile, MAX_PORT, optionalSection, parseSettingsText, textSetting } from '@eidermast/common'
 import { Err, Ok } from 'ts-results-es'
@@ -155,17 +155,17 @@
 export type SideSettings = NonNullable<Settings['side']>
 
 /** Reads and validates a settings file. */
-export function loadSettings(file: string): Result<Settings, SettingsFault[]> {
+export function loadSettings(file: string): Result<Settings, SettingsError[]> {
   return loadSettingsFile(file, parseSettings)
 }
 
 /** Validates the text of a settings file; reports all errors. */
-export function parseSettings(iniText: string): Result<Settings, SettingsFault[]> {
+export function parseSettings(iniText: string): Result<Settings, SettingsError[]> {
   return parseSettingsText(iniText, settingsSchema).andThen(checkAcrossSections)
 }
 
 /** Checks rules that involve keys of several sections. */
-function checkAcrossSections(settings: Settings): Result<Settings, SettingsFault[]> {
+function checkAcrossSections(settings: Settings): Result<Settings, SettingsError[]> {
   const { process: { role }, platform, entry, side } = settings
   const claimMemoryMs = entry['claim-memory-ms']
   // A retained claim must still be in the log; otherwise an entry that starts later would not learn of it.
--- a/packages/gateway/src/connection/clients/error-status.ts
+++ b/packages/gateway/src/connection/clients/error-status.ts
@@ -10,7 +10,7 @@
  * Log event: `request-ended`.
  */
 import type { RequestError } from '@eidermast/common'
-import { ERROR_ANSWERS, Ran } from '@eidermast/common'
+import { ERROR_RESPONSES, Ran } from '@eidermast/common'
 
 /** Statuses that guarantee that the request was not and will not be executed. */
 const NOT_EXECUTED_STATUSES = new Set([408, 421, 429, 503])
@@ -19,6 +19,6 @@
 
 /** The HTTP status for an error. */
 export function chooseErrorStatus({ kind, ran }: Pick<RequestError, 'kind' | 'ran'>): number {
-  const { status } = ERROR_ANSWERS[kind]
+  const { status } = ERROR_RESPONSES[kind]
   return NOT_EXECUTED_STATUSES.has(status) && ran !== Ran.None ? MAYBE_EXECUTED_STATUS : status
 }
--- a/test/platform/support/notice-pool.ts
+++ b/test/platform/support/notice-pool.ts
@@ -3,10 +3,10 @@
  * each adds the headers that the test sets, and may reject requests. Every request
  * is recorded with the gateway that sent it.
  */
-import type { Respond, SeenRequest } from './stand-in-backend.js'
+import type { ReceivedRequest, RequestHandler } from './stand-in-backend.js'
 import type { StandInStore } from './stand-in-store.js'
 import { wait } from '@eidermast/common'
-import { answerWhole, StandInBackend } from './stand-in-backend.js'
+import { answerCompletely, StandInBackend } from './stand-in-backend.js'
 
 const SERVER_TOPIC = 'keyed.servers'
 const REPORT_PATH = '/-/report'
@@ -19,7 +19,7 @@
 }
 
 /** The gateway that a request id contains. */
-function senderById(seen: SeenRequest): string {
+function senderById(seen: ReceivedRequest): string {
   return String(seen.headers['attempt-id']).split(NAME_SEPARATOR)[0]
 }
 
@@ -54,10 +54,10 @@
 export interface NoticeBackendOptions {
   /** Milliseconds until a response is sent. @default 0 */
   workMs?: number
-  /** @default answerWhole */
-  respond?: Respond
+  /** @default answerCompletely */
+  respond?: RequestHandler
   /** Determines the gateway that sent a request. @default from the request id, see `requestIdAt` */
-  senderOf?: (seen: SeenRequest) => string
+  senderOf?: (seen: ReceivedRequest) => string
 }
 
 /** A backend server whose responses contain a notice. */
@@ -69,7 +69,7 @@
   /** Responses, except those to report requests, are held back until this promise is resolved. @default not held back */
   responsesHeldUntil: Promise<void> | undefined
 
-  constructor(readonly server: StandInBackend, { workMs = 0, respond = answerWhole(), senderOf = senderById }: NoticeBackendOptions = {}) {
+  constructor(readonly server: StandInBackend, { workMs = 0, respond = answerCompletely(), senderOf = senderById }: NoticeBackendOptions = {}) {
     server.respond = async (seen, response) => {
       const arrival = { gateway: senderOf(seen), requestId: String(seen.headers['attempt-id']), path: seen.path, at: seen.at }
       this.arrivals.push(arrival)
@@ -139,8 +139,8 @@
   size: number
   /** Milliseconds until a response is sent. */
   workMs: number
-  /** @default answerWhole */
-  respond?: Respond
+  /** @default answerCompletely */
+  respond?: RequestHandler
 }
 
 /** Starts the backend servers of a service and adds them to the list in the store. */
