--- a/test/platform/support/gateway-settings.ts
+++ b/test/platform/support/gateway-settings.ts
@@ -1,6 +1,7 @@
 /**
  * Creates settings of gateways under test, with free ports.
  */
+import type { Server } from 'node:net'
 import { createServer } from 'node:net'
 import process from 'node:process'
 
@@ -14,27 +15,54 @@
 /**
  * Below the ephemeral port range (32768 to 60999 on Linux), because an ephemeral
  * port could be taken by an outgoing connection between the check and the
- * gateway's start. Concurrent test processes use different blocks, and each uses
- * the next port every time, since a gateway only listens some tenths of a second
+ * gateway's start. Each test process claims a block of its own, and uses the next
+ * port of it every time, since a gateway only listens some tenths of a second
  * after the check.
  */
 const PORT_RANGE = { first: 10_000, blocks: 100, blockSize: 200 }
-const firstPort = PORT_RANGE.first + (process.pid % PORT_RANGE.blocks) * PORT_RANGE.blockSize
+let firstPort: Promise<number> | undefined
 let portsTaken = 0
 
+/**
+ * Claims a block by listening on its lowest port until this process ends. Two
+ * processes that shared a block would reuse each other's ports: heartbeats to a
+ * stopped gateway then reach a gateway of the other deployment, and the two
+ * deployments exchange their lists of backend servers.
+ */
+async function claimBlock(): Promise<number> {
+  for (let offset = 0; offset < PORT_RANGE.blocks; offset++) {
+    const block = (process.pid + offset) % PORT_RANGE.blocks
+    const lowestPort = PORT_RANGE.first + block * PORT_RANGE.blockSize
+    const claim = await listen(lowestPort)
+    if (claim) {
+      claim.unref()
+      return lowestPort + 1
+    }
+  }
+  throw new Error(`all ${PORT_RANGE.blocks} port blocks are claimed by other test processes`)
+}
+
 async function freePort(): Promise<number> {
+  firstPort ??= claimBlock()
+  const first = await firstPort
   for (;;) {
-    const port = firstPort + portsTaken++ % PORT_RANGE.blockSize
+    const port = first + portsTaken++ % (PORT_RANGE.blockSize - 1)
     if (await canListen(port))
       return port
   }
 }
 
-function canListen(port: number): Promise<boolean> {
+async function canListen(port: number): Promise<boolean> {
+  const server = await listen(port)
+  return new Promise(resolve => server ? server.close(() => resolve(true)) : resolve(false))
+}
+
+/** Returns a server that listens on the port; undefined if the port is in use. */
+function listen(port: number): Promise<Server | undefined> {
   const server = createServer()
   return new Promise((resolve) => {
-    server.once('error', () => resolve(false))
-    server.listen(port, '127.0.0.1', () => server.close(() => resolve(true)))
+    server.once('error', () => resolve(undefined))
+    server.listen(port, '127.0.0.1', () => resolve(server))
   })
 }
 
