--- a/packages/daemon/src/connection/answer-writer.ts
+++ b/packages/daemon/src/connection/answer-writer.ts
@@ -10,9 +10,8 @@
 
 const MILLISECONDS_PER_SECOND = 1000
 /**
- * Maximum streamed data buffered for a slow caller. A lower limit disconnects
- * callers on slow links sooner; a higher one lets each slow caller hold more
- * memory.
+ * Maximum streamed data buffered for a slow caller. Bounds the memory that one can
+ * hold, at the cost of disconnecting callers on slow links.
  */
 const MAX_BUFFERED_BYTES = 1_000_000
 
--- a/packages/daemon/src/connection/body-reader.ts
+++ b/packages/daemon/src/connection/body-reader.ts
@@ -52,7 +52,7 @@
     return Ok(new TextDecoder('utf-8', { fatal: true }).decode(bytes))
   }
   catch {
-    // The decoder's error contains no position; the error response tells the caller what is wrong.
+    // The decoder's error contains no position; the error response describes the problem to the caller.
     return createFailure(ErrorKind.InvalidRequest, 'The body is not valid UTF-8; encode it as UTF-8.')
   }
 }
--- a/packages/daemon/src/connection/caller-server.ts
+++ b/packages/daemon/src/connection/caller-server.ts
@@ -45,15 +45,14 @@
 }
 
 /**
- * Time within which a request's headers must arrive. A shorter one would
- * disconnect callers on lossy links; a longer one would let a stalled caller
- * occupy one of the limited connections for longer.
+ * Time within which a request's headers must arrive. Long enough for callers on
+ * lossy links; bounds how long a stalled caller occupies one of the limited
+ * connections.
  */
 const HEADERS_TIMEOUT_MS = 5000
 /**
- * Time for which an idle connection is kept. A shorter one would force callers
- * that call about once a minute to reconnect; a longer one would count more idle
- * connections towards the limit.
+ * Time for which an idle connection is kept, so that callers that call about once
+ * a minute need not reconnect; idle connections count towards the limit.
  */
 const KEEP_ALIVE_MS = 60_000
 /** Response to data that is not a valid HTTP request. */
--- a/packages/daemon/src/connection/entry-peers.ts
+++ b/packages/daemon/src/connection/entry-peers.ts
@@ -28,23 +28,20 @@
 }
 
 /**
- * Timeout for connecting and, separately, for the first heartbeat. A shorter one
- * can miss a busy entry; twice as long would use a full second of a request's
- * deadline if the other entry is frozen.
+ * Timeout for connecting and, separately, for the first heartbeat. Leaves time for
+ * a busy entry; a frozen one uses up to a second of a request's deadline in total.
  */
 const HEARTBEAT_TIMEOUT_MS = 500
 /**
  * Timeout of an outcome query. With 250 ms, an entry that was busy or paused for
  * that long caused callers to receive an unknown outcome, which they have to
  * investigate, although nothing had run (test/promises/unrepeatable, one entry
- * frozen for 600 ms). A longer timeout keeps callers waiting for an entry that no
- * longer exists.
+ * frozen for 600 ms). Callers wait this long for an entry that no longer exists.
  */
 const OUTCOME_TIMEOUT_MS = 1000
 /**
- * Timeout for receiving a configuration difference. A shorter one can be too
- * short for all objects over a slow link; a longer one delays the query to the
- * next entry.
+ * Timeout for receiving a configuration difference: long enough for all objects
+ * over a slow link, at the cost of a later query to the next entry.
  */
 const DIFFERENCE_TIMEOUT_MS = 5000
 
--- a/packages/daemon/src/connection/heartbeat-timing.ts
+++ b/packages/daemon/src/connection/heartbeat-timing.ts
@@ -23,20 +23,19 @@
 /** Consecutive missed heartbeats; a single one can be late on a loaded VM. */
 const SILENT_AFTER_MISSED = 2
 /**
- * Consecutive missed heartbeats. A lower limit would close connections of sides
- * that are only slow and lose the calls on them; a higher one would let calls
- * wait longer for a frozen side.
+ * Consecutive missed heartbeats. Keeps the connections of sides that are only slow,
+ * because closing one loses the calls on it; calls to a frozen side wait this long.
  */
 const MAX_MISSED = 3
 /**
- * Maximum number of intervals between heartbeats on a link with traffic. A lower
- * value sends more on busy links; a higher one delays acknowledgements and
- * updates of the side's offset.
+ * Maximum number of intervals between heartbeats on a link with traffic. Saves
+ * heartbeats on busy links, at the cost of later acknowledgements and updates of
+ * the side's offset.
  */
 const MAX_HEARTBEAT_GAP = 6
 /**
- * Pending acknowledgements that trigger a heartbeat. A lower value sends more
- * heartbeats on busy links; a higher one keeps more results in the side's memory.
+ * Pending acknowledgements that trigger a heartbeat. Bounds the results kept in the
+ * side's memory, at the cost of more heartbeats on busy links.
  */
 const MIN_ACKNOWLEDGEMENTS = 500
 
--- a/packages/daemon/src/connection/http-backend-client.ts
+++ b/packages/daemon/src/connection/http-backend-client.ts
@@ -14,11 +14,11 @@
 import { classifyThrownError, readErrorResponse, readRunResponse, readServiceResponse, readTokenStream } from './backend-response.js'
 import { callJson } from './json-http.js'
 
-/** The backend server is on the same VM, so half would suffice; a longer timeout detects a frozen VM later. */
+/** Ample for a backend server on the same VM; bounds the time to detect a frozen VM. */
 const CONNECT_TIMEOUT_MS = 1000
-/** A shorter timeout can miss responses of a busy engine; a longer one detects a frozen engine later. */
+/** Leaves time for a busy engine to respond; bounds the time to detect a frozen one. */
 const LOAD_TIMEOUT_MS = 1000
-/** Time to acknowledge an order. A shorter timeout can resend orders to a slow engine; a longer one delays the next attempt. */
+/** Time to acknowledge an order. Keeps orders from being resent to a slow engine, at the cost of a later next attempt. */
 const ORDER_TIMEOUT_MS = 10_000
 /** Connections in addition to one per slot: one for load requests and one for orders. */
 const EXTRA_CONNECTIONS = 2
--- a/packages/daemon/src/connection/log-client.ts
+++ b/packages/daemon/src/connection/log-client.ts
@@ -25,9 +25,8 @@
 }
 
 /**
- * Connect timeout, and default timeout of a call. Half would fail calls to a
- * loaded log; twice as long would delay the fallback to a peer's configuration by
- * a second.
+ * Connect timeout, and default timeout of a call. Leaves time for a loaded log to
+ * respond, at the cost of a later fallback to a peer's configuration.
  */
 const DEFAULT_TIMEOUT_MS = 1000
 
--- a/packages/daemon/src/connection/peer-connection.ts
+++ b/packages/daemon/src/connection/peer-connection.ts
@@ -46,8 +46,8 @@
 export type EntryClient = TRPCClient<EntryRouter>
 
 /**
- * Half would fail on a VM that is busy starting; twice as long would delay the
- * detection of a frozen peer by a second.
+ * Leaves time for a VM that is busy starting, at the cost of detecting a frozen peer
+ * later.
  */
 const DEFAULT_CONNECT_TIMEOUT_MS = 1000
 /** Maximum timer delay, about 24 days: longer than a connection without a peer is kept. */
--- a/packages/daemon/src/connection/peer-server.ts
+++ b/packages/daemon/src/connection/peer-server.ts
@@ -15,8 +15,8 @@
 
 /**
  * Maximum message size between processes: four times the largest stage input (4
- * million characters of at most 4 bytes). Half would still suffice; a higher
- * limit lets a faulty peer use more memory.
+ * million characters of at most 4 bytes). Bounds the memory that a faulty peer can
+ * use.
  */
 export const MAX_PEER_MESSAGE_BYTES = 64_000_000
 
--- a/packages/daemon/src/connection/reconnect-delay.ts
+++ b/packages/daemon/src/connection/reconnect-delay.ts
@@ -12,17 +12,17 @@
  */
 
 /**
- * Half would double the attempts to connect to a restarting side; twice as long
- * would leave a restarted side without work for another 0.2 s.
+ * First delay, up to 0.3 s with jitter. Limits the attempts to connect to a
+ * restarting side, which gets no work in the meantime.
  */
 const MIN_RECONNECT_MS = 200
 /**
- * Half would double the attempts to connect to sides that no longer exist; twice
- * as long would leave a side that returns after a long outage without work for
- * another 2 s.
+ * Longest delay, up to 3 s with jitter. Limits the attempts to connect to sides that
+ * no longer exist; a side that is restored after a long outage gets no work in the
+ * meantime.
  */
 const MAX_RECONNECT_MS = 2000
-/** Lowest jitter factor; the highest is one more. The exact spread is not critical. */
+/** Lowest jitter factor; the highest is one more. Keeps entries from reconnecting at the same time; the exact spread is not critical. */
 const MIN_JITTER = 0.5
 
 /** Backoff of one link. */
--- a/packages/daemon/src/process/decision-log.ts
+++ b/packages/daemon/src/process/decision-log.ts
@@ -8,7 +8,7 @@
 import type { DecisionRecorder } from '../request/decision-recorder.js'
 import { createLogger } from '@eidermast/common'
 
-/** Number of retained decisions. A lower one discards requests sooner, a higher one takes more memory. */
+/** Number of retained decisions. Bounds the memory, at the cost of discarding decisions about older requests. */
 const DEFAULT_CAPACITY = 20_000
 
 /** Logs decisions and retains the most recent ones. */
--- a/packages/daemon/src/process/entry/configuration-monitor.ts
+++ b/packages/daemon/src/process/entry/configuration-monitor.ts
@@ -26,14 +26,14 @@
 const log = createLogger('configuration')
 
 /**
- * With a higher value, an entry without access to the log stays behind its peers
- * for longer; a lower one queries them more often.
+ * Bounds how long an entry without access to the log stays behind its peers, at
+ * the cost of more queries to them.
  */
 const AGE_CHECK_INTERVAL_MS = 250
 /**
  * Must exceed the 2 s for which the log holds a long-poll read open; otherwise a
- * log without new records looks unresponsive. At twice this value, a side could
- * start with a configuration that is up to 10 s old.
+ * log without new records looks unresponsive. Also bounds the age of the
+ * configuration with which a side can start.
  */
 const MAX_CONFIGURATION_AGE_MS = 5000
 
--- a/packages/daemon/src/process/entry/graceful-stop.ts
+++ b/packages/daemon/src/process/entry/graceful-stop.ts
@@ -42,9 +42,8 @@
 }
 
 /**
- * Time for the load balancer to see that the entry is not ready. Half of it is
- * below the usual interval of health checks, so callers would be refused; a
- * higher value only prolongs a stop.
+ * Time for the load balancer to see that the entry is not ready. Must exceed the
+ * usual interval of health checks, because callers would be refused otherwise.
  */
 const LAME_DUCK_MS = 1500
 
--- a/packages/daemon/src/process/entry/request-components.ts
+++ b/packages/daemon/src/process/entry/request-components.ts
@@ -24,9 +24,8 @@
 
 /**
  * Time for which keys of unrepeatable requests are retained beyond the lifetime
- * of claims and tickets. It covers clock skew between entries and responses in
- * transit. Half of it is enough if clocks are synchronized; a higher value takes
- * more memory.
+ * of claims and tickets. It covers clock skew between entries, including clocks
+ * that are not synchronized, and responses in transit, at the cost of memory.
  */
 const KEY_RETENTION_MARGIN_MS = 120_000
 
--- a/packages/daemon/src/process/entry/request-dispatcher.ts
+++ b/packages/daemon/src/process/entry/request-dispatcher.ts
@@ -23,9 +23,9 @@
 import { ObjectKind } from '../../version/objects.js'
 
 /** Error messages for callers whose ticket is rejected. */
-const EXPIRED_TICKET_MESSAGE = 'The ticket has expired, and whether it was used is no longer known; look at what the request did, then get a new one.'
-const FOREIGN_TICKET_MESSAGE = 'The ticket is not one that was given to this client account; get one from POST /v1/tickets.'
-const UNKNOWN_TICKET_MESSAGE = 'The entry that made the ticket does not know the account or the pipeline; check them.'
+const EXPIRED_TICKET_MESSAGE = 'The ticket has expired, and whether it was used is no longer known; check the effects of the request, then get a new ticket.'
+const FOREIGN_TICKET_MESSAGE = 'The ticket was not issued to this client account; get one from POST /v1/tickets.'
+const UNKNOWN_TICKET_MESSAGE = 'The entry that issued the ticket does not know the account or the pipeline; check them.'
 
 /** Dependencies of the dispatcher. */
 export interface RequestDispatcherOptions {
--- a/packages/daemon/src/process/membership/initial-connect.ts
+++ b/packages/daemon/src/process/membership/initial-connect.ts
@@ -16,9 +16,9 @@
 
 /**
  * Longest time that an unresponsive side can delay the readiness of an entry;
- * equal to the default connection timeout. With a lower value, an entry on a VM
- * that is busy starting becomes ready too early and sheds requests; a higher one
- * only delays entries that have unresponsive sides.
+ * equal to the default connection timeout, so that an entry on a VM that is busy
+ * starting does not become ready too early and shed requests. It only delays
+ * entries that have unresponsive sides.
  */
 export const INITIAL_CONNECT_TIMEOUT_MS = 1000
 
--- a/packages/daemon/src/process/settings.ts
+++ b/packages/daemon/src/process/settings.ts
@@ -18,7 +18,7 @@
 
 /** Admission policies of an entry. */
 export enum AdmissionName {
-  /** Admits requests as long as they fit into memory. */
+  /** Admits requests up to the limit on requests in flight. */
   All = 'all',
   /** Sheds requests that cannot meet their deadline or exceed their account's share. */
   Deadline = 'deadline',
@@ -28,7 +28,7 @@
 export enum ChoiceName {
   Random = 'random',
   RoundRobin = 'round-robin',
-  /** Compares two or more random candidates by predicted finish time. */
+  /** Compares two random candidates and the one most likely to have the prompt prefix cached by predicted finish time. */
   Predicted = 'predicted',
 }
 
@@ -36,7 +36,7 @@
 export enum StageBudgetName {
   /** All of the remaining time. */
   Whole = 'whole',
-  /** The remaining time minus the recent service times of the later stages. */
+  /** The remaining time minus a high quantile of the recent durations of the later stages. */
   Reserved = 'reserved',
 }
 
@@ -52,7 +52,7 @@
 export enum RetryName {
   /** A fixed number of attempts per stage. */
   Fixed = 'fixed',
-  /** A retry budget: a share of the recent requests. */
+  /** A retry budget: a token bucket that each started stage refills. */
   Budget = 'budget',
 }
 
--- a/packages/daemon/src/process/side/backend-health-monitor.ts
+++ b/packages/daemon/src/process/side/backend-health-monitor.ts
@@ -19,9 +19,9 @@
 const log = createLogger('process')
 
 /**
- * Consecutive load requests without a response. At half this value, one late
- * response would take a backend server out of service; at twice, calls would be
- * sent to a dead one for another 750 ms at the default interval.
+ * Consecutive load requests without a response. One late response must not take a
+ * backend server out of service; in return, calls are sent to a dead one for up to
+ * 750 ms at the default interval, plus the timeouts of the requests.
  */
 const MAX_MISSED_READINGS = 3
 
--- a/packages/daemon/src/process/side/order-decision.ts
+++ b/packages/daemon/src/process/side/order-decision.ts
@@ -12,7 +12,7 @@
  * within MAX_CONFIRMATION_AGE_MS that this configuration is the latest.
  * Why not a lease for the side: it can expire while its holder is paused, and
  * the side would send an outdated order when it resumes. Why entries are not
- * asked: their response may have been waiting in the socket of the paused side.
+ * queried: their response may have been waiting in the socket of the paused side.
  * Log event: `order` (fence, model, version, adapters, result).
  */
 import { WeightState } from './weight-store.js'
@@ -34,8 +34,8 @@
 
 /**
  * Validity of the log's confirmation; a pause of this process makes it appear
- * older. At half this value, orders would not be sent while the log is slow; at
- * twice, an order could be sent after a pause of up to 2 s.
+ * older. Bounds the pause after which an order can still be sent, and leaves time
+ * for a slow log.
  */
 const MAX_CONFIRMATION_AGE_MS = 1000
 
--- a/packages/daemon/src/process/side/placement-reconciler.ts
+++ b/packages/daemon/src/process/side/placement-reconciler.ts
@@ -17,7 +17,7 @@
 
 const log = createLogger('placement')
 
-/** Tells whether the local configuration is the latest. */
+/** Whether the local configuration is the latest. */
 export interface ConfigurationStatus {
   /** Whether this process incarnation has received the latest configuration from the log or a peer. */
   readonly isKnown: boolean
@@ -41,9 +41,8 @@
 }
 
 /**
- * Also the retry interval of an order that has not been applied. Half of it
- * doubles the load on the weight store; a higher value delays a rollout after an
- * outage.
+ * Also the retry interval of an order that has not been applied. Limits the load
+ * on the weight store, at the cost of a later rollout after an outage.
  */
 const RECONCILE_INTERVAL_MS = 300
 
@@ -111,9 +110,9 @@
 
   /** Checks the log just before an order: this process may have been paused and replaced by another one. */
   private async confirmFence({ checksOrders, fence }: Placement): Promise<OrderResult | undefined> {
-    const askedAt = this.now()
+    const requestedAt = this.now()
     const confirmed = checksOrders || await this.options.configurationStatus.confirmLatest()
-    const confirmationAgeMs = this.now() - askedAt
+    const confirmationAgeMs = this.now() - requestedAt
     return findSendRefusal({ checksOrders, confirmed, confirmationAgeMs, fence, latestFence: this.resolveConfigured()?.fence })
   }
 
--- a/packages/daemon/src/process/side/side-configuration.ts
+++ b/packages/daemon/src/process/side/side-configuration.ts
@@ -28,9 +28,8 @@
 
 /**
  * How long a starting side waits for the log before a difference from an entry
- * is enough. Half of it can pass before a loaded log responds at all; a higher
- * value keeps a backend server out of service for longer during an outage of the
- * log.
+ * is enough. A loaded log can take 1.5 s to respond at all; during an outage of
+ * the log, the backend server stays out of service for this time.
  */
 const PEER_FALLBACK_DELAY_MS = 3000
 /** Poll interval until the configuration is known; affects only the startup delay. */
--- a/packages/daemon/src/process/side/side.ts
+++ b/packages/daemon/src/process/side/side.ts
@@ -34,9 +34,8 @@
 const log = createLogger('process')
 
 /**
- * Time to send the last replies before connections are closed. Half of it may
- * cut off a large reply on a slow link, which the entry then treats as lost; a
- * higher value only prolongs a stop.
+ * Time to send the last replies before connections are closed. A large reply on a
+ * slow link would otherwise be cut off and treated as lost by the entry.
  */
 const REPLY_FLUSH_MS = 200
 
--- a/packages/daemon/src/process/side/weight-store.ts
+++ b/packages/daemon/src/process/side/weight-store.ts
@@ -24,8 +24,8 @@
 const NOT_FOUND = 404
 
 /**
- * At half this value, requests may fail when the store is near its rate limit; at
- * twice, an outage of the store delays an order by another second.
+ * Leaves time for a store near its rate limit, whose responses are slow; an outage
+ * of the store delays an order by this time.
  */
 const FIND_TIMEOUT_MS = 1000
 
--- a/packages/daemon/src/request/admission.ts
+++ b/packages/daemon/src/request/admission.ts
@@ -83,13 +83,13 @@
 }
 
 /**
- * Fraction of the deadline spent queueing above which shares are enforced. Half of it would enforce
- * them before any request is late, twice only after many are.
+ * Fraction of the deadline spent queueing above which shares are enforced: high enough not to
+ * enforce them while all requests finish in time, low enough to act before many are late.
  */
 const CONGESTION_THRESHOLD = 0.3
-/** Tolerance factor for shares. Half of it would shed accounts within their share; twice would let one account take everything. */
+/** Tolerance factor for shares. Must exceed 1 so that accounts within their share are not shed; bounds how far one account can exceed it. */
 const SHARE_TOLERANCE = 1.25
-/** Half of it would shed small accounts for two concurrent requests; twice would favour many small accounts. */
+/** Lets an account with a small share send a few concurrent requests; many small accounts can together exceed their shares. */
 const MIN_ACCOUNT_IN_FLIGHT = 4
 
 /** Sheds requests that cannot meet their deadline and, under congestion, requests of accounts that exceed their share. */
--- a/packages/daemon/src/request/authority/claim-appender.ts
+++ b/packages/daemon/src/request/authority/claim-appender.ts
@@ -22,9 +22,9 @@
 /** Called once per append with its records and the failure, if any. */
 export type AppendListener = (records: readonly ClaimRecord[], failure: CallFailure | undefined) => void
 
-/** Half of it would hit the rate limit of the log again; twice adds up to 150 ms to a rate-limited claim. */
+/** Unit of the retry delay, long enough not to hit the rate limit of the log again; all retries together add up to 150 ms to a claim. */
 const RATE_RETRY_MS = 15
-/** Half as many would reject claims in a short burst; twice as many would delay callers by up to 0.5 s. */
+/** Enough retries for a short burst of claims; bounds how long callers wait for a claim that the log keeps rejecting. */
 const MAX_RATE_RETRIES = 4
 /** HTTP status with which the log rejects an append because of its rate limit. */
 const TOO_MANY_REQUESTS = 429
--- a/packages/daemon/src/request/authority/claims.ts
+++ b/packages/daemon/src/request/authority/claims.ts
@@ -72,15 +72,15 @@
   readBackTimeoutMs: number
 }
 
-/** How long the log may hold a read open (long polling). Half of it doubles the idle reads of the log. */
+/** How long the log may hold a read open (long polling), to limit the reads of an idle log. */
 const READ_WAIT_MS = 2000
 /** Age up to which the view counts as current: one long poll without records, plus 500 ms for its response. */
 const MAX_VIEW_AGE_MS = READ_WAIT_MS + 500
-/** Records per read. Half as many double the reads of a starting entry; twice as many double the size of each response. */
+/** Records per read: limits the size of a response, at the cost of more reads by a starting entry. */
 const READ_LIMIT = 5000
-/** Delay after a failed read. Shorter delays send more reads to a log that is down; longer delays detect its recovery later. */
+/** Delay after a failed read. Limits the reads of a log that is down, at the cost of detecting its recovery later. */
 const READ_RETRY_MS = 100
-/** Claims examined per page, which bounds the time of an expiry. Fewer than arrive would let old claims accumulate. */
+/** Claims examined per page, which bounds the time of an expiry. Must be sufficient for the rate of new claims, or old ones accumulate. */
 const MAX_EXPIRY_STEPS = 32
 /** Multiple of `memoryMs` for which claims are kept: a request id may be that old on arrival, and its retry as old again. */
 const RETENTION_FACTOR = 2
@@ -89,7 +89,7 @@
 export class ClaimRegistry {
   private readonly claims = new Map<string, Claim>()
   /** Resolvers of this incarnation's claim attempts that have not been read back, by claim id. */
-  private readonly waiting = new Map<string, (result: ClaimResult) => void>()
+  private readonly resolvers = new Map<string, (result: ClaimResult) => void>()
   /** Ids of this incarnation's claims that will never be used. */
   private readonly abandoned = new Set<string>()
   private readonly appender: ClaimAppender
@@ -168,7 +168,7 @@
   claim(account: string, requestId: string): ClaimAttempt {
     const { incarnation, address } = this.options
     const claimId = uuidv7()
-    const result = new Promise<ClaimResult>(settle => this.waiting.set(claimId, settle))
+    const result = new Promise<ClaimResult>(settle => this.resolvers.set(claimId, settle))
     this.appender.add({ record: ClaimRecordKind.Claim, claimId, account, requestId, incarnation, address })
     return { claimId, result }
   }
@@ -237,8 +237,8 @@
   /** Resolves the pending attempt of a claim that was read back. */
   private resolveAttempt(claimId: string, winner: Claim): void {
     const won = winner.claimId === claimId
-    const settle = this.waiting.get(claimId)
-    this.waiting.delete(claimId)
+    const settle = this.resolvers.get(claimId)
+    this.resolvers.delete(claimId)
     if (settle)
       settle(this.createResult(won, winner))
     else if (won && this.abandoned.has(claimId))
@@ -265,10 +265,10 @@
   }
 
   private failAttempt(claimId: string, kind: ClaimResultKind.Unavailable | ClaimResultKind.InDoubt): void {
-    const settle = this.waiting.get(claimId)
+    const settle = this.resolvers.get(claimId)
     if (!settle)
       return
-    this.waiting.delete(claimId)
+    this.resolvers.delete(claimId)
     // If the claim still appears in the log, it is released then.
     if (kind === ClaimResultKind.InDoubt)
       this.abandoned.add(claimId)
--- a/packages/daemon/src/request/authority/not-run-proof.ts
+++ b/packages/daemon/src/request/authority/not-run-proof.ts
@@ -18,7 +18,7 @@
 import type { ClaimRegistry } from './claims.js'
 import { OutcomeState } from '../../connection/messages.js'
 
-/** Maximum lag of the VM list. A shorter time misses entries that are listed late; a longer one queries more dead entries. */
+/** Maximum lag of the VM list: covers entries that are listed late, at the cost of querying dead ones. */
 const LIST_LAG_MS = 30_000
 
 /** Recent contents of the platform's VM list. */
--- a/packages/daemon/src/request/authority/outcome-finder.ts
+++ b/packages/daemon/src/request/authority/outcome-finder.ts
@@ -1,7 +1,7 @@
 /**
  * Finds the outcome of a request that only another process incarnation may run.
  * Forwards the request to the incarnation that issued its ticket or queries the
- * holder of its claim; if that incarnation is gone, looks up the result of the last
+ * holder of its claim; if that incarnation cannot be reached, looks up the result of the last
  * stage at the sides. Never runs the request itself.
  *
  * Uses the outcomes and claims of this entry, its connections to other entries and
--- a/packages/daemon/src/request/authority/run-authority.ts
+++ b/packages/daemon/src/request/authority/run-authority.ts
@@ -48,7 +48,7 @@
 /** Whether this entry may run a request; if not, the answer and the state to record for the request. */
 export type Authority = { granted: true } | { granted: false, answer: RequestAnswer, state: OutcomeState }
 
-/** Tolerated clock skew of callers. A lower value rejects callers with less accurate clocks; a higher one keeps claims longer. */
+/** Tolerated clock skew of callers, for callers with inaccurate clocks; claims are kept that much longer. */
 const MAX_CLOCK_SKEW_MS = 60_000
 
 /** Claim result in logs and metrics if the request ended before the log answered. */
--- a/packages/daemon/src/request/authority/tickets.ts
+++ b/packages/daemon/src/request/authority/tickets.ts
@@ -13,7 +13,8 @@
  *
  * Log events: `forward`; rejected tickets appear as `ticket-invalid` in `answer`.
  *
- * State: only the key. A ticket is rejected after the end of its process.
+ * State: only the key. A request whose ticket outlives its process is not run; other
+ * entries only look up its result.
  */
 import type { Result } from 'ts-results-es'
 import type { IssuedTicket } from '../../connection/caller-service.js'
--- a/packages/daemon/src/request/plan.ts
+++ b/packages/daemon/src/request/plan.ts
@@ -54,7 +54,7 @@
 
 /** Name of the only stage of a plain service in logs, metrics and stage identities. */
 const SERVICE_STAGE = 'call'
-/** Default deadline for plain services. A lower value fails calls to slow services; a higher one delays callers of a dead one. */
+/** Default deadline for plain services: long enough for slow ones, short enough for callers of a dead one. */
 const DEFAULT_SERVICE_DEADLINE_MS = 1000
 
 /** Idempotent methods (RFC 9110, section 9.2.2). */
--- a/packages/daemon/src/request/request-log.ts
+++ b/packages/daemon/src/request/request-log.ts
@@ -21,11 +21,11 @@
   }
 
   /** Event `admit`, or `shed` with the error kind. */
-  decidedAdmission(incoming: IncomingRequest, requestId: string, input: AdmissionInput, refusal: RequestError | undefined): void {
-    this.recorder.record(refusal ? 'shed' : 'admit', requestId, {
+  decidedAdmission(incoming: IncomingRequest, requestId: string, input: AdmissionInput, shedError: RequestError | undefined): void {
+    this.recorder.record(shedError ? 'shed' : 'admit', requestId, {
       account: incoming.account,
       target: incoming.plan.target,
-      kind: refusal?.kind,
+      kind: shedError?.kind,
       inFlight: input.inFlight,
       accountInFlight: input.accountInFlight,
       expectedMs: input.expectedMs,
--- a/packages/daemon/src/request/request-runner.ts
+++ b/packages/daemon/src/request/request-runner.ts
@@ -28,11 +28,11 @@
   metrics: RequestMetrics
 }
 
-/** Quantile of recent durations reserved for later stages. The median would reserve too little for half of their runs. */
+/** Quantile of recent durations reserved for later stages: nine of ten of their runs fit into the reserved time. */
 const RESERVED_QUANTILE = 0.9
 /**
- * Characters at the start of the input that identify its prompt prefix. Fewer would group prompts
- * with different prefixes; more would separate prompts that share one.
+ * Characters at the start of the input that identify its prompt prefix: enough to distinguish prompts
+ * with different prefixes without separating those that share one.
  */
 const PREFIX_KEY_LENGTH = 64
 
--- a/packages/daemon/src/request/request-service.ts
+++ b/packages/daemon/src/request/request-service.ts
@@ -96,9 +96,9 @@
   }
 
   private async admitAndRun(incoming: IncomingRequest, requestId: string): Promise<RequestAnswer> {
-    const shed = this.admit(incoming, requestId)
-    if (shed)
-      return this.authority.answerNotRun(incoming, requestId, shed)
+    const shedError = this.admit(incoming, requestId)
+    if (shedError)
+      return this.authority.answerNotRun(incoming, requestId, shedError)
     const { account, share, plan, body } = incoming
     const { outcomes, metrics } = this.options
     const outcome = outcomes.add(createRequestKey(account, requestId), digestRequest(plan.target, body), plan.unrepeatable)
@@ -129,9 +129,9 @@
       ...estimateDuration(plan, this.options.membership),
     }
     const isTableFull = plan.unrepeatable && !this.options.outcomes.hasCapacity
-    const shed = isTableFull ? createOutcomeTableFullError() : this.options.admission.decide(input)
-    this.log.decidedAdmission(incoming, requestId, input, shed)
-    return shed
+    const shedError = isTableFull ? createOutcomeTableFullError() : this.options.admission.decide(input)
+    this.log.decidedAdmission(incoming, requestId, input, shedError)
+    return shedError
   }
 
   private async runWithAuthority(incoming: IncomingRequest, requestId: string, outcome: Outcome): Promise<RequestAnswer> {
--- a/packages/daemon/src/request/side/stage-queue.ts
+++ b/packages/daemon/src/request/side/stage-queue.ts
@@ -55,26 +55,26 @@
 export interface StageQueue {
   readonly size: number
   /** Adds a call to the queue, or returns the reason why it is refused. */
-  offer: (waiting: QueuedCall, server: ServerState) => RefusalReason | undefined
+  offer: (queuedCall: QueuedCall, server: ServerState) => RefusalReason | undefined
   /** Removes and returns the next call to run and the calls ahead of it that can no longer finish in time. */
   take: (now: number) => { next?: QueuedCall, late: QueuedCall[] }
   /** Removes a call; returns whether it was queued. */
-  remove: (waiting: QueuedCall) => boolean
+  remove: (queuedCall: QueuedCall) => boolean
   countByPriority: () => QueuedByPriority
 }
 
 /** Rank of each priority; lower ranks run first. */
 const PRIORITY_RANK: Record<Priority, number> = { [Priority.High]: 0, [Priority.Normal]: 1, [Priority.Low]: 2 }
 
-function countByPriority(waiting: readonly QueuedCall[]): QueuedByPriority {
+function countByPriority(calls: readonly QueuedCall[]): QueuedByPriority {
   const counts = { [Priority.High]: 0, [Priority.Normal]: 0, [Priority.Low]: 0 }
-  for (const { call } of waiting)
+  for (const { call } of calls)
     counts[call.priority]++
   return counts
 }
 
-function removeFrom(list: QueuedCall[], waiting: QueuedCall): boolean {
-  const index = list.indexOf(waiting)
+function removeFrom(list: QueuedCall[], queuedCall: QueuedCall): boolean {
+  const index = list.indexOf(queuedCall)
   if (index < 0)
     return false
   list.splice(index, 1)
@@ -83,27 +83,27 @@
 
 /** Unbounded FIFO queue that ignores deadlines (setting `queue = fifo`), a baseline for comparison. */
 export class FifoQueue implements StageQueue {
-  private readonly waiting: QueuedCall[] = []
+  private readonly calls: QueuedCall[] = []
 
   get size(): number {
-    return this.waiting.length
+    return this.calls.length
   }
 
-  offer(waiting: QueuedCall): RefusalReason | undefined {
-    this.waiting.push(waiting)
+  offer(queuedCall: QueuedCall): RefusalReason | undefined {
+    this.calls.push(queuedCall)
     return undefined
   }
 
   take(): { next?: QueuedCall, late: QueuedCall[] } {
-    return { next: this.waiting.shift(), late: [] }
+    return { next: this.calls.shift(), late: [] }
   }
 
-  remove(waiting: QueuedCall): boolean {
-    return removeFrom(this.waiting, waiting)
+  remove(queuedCall: QueuedCall): boolean {
+    return removeFrom(this.calls, queuedCall)
   }
 
   countByPriority(): QueuedByPriority {
-    return countByPriority(this.waiting)
+    return countByPriority(this.calls)
   }
 }
 
@@ -120,32 +120,32 @@
 
 /** Orders calls by priority, then by earliest deadline, and immediately refuses calls that cannot finish in time. */
 export class DeadlineQueue implements StageQueue {
-  private readonly waiting: QueuedCall[] = []
+  private readonly calls: QueuedCall[] = []
   private bytes = 0
 
   constructor(private readonly options: DeadlineQueueOptions) {}
 
   get size(): number {
-    return this.waiting.length
+    return this.calls.length
   }
 
-  offer(waiting: QueuedCall, server: ServerState): RefusalReason | undefined {
+  offer(queuedCall: QueuedCall, server: ServerState): RefusalReason | undefined {
     const free = server.running < server.slots
-    if (!free && this.waiting.length >= this.options.limit)
+    if (!free && this.calls.length >= this.options.limit)
       return RefusalReason.Full
-    if (this.bytes + waiting.call.input.length > this.options.bytes && this.waiting.length > 0)
+    if (this.bytes + queuedCall.call.input.length > this.options.bytes && this.calls.length > 0)
       return RefusalReason.Full
-    const expectedFinish = server.now + this.expectedWait(waiting, server) + waiting.expectedServiceMs
-    if (expectedFinish > waiting.finishBy)
+    const expectedFinish = server.now + this.expectedWait(queuedCall, server) + queuedCall.expectedServiceMs
+    if (expectedFinish > queuedCall.finishBy)
       return RefusalReason.Late
-    this.insert(waiting)
+    this.insert(queuedCall)
     return undefined
   }
 
   take(now: number): { next?: QueuedCall, late: QueuedCall[] } {
     const late: QueuedCall[] = []
     for (;;) {
-      const next = this.waiting.shift()
+      const next = this.calls.shift()
       if (!next)
         return { late }
       this.bytes -= next.call.input.length
@@ -155,31 +155,31 @@
     }
   }
 
-  remove(waiting: QueuedCall): boolean {
-    const removed = removeFrom(this.waiting, waiting)
+  remove(queuedCall: QueuedCall): boolean {
+    const removed = removeFrom(this.calls, queuedCall)
     if (removed)
-      this.bytes -= waiting.call.input.length
+      this.bytes -= queuedCall.call.input.length
     return removed
   }
 
   countByPriority(): QueuedByPriority {
-    return countByPriority(this.waiting)
+    return countByPriority(this.calls)
   }
 
   /** Expected milliseconds until a slot is free, given the work ahead of the call. */
-  private expectedWait(waiting: QueuedCall, server: ServerState): number {
-    if (server.running < server.slots && this.waiting.length === 0)
+  private expectedWait(queuedCall: QueuedCall, server: ServerState): number {
+    if (server.running < server.slots && this.calls.length === 0)
       return 0
-    const before = this.waiting.filter(other => runsBefore(other, waiting))
+    const before = this.calls.filter(other => runsBefore(other, queuedCall))
     const work = before.reduce((sum, other) => sum + other.expectedServiceMs, 0)
-    const runningWork = waiting.expectedServiceMs * server.running * REMAINING_FRACTION
+    const runningWork = queuedCall.expectedServiceMs * server.running * REMAINING_FRACTION
     return (work + runningWork) / server.slots
   }
 
-  private insert(waiting: QueuedCall): void {
-    const index = this.waiting.findIndex(other => !runsBefore(other, waiting))
-    this.waiting.splice(index < 0 ? this.waiting.length : index, 0, waiting)
-    this.bytes += waiting.call.input.length
+  private insert(queuedCall: QueuedCall): void {
+    const index = this.calls.findIndex(other => !runsBefore(other, queuedCall))
+    this.calls.splice(index < 0 ? this.calls.length : index, 0, queuedCall)
+    this.bytes += queuedCall.call.input.length
   }
 }
 
--- a/packages/daemon/src/request/side/stage-runner.ts
+++ b/packages/daemon/src/request/side/stage-runner.ts
@@ -59,12 +59,12 @@
   metrics: StageMetrics
 }
 
-/** Minimum retry delay after a refusal. Half of it doubles the retries at a full side; twice delays calls that would fit. */
+/** Minimum retry delay after a refusal. Limits the retries at a full side, at the cost of delaying calls that would fit sooner. */
 const MIN_RETRY_AFTER_MS = 50
 
 /** Runs stage calls at one side. */
 export class StageRunner {
-  private readonly pending = new Map<QueuedCall, BackendRun>()
+  private readonly queuedRuns = new Map<QueuedCall, BackendRun>()
   private readonly times = new ServiceTimes()
   private running = 0
 
@@ -72,7 +72,7 @@
 
   /** Whether no call is running or queued. */
   get idle(): boolean {
-    return this.running === 0 && this.pending.size === 0
+    return this.running === 0 && this.queuedRuns.size === 0
   }
 
   /** Returns the load of the side as reported to entries. */
@@ -125,7 +125,7 @@
   refuseQueuedIfLeaving(): void {
     if (!this.options.side.backendLeaving)
       return
-    for (const run of [...this.pending.values()])
+    for (const run of [...this.queuedRuns.values()])
       this.refuseQueued(run, RefusalReason.Draining)
   }
 
@@ -140,13 +140,13 @@
     const { queue, slots, table } = this.options
     const now = performance.now()
     const expectedServiceMs = this.times.expectedMs(call)
-    const waiting: QueuedCall = { call, arrivedAt: now, finishBy: now + call.budgetMs, expectedServiceMs }
-    const refusal = queue.offer(waiting, { now, running: this.running, slots })
+    const queuedCall: QueuedCall = { call, arrivedAt: now, finishBy: now + call.budgetMs, expectedServiceMs }
+    const refusal = queue.offer(queuedCall, { now, running: this.running, slots })
     if (refusal)
       return Promise.resolve(this.refuse(call, refusal))
     const run = table.add(call)
     addTokenListener(run, onToken)
-    this.pending.set(waiting, run)
+    this.queuedRuns.set(queuedCall, run)
     this.startNext()
     return run.reply
   }
@@ -156,22 +156,22 @@
     this.refuseQueuedIfLeaving()
     while (this.running < this.options.slots) {
       const { next, late } = this.options.queue.take(performance.now())
-      for (const waiting of late)
-        this.refuseQueued(this.pending.get(waiting)!, RefusalReason.Late)
+      for (const queuedCall of late)
+        this.refuseQueued(this.queuedRuns.get(queuedCall)!, RefusalReason.Late)
       if (!next)
         return
-      const run = this.pending.get(next)!
-      this.pending.delete(next)
+      const run = this.queuedRuns.get(next)!
+      this.queuedRuns.delete(next)
       void this.execute(run, next)
     }
   }
 
-  private async execute(run: BackendRun, waiting: QueuedCall): Promise<void> {
+  private async execute(run: BackendRun, queuedCall: QueuedCall): Promise<void> {
     const { metrics, table } = this.options
     this.running++
     run.started = true
     const startedAt = performance.now()
-    const result = await this.callBackend(run, waiting.finishBy - startedAt)
+    const result = await this.callBackend(run, queuedCall.finishBy - startedAt)
     const serviceMs = performance.now() - startedAt
     this.running--
     if (result.outcome === BackendOutcome.Done)
@@ -181,7 +181,7 @@
     const reply = createBackendReply(this.replyBase(run.call), {
       result,
       cancelled: run.cancelled,
-      queueMs: startedAt - waiting.arrivedAt,
+      queueMs: startedAt - queuedCall.arrivedAt,
       serviceMs,
       retryAfterMs: MIN_RETRY_AFTER_MS,
     })
@@ -218,11 +218,11 @@
   }
 
   private refuseQueued(run: BackendRun, reason: RefusalReason): void {
-    for (const [waiting, pending] of this.pending) {
-      if (pending !== run)
+    for (const [queuedCall, queuedRun] of this.queuedRuns) {
+      if (queuedRun !== run)
         continue
-      this.options.queue.remove(waiting)
-      this.pending.delete(waiting)
+      this.options.queue.remove(queuedCall)
+      this.queuedRuns.delete(queuedCall)
       this.options.table.finish(run, this.refuse(run.call, reason))
       return
     }
--- a/packages/daemon/src/request/side/stage-table.ts
+++ b/packages/daemon/src/request/side/stage-table.ts
@@ -36,7 +36,7 @@
   started: boolean
 }
 
-/** Tombstones examined per change, which bounds the time of an eviction. Fewer than are added would let old ones accumulate. */
+/** Tombstones examined per change, which bounds the time of an eviction. Must exceed the number added per change, or old ones accumulate. */
 const MAX_EVICTION_STEPS = 64
 
 /** The table of stage calls. */
--- a/packages/daemon/src/request/stages/choice.ts
+++ b/packages/daemon/src/request/stages/choice.ts
@@ -72,8 +72,8 @@
 }
 
 /**
- * Fraction of the service time assumed to be saved by a warm prefix cache. A lower value
- * gives up a warm server sooner, a higher one queues behind it for longer.
+ * Fraction of the service time assumed to be saved by a warm prefix cache. Determines how much
+ * longer a call may queue at a warm server than at another one.
  */
 const WARM_CACHE_SAVING = 0.3
 /** Round-trip time to another failure domain. Only breaks ties between equally loaded servers. */
@@ -140,11 +140,11 @@
 
 /** Selects a candidate by rendezvous hashing, so that few keys move when candidates are added or removed. */
 export function selectByRendezvousHash<Candidate extends { backendName: string }>(candidates: readonly Candidate[], key: string): Candidate {
-  const rank = (candidate: Candidate): number => rendezvousHash(candidate.backendName, key)
-  return candidates.reduce((best, candidate) => rank(candidate) > rank(best) ? candidate : best)
+  const score = (candidate: Candidate): number => rendezvousHash(candidate.backendName, key)
+  return candidates.reduce((best, candidate) => score(candidate) > score(best) ? candidate : best)
 }
 
-/** Rendezvous weight of a name for a key. */
+/** Rendezvous score of a name for a key. */
 export function rendezvousHash(name: string, key: string): number {
   return createHash('sha1').update(`${name}\0${key}`).digest().readUInt32BE(0)
 }
--- a/packages/daemon/src/request/stages/retry.ts
+++ b/packages/daemon/src/request/stages/retry.ts
@@ -26,7 +26,7 @@
   tryAcquire: (attempt: number) => boolean
 }
 
-/** Calls per stage, including the first. Half as many allow no retry; twice as many load a failing pool six times over. */
+/** Calls per stage, including the first. Allows two retries; a failing pool receives up to three times its normal load. */
 const MAX_FIXED_ATTEMPTS = 3
 
 /** Fixed number of calls per stage (setting `retry = fixed`), a baseline for comparison. */
@@ -38,13 +38,13 @@
   }
 }
 
-/** Tokens per started stage. Half as many fail requests when 10% of calls fail; twice as many add up to 40% load. */
+/** Tokens per started stage: enough retries when 10% of calls fail, for at most 20% additional load. */
 const RETRY_TOKENS_PER_STAGE = 0.2
 /** Initial tokens, so that a new entry can retry at once. Affects only about its first 50 calls. */
 const INITIAL_RETRY_TOKENS = 10
-/** Maximum tokens. Fewer cover shorter bursts of failures; more allow longer bursts of additional load. */
+/** Maximum tokens. Covers a burst of failures and limits the additional load that it causes. */
 const MAX_RETRY_TOKENS = 50
-/** Calls per stage, including the first. Half as many leave a single retry; twice as many rarely fit into a deadline. */
+/** Calls per stage, including the first: several backend servers can be tried; more calls rarely fit into a deadline. */
 const MAX_BUDGET_ATTEMPTS = 5
 
 /** Limits retries to a fraction of recent calls to avoid overloading a failing pool. */
--- a/packages/daemon/src/request/stages/stage-attempt.ts
+++ b/packages/daemon/src/request/stages/stage-attempt.ts
@@ -32,8 +32,8 @@
 }
 
 /**
- * Delay before a call whose reply was lost is sent again. A shorter delay sends more calls to
- * a side that is restarting; doubling it adds up to 50 ms to a call that recovers.
+ * Delay before a call whose reply was lost is sent again. Limits the calls to a side that is
+ * restarting, at the cost of up to 50 ms for a call that recovers.
  */
 const RESEND_DELAY_MS = 50
 
--- a/packages/daemon/src/request/stages/stage-budget.ts
+++ b/packages/daemon/src/request/stages/stage-budget.ts
@@ -31,8 +31,8 @@
 }
 
 /**
- * Minimum fraction of the remaining time. A lower value starves a stage after a single slow run of
- * the later stages; a higher value starves the later stages.
+ * Minimum fraction of the remaining time. Keeps a single slow run of the later stages from starving
+ * this one, and leaves most of the time to them.
  */
 const MIN_SHARE = 0.25
 
--- a/packages/daemon/src/request/stages/stage-failure.ts
+++ b/packages/daemon/src/request/stages/stage-failure.ts
@@ -52,7 +52,7 @@
 /** Next step after a failed call, with the error if the request fails. */
 export type FailureDecision = { step: FailureStep.Retry } | { step: FailureStep.Fail, error: RequestError }
 
-/** Decides the next step after a failed call. Consults the retry policy last, because asking it consumes a retry. */
+/** Decides the next step after a failed call. Consults the retry policy last, because it consumes a retry. */
 export function decideOnFailure(failed: FailedCall, retry: RetryPolicy): FailureDecision {
   const mayHaveRun = !isProvablyNotRun(failed.result)
   if (mayHaveRun && failed.unrepeatable)
@@ -76,7 +76,7 @@
 /** Refusals caused by a lack of capacity rather than by a backend server that is leaving. */
 const CAPACITY_REFUSALS = new Set([RefusalReason.Full, RefusalReason.Late])
 
-/** Creates the error for a stage with no backend server left to call. The latest refusal tells whether they were full or leaving. */
+/** Creates the error for a stage with no backend server left to call. The latest refusal shows whether they were full or leaving. */
 export function createNoBackendError(stageName: string, refusal: RefusedReply | undefined, ran: Ran): RequestError {
   const details = { ran, retryAfterMs: refusal?.retryAfterMs }
   if (refusal && CAPACITY_REFUSALS.has(refusal.reason)) {
--- a/packages/daemon/src/version/checkpoint-timing.ts
+++ b/packages/daemon/src/version/checkpoint-timing.ts
@@ -20,14 +20,14 @@
  */
 
 /**
- * Fraction of the retention after which a checkpoint is due. A quarter would
- * double the number of checkpoints; a value close to 1 would leave no time to
- * append one before the log drops records.
+ * Fraction of the retention after which a checkpoint is due. The rest of the
+ * retention remains to append one before the log drops records, at the cost of
+ * more frequent checkpoints.
  */
 const DUE_FRACTION = 0.5
-/** Average number of checks per due time. Half as many would still leave time for two before records are dropped. */
+/** Average number of checks per due time. With the longest jitter, three still follow the due time before records are dropped. */
 const CHECKS_PER_DUE_TIME = 5
-/** Lowest jitter factor of the delay between checks; the highest is one more. The exact spread is not critical. */
+/** Lowest jitter factor of the delay between checks; the highest is one more. Keeps entries from checking at the same time; the exact spread is not critical. */
 const MIN_JITTER = 0.5
 
 /** Age at which a checkpoint is due. */
--- a/packages/daemon/src/version/follower.ts
+++ b/packages/daemon/src/version/follower.ts
@@ -29,11 +29,11 @@
   pageSize?: number
 }
 
-/** Half would double the reads of an idle log; twice as long would approach the age at which a configuration counts as outdated. */
+/** Limits the reads of an idle log; must stay well below the age of 5 s at which a configuration counts as outdated. */
 const READ_WAIT_MS = 2000
-/** Half would double the requests to an unavailable log; a longer delay would postpone changes after its recovery. */
+/** Limits the requests to an unavailable log, at the cost of later changes after its recovery. */
 const RETRY_MS = 250
-/** Smaller pages need more reads at start-up; larger ones increase the size of responses. */
+/** Limits the size of a response, at the cost of more reads at start-up. */
 const PAGE_SIZE = 1000
 
 /** Background task of a process that tails the configuration stream. */
--- a/packages/daemon/src/version/publisher.ts
+++ b/packages/daemon/src/version/publisher.ts
@@ -54,9 +54,9 @@
   timeoutMs?: number
 }
 
-/** Half can report the outcome as unknown if the log is loaded; a longer timeout keeps the operator waiting. */
+/** Time for a loaded log to confirm the outcome before it is reported as unknown; the operator waits that long at most. */
 const PUBLISH_TIMEOUT_MS = 5000
-/** Half would double the load on an unavailable log; a longer delay would postpone the result. */
+/** Limits the load on an unavailable log, at the cost of a later result. */
 const RETRY_MS = 100
 
 /**
--- a/test/request/authority/run-authority.test.ts
+++ b/test/request/authority/run-authority.test.ts
@@ -7,8 +7,8 @@
 import { beforeEach, describe, expect, test, vi } from 'vitest'
 
 const ACCOUNT = 'medidores-sur'
-const SHED = createError(ErrorKind.NoBackend, 'no backend server takes work')
-const ASKED = createError(ErrorKind.OutcomeUnknown, 'the holder was asked')
+const SHED = createError(ErrorKind.NoBackend, 'no backend server accepts work')
+const HOLDER_QUERIED = createError(ErrorKind.OutcomeUnknown, 'the holder was queried')
 
 /** A log that can be made unavailable. */
 class FakeLog implements LogClient {
@@ -54,7 +54,7 @@
   claims.apply(log.page(0))
   authority = new RunAuthority({
     claims,
-    finder: { queryHolder: async () => Err(ASKED) },
+    finder: { queryHolder: async () => Err(HOLDER_QUERIED) },
     proof: { holds: async () => othersReportNotRun },
     claimMemoryMs: 600_000,
     log: { claimed: vi.fn() },
--- a/test/request/side/stage-runner.test.ts
+++ b/test/request/side/stage-runner.test.ts
@@ -134,10 +134,10 @@
   ])('that are queued are refused %s if the backend server is leaving, and running ones finish', async (_name, next) => {
     const harness = new SideHarness()
     const running = harness.run(createStageCall())
-    const waiting = harness.run(createStageCall())
+    const queued = harness.run(createStageCall())
     harness.backendLeaving = true
     next(harness)
-    expect(await waiting).toMatchObject({ kind: StageReplyKind.Refused, reason: RefusalReason.Draining })
+    expect(await queued).toMatchObject({ kind: StageReplyKind.Refused, reason: RefusalReason.Draining })
     harness.finishOldest(BackendOutcome.Done)
     expect(await running).toMatchObject({ kind: StageReplyKind.Done })
     expect(harness.backend.started).toHaveLength(1)
--- a/test/request/stages/stage-failure.test.ts
+++ b/test/request/stages/stage-failure.test.ts
@@ -69,10 +69,10 @@
   })
 
   test('does not consult the retry policy if the call must not be retried anyway', () => {
-    const taken: number[] = []
-    const retry = { recordFirstCall: () => {}, tryAcquire: (attempt: number) => taken.push(attempt) > 0 }
+    const acquired: number[] = []
+    const retry = { recordFirstCall: () => {}, tryAcquire: (attempt: number) => acquired.push(attempt) > 0 }
     decide({ unrepeatable: true, ran: Ran.Unknown }, retry)
     decide({ result: NOT_SENT, ended: true }, retry)
-    expect(taken).toEqual([])
+    expect(acquired).toEqual([])
   })
 })
