--- a/packages/daemon/src/connection/caller-server.ts
+++ b/packages/daemon/src/connection/caller-server.ts
@@ -125,8 +125,8 @@
     const body = await this.readBody(request)
     if (body.isErr())
       return rejectRequest(exchange, body.error)
-    const callerGone = createDisconnectSignal(exchange.response)
-    await this.run(path, exchange, { caller: caller.value, body: body.value, arrivedAt: exchange.arrivedAt, callerGone })
+    const callerSignal = createDisconnectSignal(exchange.response)
+    await this.run(path, exchange, { caller: caller.value, body: body.value, arrivedAt: exchange.arrivedAt, callerSignal })
   }
 
   private readBody(request: IncomingMessage): Promise<Result<string, RequestError>> {
--- a/packages/daemon/src/connection/caller-service.ts
+++ b/packages/daemon/src/connection/caller-service.ts
@@ -24,7 +24,7 @@
   /** Arrival time of the request's headers (monotonic, in milliseconds). */
   arrivedAt: number
   /** Aborts if the caller disconnects before its response was written. */
-  callerGone: AbortSignal
+  callerSignal: AbortSignal
 }
 
 export interface PipelineCall extends CallerCall {
--- a/packages/daemon/src/connection/entry-peers.ts
+++ b/packages/daemon/src/connection/entry-peers.ts
@@ -5,7 +5,7 @@
  * times out.
  */
 import type { Configuration, ConfigurationDifference } from '../version/configuration.js'
-import type { ForwardedRequest, HeartbeatReply, OutcomeQuestion, OutcomeReply } from './messages.js'
+import type { ForwardedRequest, HeartbeatReply, OutcomeQuery, OutcomeReply } from './messages.js'
 import type { EntryClient, PeerConnection } from './peer-connection.js'
 import { createLogger } from '@eidermast/common'
 import { ObjectKind } from '../version/objects.js'
@@ -49,7 +49,7 @@
 export enum ForwardState {
   Answered = 'answered',
   /** The target process incarnation has ended or cannot be reached. */
-  Gone = 'gone',
+  Unreachable = 'gone',
   /** The target was reached, but its answer was lost. */
   Lost = 'lost',
 }
@@ -68,8 +68,8 @@
   constructor(private readonly options: EntryPeersOptions) {}
 
   /** Queries an entry for the outcome of a request; undefined if it does not reply in time. */
-  async askOutcome(address: string, question: OutcomeQuestion): Promise<OutcomeReply | undefined> {
-    const answer = await this.query(address, client => client.outcome.query(question), OUTCOME_TIMEOUT_MS)
+  async queryOutcome(address: string, query: OutcomeQuery): Promise<OutcomeReply | undefined> {
+    const answer = await this.query(address, client => client.outcome.query(query), OUTCOME_TIMEOUT_MS)
     return outcomeReplySchema.safeParse(answer).data
   }
 
@@ -84,7 +84,7 @@
   async forward(address: string, incarnation: string, request: ForwardedRequest): Promise<ForwardResult> {
     const peer = await this.connect(address)
     if (peer?.heartbeat.incarnation !== incarnation)
-      return { state: ForwardState.Gone, answer: '' }
+      return { state: ForwardState.Unreachable, answer: '' }
     const result = await callPeer(peer.connection, client => client.forward.mutate(request), request.deadlineMs)
     if (result.state === CallState.Answered)
       return { state: ForwardState.Answered, answer: result.value }
--- a/packages/daemon/src/connection/messages.ts
+++ b/packages/daemon/src/connection/messages.ts
@@ -197,10 +197,10 @@
 }
 
 /** Queries an entry for the outcome of a request. */
-export const outcomeQuestionSchema = z.object({ account: z.string(), requestId: z.string() })
+export const outcomeQuerySchema = z.object({ account: z.string(), requestId: z.string() })
 
 /** Queries a side for the finished result of a stage of a request. */
-export const resultQuestionSchema = outcomeQuestionSchema.extend({
+export const resultQuerySchema = outcomeQuerySchema.extend({
   stage: z.string(),
   /** The caller's input; excludes a different request with the same id. */
   body: z.string(),
@@ -228,8 +228,8 @@
 export type StreamMessage = z.infer<typeof streamMessageSchema>
 export type DifferenceRequest = z.infer<typeof differenceRequestSchema>
 export type ForwardedRequest = z.infer<typeof forwardedRequestSchema>
-export type OutcomeQuestion = z.infer<typeof outcomeQuestionSchema>
-export type ResultQuestion = z.infer<typeof resultQuestionSchema>
+export type OutcomeQuery = z.infer<typeof outcomeQuerySchema>
+export type ResultQuery = z.infer<typeof resultQuerySchema>
 export type OutcomeReply = z.infer<typeof outcomeReplySchema>
 
 /** Result of a cancellation. */
--- a/packages/daemon/src/connection/peer-router.ts
+++ b/packages/daemon/src/connection/peer-router.ts
@@ -12,9 +12,9 @@
   ForwardedRequest,
   Heartbeat,
   HeartbeatReply,
-  OutcomeQuestion,
+  OutcomeQuery,
   OutcomeReply,
-  ResultQuestion,
+  ResultQuery,
   StageCall,
   StageReply,
   StreamMessage,
@@ -26,8 +26,8 @@
   differenceSchema,
   forwardedRequestSchema,
   heartbeatSchema,
-  outcomeQuestionSchema,
-  resultQuestionSchema,
+  outcomeQuerySchema,
+  resultQuerySchema,
   stageCallSchema,
 } from './messages.js'
 
@@ -79,14 +79,14 @@
   run: (call: StageCall) => Promise<StageReply>
   stream: (call: StageCall, signal?: AbortSignal) => AsyncIterable<StreamMessage>
   cancel: (key: string) => CancelReply
-  findResult: (question: ResultQuestion) => StageReply | undefined
+  findResult: (query: ResultQuery) => StageReply | undefined
 }
 
 /** Operations of an entry. */
 export interface EntryService extends PeerService {
   /** Runs a request under its ticket, or joins it if this entry holds its claim. Returns the answer as JSON text. */
   forward: (request: ForwardedRequest) => Promise<string>
-  outcome: (question: OutcomeQuestion) => OutcomeReply
+  outcome: (query: OutcomeQuery) => OutcomeReply
 }
 
 function createCommonProcedures(service: PeerService) {
@@ -107,7 +107,7 @@
       yield* service.stream(input, signal)
     }),
     cancel: trpc.procedure.input(z.object({ key: z.string() })).mutation(({ input }) => service.cancel(input.key)),
-    findResult: trpc.procedure.input(resultQuestionSchema).query(({ input }) => service.findResult(input)),
+    findResult: trpc.procedure.input(resultQuerySchema).query(({ input }) => service.findResult(input)),
   })
 }
 
@@ -115,7 +115,7 @@
   return trpc.router({
     ...createCommonProcedures(service),
     forward: trpc.procedure.input(forwardedRequestSchema).mutation(({ input }) => service.forward(input)),
-    outcome: trpc.procedure.input(outcomeQuestionSchema).query(({ input }) => service.outcome(input)),
+    outcome: trpc.procedure.input(outcomeQuerySchema).query(({ input }) => service.outcome(input)),
   })
 }
 
--- a/packages/daemon/src/connection/side-link.ts
+++ b/packages/daemon/src/connection/side-link.ts
@@ -6,7 +6,7 @@
  */
 import type { Configuration } from '../version/configuration.js'
 import type { LinkResult, LinkTokenListener } from './link-call.js'
-import type { CancelReply, Load, ResultQuestion, StageCall, StageReply } from './messages.js'
+import type { CancelReply, Load, ResultQuery, StageCall, StageReply } from './messages.js'
 import type { PeerConnection, SideClient } from './peer-connection.js'
 import type { ConfigurationFreshness } from './side-heartbeats.js'
 import { createLogger, wait } from '@eidermast/common'
@@ -126,11 +126,11 @@
   }
 
   /** Queries the side for the finished result of a stage of a request; undefined if it has none or does not reply. */
-  async findResult(question: ResultQuestion): Promise<StageReply | undefined> {
+  async findResult(query: ResultQuery): Promise<StageReply | undefined> {
     const connection = this.connection
     if (!connection?.isOpen())
       return undefined
-    const result = await callPeer(connection, client => client.findResult.query(question), this.heartbeats.replyTimeoutMs)
+    const result = await callPeer(connection, client => client.findResult.query(query), this.heartbeats.replyTimeoutMs)
     return result.state === CallState.Answered ? stageReplySchema.safeParse(result.value).data : undefined
   }
 
--- a/packages/daemon/src/process/daemon.ts
+++ b/packages/daemon/src/process/daemon.ts
@@ -4,7 +4,7 @@
 
 /** A running daemon. */
 export interface Daemon {
-  addresses: DaemonInfo
+  info: DaemonInfo
   /** Stops gracefully: lets work in flight finish, for at most the setting `stop-timeout-ms`. */
   stop: () => Promise<void>
 }
--- a/packages/daemon/src/process/entry/entry-peer-service.ts
+++ b/packages/daemon/src/process/entry/entry-peer-service.ts
@@ -2,7 +2,7 @@
  * Implements the peer API of an entry: heartbeats, configuration differences,
  * forwarded requests, outcome queries and operator queries. Stateless.
  */
-import type { ForwardedRequest, HeartbeatReply, OutcomeQuestion, OutcomeReply } from '../../connection/messages.js'
+import type { ForwardedRequest, HeartbeatReply, OutcomeQuery, OutcomeReply } from '../../connection/messages.js'
 import type { Decision, EntryService, ProcessStatus } from '../../connection/peer-router.js'
 import type { ClaimRegistry } from '../../request/authority/claims.js'
 import type { OutcomeFinder } from '../../request/authority/outcome-finder.js'
@@ -79,7 +79,7 @@
     return formatAnswer(await this.options.finder.answerForPeer({ account, requestId, digest, deadlineMs }))
   }
 
-  outcome(question: OutcomeQuestion): OutcomeReply {
-    return this.options.search.lookUp(question)
+  outcome(query: OutcomeQuery): OutcomeReply {
+    return this.options.search.lookUp(query)
   }
 }
--- a/packages/daemon/src/process/entry/entry.ts
+++ b/packages/daemon/src/process/entry/entry.ts
@@ -95,7 +95,7 @@
     return entry
   }
 
-  get addresses(): DaemonInfo {
+  get info(): DaemonInfo {
     const { name, role } = this.settings.process
     return { role, name, incarnation: this.incarnation, pid: process.pid, peer: this.peerServer.address, caller: this.callerAddress }
   }
--- a/packages/daemon/src/process/entry/outcome-search.ts
+++ b/packages/daemon/src/process/entry/outcome-search.ts
@@ -6,7 +6,7 @@
 import type { RequestAnswer } from '../../connection/answer.js'
 import type { FoundOutcome } from '../../connection/caller-service.js'
 import type { EntryPeers } from '../../connection/entry-peers.js'
-import type { OutcomeQuestion, OutcomeReply } from '../../connection/messages.js'
+import type { OutcomeQuery, OutcomeReply } from '../../connection/messages.js'
 import type { ClaimRegistry } from '../../request/authority/claims.js'
 import type { OutcomeTable } from '../../request/outcomes.js'
 import type { VirtualMachineList } from '../membership/virtual-machine-list.js'
@@ -28,8 +28,8 @@
   constructor(private readonly options: OutcomeSearchOptions) {}
 
   /** Looks up a request in the memory of this entry, in the format for other entries. */
-  lookUp(question: OutcomeQuestion): OutcomeReply {
-    const key = createRequestKey(question.account, question.requestId)
+  lookUp(query: OutcomeQuery): OutcomeReply {
+    const key = createRequestKey(query.account, query.requestId)
     const known = this.options.outcomes.find(key)
     const claimed = this.options.claims.find(key) !== undefined
     if (!known)
@@ -38,9 +38,9 @@
   }
 
   /** Finds the outcome of a request at any entry. Entries that do not respond in time are treated as having none. */
-  async find(question: OutcomeQuestion): Promise<FoundOutcome> {
-    const localReply = this.lookUp(question)
-    const replies = localReply.state === OutcomeState.Unknown ? await this.queryPeers(question) : [localReply]
+  async find(query: OutcomeQuery): Promise<FoundOutcome> {
+    const localReply = this.lookUp(query)
+    const replies = localReply.state === OutcomeState.Unknown ? await this.queryPeers(query) : [localReply]
     const answer = findAnswer(replies)
     if (answer)
       return { state: OutcomeState.Finished, answer }
@@ -48,10 +48,10 @@
     return { state: running ? OutcomeState.Running : OutcomeState.Unknown }
   }
 
-  private queryPeers(question: OutcomeQuestion): Promise<(OutcomeReply | undefined)[]> {
+  private queryPeers(query: OutcomeQuery): Promise<(OutcomeReply | undefined)[]> {
     const { address, machines, peers } = this.options
     const peerAddresses = machines.entryAddresses().filter(peerAddress => peerAddress !== address)
-    return Promise.all(peerAddresses.map(peerAddress => peers.askOutcome(peerAddress, question)))
+    return Promise.all(peerAddresses.map(peerAddress => peers.queryOutcome(peerAddress, query)))
   }
 }
 
--- a/packages/daemon/src/process/entry/request-dispatcher.ts
+++ b/packages/daemon/src/process/entry/request-dispatcher.ts
@@ -83,7 +83,7 @@
       plan: ticket.value ? { ...plan, unrepeatable: true } : plan,
       body: call.body,
       arrivedAt: call.arrivedAt,
-      callerSignal: call.callerGone,
+      callerSignal: call.callerSignal,
     })
   }
 
--- a/packages/daemon/src/process/run-daemon.ts
+++ b/packages/daemon/src/process/run-daemon.ts
@@ -17,7 +17,7 @@
   return settings.process.role === ProcessRole.Entry ? Entry.start(settings) : Side.start(settings)
 }
 
-/** Runs a daemon until SIGTERM or SIGINT; prints its addresses as one line of JSON once it is listening. */
+/** Runs a daemon until SIGTERM or SIGINT; prints its `DaemonInfo` as one line of JSON once it is listening. */
 export async function runDaemon(settings: Settings): Promise<void> {
   enableLogs(settings.log.namespaces)
   process.on('unhandledRejection', error => log('unhandled', { error: formatError(error) }))
@@ -25,8 +25,8 @@
   const stopOnce = createStopHandler(daemon)
   process.on('SIGTERM', stopOnce)
   process.on('SIGINT', stopOnce)
-  process.stdout.write(`${JSON.stringify(daemon.addresses)}\n`)
-  log('listening', { ...daemon.addresses })
+  process.stdout.write(`${JSON.stringify(daemon.info)}\n`)
+  log('listening', { ...daemon.info })
 }
 
 /**
--- a/packages/daemon/src/process/side/backend-health-monitor.ts
+++ b/packages/daemon/src/process/side/backend-health-monitor.ts
@@ -4,7 +4,7 @@
  *
  * Decides when a backend server counts as down and when as restarted. Input: its
  * responses to load requests, one per `load-interval-ms`. Rule: down after
- * MAX_MISSED_READINGS consecutive requests without a response, up at the next
+ * MAX_MISSED_POLLS consecutive requests without a response, up at the next
  * response; restarted if it reports another process incarnation than before.
  * While it does not respond, its last draining status remains valid. Why a
  * single miss is not enough: one late response on a loaded VM does not mean that
@@ -23,7 +23,7 @@
  * backend server out of service; in return, calls are sent to a dead one for up to
  * 750 ms at the default interval, plus the timeouts of the requests.
  */
-const MAX_MISSED_READINGS = 3
+const MAX_MISSED_POLLS = 3
 
 /** Options of the monitor. */
 export interface BackendHealthMonitorOptions {
@@ -32,7 +32,7 @@
   /** Interval between load requests. */
   intervalMs: number
   /** Called after each load request, whether it succeeded or failed. */
-  onReading: () => void
+  onPoll: () => void
   /** Called when the backend server has restarted; its new process has no model loaded. */
   onRestart: () => void
 }
@@ -43,27 +43,27 @@
   draining = false
   /** Process incarnation of the backend server; undefined until it reports one. */
   instance: string | undefined
-  private missedReadings = 0
+  private missedPolls = 0
 
   constructor(private readonly options: BackendHealthMonitorOptions) {}
 
   /** Whether the backend server counts as unresponsive. */
   get down(): boolean {
-    return this.missedReadings >= MAX_MISSED_READINGS
+    return this.missedPolls >= MAX_MISSED_POLLS
   }
 
   /** Polls the load until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      this.recordReading(await this.options.backend.readLoad())
-      this.options.onReading()
+      this.recordPoll(await this.options.backend.readLoad())
+      this.options.onPoll()
       await wait(this.options.intervalMs, signal)
     }
   }
 
-  private recordReading(load: Result<BackendLoad, CallError>): void {
+  private recordPoll(load: Result<BackendLoad, CallError>): void {
     const wasDown = this.down
-    this.missedReadings = load.isOk() ? 0 : this.missedReadings + 1
+    this.missedPolls = load.isOk() ? 0 : this.missedPolls + 1
     const error = load.isErr() ? load.error.message : undefined
     if (this.down !== wasDown)
       log(this.down ? 'backend-down' : 'backend-up', { name: this.options.backendName, error })
--- a/packages/daemon/src/process/side/side-peer-service.ts
+++ b/packages/daemon/src/process/side/side-peer-service.ts
@@ -6,7 +6,7 @@
   CancelReply,
   Heartbeat,
   HeartbeatReply,
-  ResultQuestion,
+  ResultQuery,
   StageCall,
   StageReply,
   StreamMessage,
@@ -91,8 +91,8 @@
     return this.options.runner.cancel(key)
   }
 
-  findResult(question: ResultQuestion): StageReply | undefined {
-    return this.options.table.findFinished(question)
+  findResult(query: ResultQuery): StageReply | undefined {
+    return this.options.table.findFinished(query)
   }
 }
 
--- a/packages/daemon/src/process/side/side.ts
+++ b/packages/daemon/src/process/side/side.ts
@@ -89,7 +89,7 @@
     return side
   }
 
-  get addresses(): DaemonInfo {
+  get info(): DaemonInfo {
     const { name, role } = this.settings.process
     return { role, name, incarnation: this.incarnation, pid: process.pid, peer: this.peerServer.address }
   }
@@ -126,7 +126,7 @@
       backendName: this.settings.process.name,
       backend: this.backend,
       intervalMs,
-      onReading: () => {
+      onPoll: () => {
         this.state.logDraining()
         this.runner.refuseQueuedIfLeaving()
       },
--- a/packages/daemon/src/request/authority/not-run-proof.ts
+++ b/packages/daemon/src/request/authority/not-run-proof.ts
@@ -49,7 +49,7 @@
       return false
     const listWindowMs = Date.now() - claims.readAt + LIST_LAG_MS
     const others = listedEntries.entryAddressesWithin(listWindowMs).filter(other => other !== address)
-    const replies = await Promise.all(others.map(other => peers.askOutcome(other, { account, requestId })))
+    const replies = await Promise.all(others.map(other => peers.queryOutcome(other, { account, requestId })))
     return replies.every(reportsNotRun) && claims.find(key) === undefined
   }
 }
--- a/packages/daemon/src/request/authority/outcome-finder.ts
+++ b/packages/daemon/src/request/authority/outcome-finder.ts
@@ -88,7 +88,7 @@
       return this.answerForPeer({ account, requestId, digest: digestRequest(plan.target, body), deadlineMs })
     const request = { account, requestId, target: plan.target, body, deadlineMs }
     const { state, answer } = await this.options.peers.forward(holder.address, holder.incarnation, request)
-    this.log.askedHolder(requestId, holder, state)
+    this.log.queriedHolder(requestId, holder, state)
     if (state === ForwardState.Answered)
       return parseAnswer(answer)
     const advice = 'check its effects before sending another.'
--- a/packages/daemon/src/request/request-log.ts
+++ b/packages/daemon/src/request/request-log.ts
@@ -39,7 +39,7 @@
   }
 
   /** Event `ask-holder`: the result of querying the process incarnation that holds the claim. */
-  askedHolder(requestId: string, holder: { incarnation: string, address: string }, state: ForwardState): void {
+  queriedHolder(requestId: string, holder: { incarnation: string, address: string }, state: ForwardState): void {
     this.recorder.record('ask-holder', requestId, { holder: holder.incarnation, address: holder.address, state })
   }
 
--- a/packages/daemon/src/request/request-runner.ts
+++ b/packages/daemon/src/request/request-runner.ts
@@ -44,13 +44,13 @@
 
   /** Runs a request. Returns immediately when its deadline passes or its caller disconnects. */
   async run(request: IncomingRequest, requestId: string): Promise<RequestAnswer> {
-    const controller = new AbortController()
-    const end = (): void => controller.abort()
+    const abortController = new AbortController()
+    const end = (): void => abortController.abort()
     const timer = setTimeout(end, Math.max(0, remainingMs(request)))
     request.callerSignal.addEventListener('abort', end)
     if (request.callerSignal.aborted)
       end()
-    const answer = await this.runStages(request, requestId, controller.signal)
+    const answer = await this.runStages(request, requestId, abortController.signal)
     clearTimeout(timer)
     request.callerSignal.removeEventListener('abort', end)
     return answer
--- a/packages/daemon/src/request/side/backend-run.ts
+++ b/packages/daemon/src/request/side/backend-run.ts
@@ -22,7 +22,7 @@
   /** The reply, once the call has finished. */
   finished?: StageReply
   /** Cancels the call at the backend server. */
-  abort: AbortController
+  abortController: AbortController
 }
 
 /** Creates the run of a newly arrived call. */
@@ -40,7 +40,7 @@
     listeners: new Set(),
     reply,
     resolve: resolveReply,
-    abort: new AbortController(),
+    abortController: new AbortController(),
   }
 }
 
--- a/packages/daemon/src/request/side/stage-runner.ts
+++ b/packages/daemon/src/request/side/stage-runner.ts
@@ -114,7 +114,7 @@
     }
     run.cancelled = true
     if (run.started) {
-      run.abort.abort()
+      run.abortController.abort()
       return { started: true }
     }
     this.refuseQueued(run, RefusalReason.Cancelled)
@@ -192,9 +192,9 @@
 
   /** Calls the backend server and aborts the call when its budget is exhausted. */
   private async callBackend(run: BackendRun, remainingMs: number): Promise<BackendResult> {
-    const deadline = setTimeout(() => run.abort.abort(), Math.max(0, remainingMs))
+    const deadline = setTimeout(() => run.abortController.abort(), Math.max(0, remainingMs))
     const onToken = run.listeners.size > 0 ? (text: string): void => publishToken(run, text) : undefined
-    const result = await this.options.backend.run(run.call, run.abort.signal, onToken)
+    const result = await this.options.backend.run(run.call, run.abortController.signal, onToken)
     clearTimeout(deadline)
     return result
   }
--- a/packages/daemon/src/request/side/stage-table.ts
+++ b/packages/daemon/src/request/side/stage-table.ts
@@ -12,7 +12,7 @@
  * results are lost; copies of the calls are refused afterwards because they are
  * addressed to the previous process incarnation of the side.
  */
-import type { ResultQuestion, StageCall, StageReply } from '../../connection/messages.js'
+import type { ResultQuery, StageCall, StageReply } from '../../connection/messages.js'
 import type { BackendRun } from './backend-run.js'
 import { StageReplyKind } from '../../connection/messages.js'
 import { matchesBody } from '../stages/stage-input.js'
@@ -68,10 +68,10 @@
   }
 
   /** Finds the result of a finished stage of a request, regardless of which entry called the stage. */
-  findFinished(question: ResultQuestion): StageReply | undefined {
+  findFinished(query: ResultQuery): StageReply | undefined {
     for (const key of this.finished.keys()) {
       const run = this.runs.get(key)!
-      if (run.finished?.kind === StageReplyKind.Done && matchesQuery(run.call, question))
+      if (run.finished?.kind === StageReplyKind.Done && matchesQuery(run.call, query))
         return run.finished
     }
     return undefined
@@ -134,8 +134,8 @@
   }
 }
 
-function matchesQuery(call: StageCall, question: ResultQuestion): boolean {
+function matchesQuery(call: StageCall, query: ResultQuery): boolean {
   const { requestId, account, stage } = call.identity
-  const sameStage = requestId === question.requestId && account === question.account && stage === question.stage
-  return sameStage && matchesBody(call, question.body)
+  const sameStage = requestId === query.requestId && account === query.account && stage === query.stage
+  return sameStage && matchesBody(call, query.body)
 }
--- a/packages/daemon/src/request/stages/stage-caller.ts
+++ b/packages/daemon/src/request/stages/stage-caller.ts
@@ -76,8 +76,8 @@
 
   private choose(task: StageTask, tried: TriedBackends, attempt: number): LinkedBackend | undefined {
     const { membership, ejection, choice, failureDomain, decisions } = this.options
-    const inForce = membership.candidates(task.stage)
-    const candidates = tried.select(ejection.filter(inForce))
+    const available = membership.candidates(task.stage)
+    const candidates = tried.select(ejection.filter(available))
     const context = { priority: task.priority, failureDomain, prefixKey: task.prefixKey }
     const chosen = candidates.length === 0 ? undefined : choice.choose(candidates, context)
     decisions.record('choose', task.requestId, {
@@ -85,7 +85,7 @@
       attempt,
       chosen: chosen?.backendName ?? 'none',
       candidates: candidates.length,
-      inForce: inForce.length,
+      inForce: available.length,
       outstanding: chosen?.outstanding,
       running: chosen?.load?.running,
       budgetMs: task.budgetMs(),
