--- a/packages/daemon/src/connection/backend-response.ts
+++ b/packages/daemon/src/connection/backend-response.ts
@@ -10,7 +10,7 @@
 import { BackendOutcome } from './backend-client.js'
 import { isNotConnected } from './json-http.js'
 
-const runAnswerSchema = z.object({ output: z.string(), tokens: z.int().min(0).default(0) })
+const runResponseSchema = z.object({ output: z.string(), tokens: z.int().min(0).default(0) })
 const streamLineSchema = z.union([
   z.object({ token: z.string() }),
   z.object({ done: z.literal(true), output: z.string(), tokens: z.int().min(0) }),
@@ -23,10 +23,10 @@
 
 /** Reads the response to a run without streaming. */
 export async function readRunResponse(response: Dispatcher.ResponseData): Promise<BackendResult> {
-  const answer = runAnswerSchema.safeParse(await response.body.json())
-  if (!answer.success)
+  const parsed = runResponseSchema.safeParse(await response.body.json())
+  if (!parsed.success)
     return createFailure(BackendOutcome.Failed, 'the backend server returned a response in an unknown format')
-  return { outcome: BackendOutcome.Done, message: '', ...answer.data }
+  return { outcome: BackendOutcome.Done, message: '', ...parsed.data }
 }
 
 /** Reads tokens line by line. The stream is complete only if its end marker arrives and matches the number of tokens. */
--- a/packages/daemon/src/connection/entry-peers.ts
+++ b/packages/daemon/src/connection/entry-peers.ts
@@ -69,15 +69,15 @@
 
   /** Queries an entry for the outcome of a request; undefined if it does not reply in time. */
   async queryOutcome(address: string, query: OutcomeQuery): Promise<OutcomeReply | undefined> {
-    const answer = await this.query(address, client => client.outcome.query(query), OUTCOME_TIMEOUT_MS)
-    return outcomeReplySchema.safeParse(answer).data
+    const reply = await this.query(address, client => client.outcome.query(query), OUTCOME_TIMEOUT_MS)
+    return outcomeReplySchema.safeParse(reply).data
   }
 
   /** Fetches the objects above an offset of another entry's configuration; undefined if it does not reply in time. */
   async difference(address: string, since: number): Promise<ConfigurationDifference | undefined> {
     const kinds = Object.values(ObjectKind)
-    const answer = await this.query(address, client => client.difference.query({ since, kinds }), DIFFERENCE_TIMEOUT_MS)
-    return differenceSchema.safeParse(answer).data as ConfigurationDifference | undefined
+    const reply = await this.query(address, client => client.difference.query({ since, kinds }), DIFFERENCE_TIMEOUT_MS)
+    return differenceSchema.safeParse(reply).data as ConfigurationDifference | undefined
   }
 
   /** Forwards a request to the only process incarnation that may run it, and waits until the request's deadline. */
--- a/packages/daemon/src/connection/heartbeat-timing.ts
+++ b/packages/daemon/src/connection/heartbeat-timing.ts
@@ -9,8 +9,9 @@
  *
  * A heartbeat is due if the link was idle for one interval, if the last one is
  * MAX_HEARTBEAT_GAP intervals old, if MIN_ACKNOWLEDGEMENTS are pending, or if the
- * side's configuration is older. After SILENT_AFTER_MISSED missed heartbeats the
- * side gets no new calls; after MAX_MISSED the connection is closed and reopened.
+ * side's configuration is older. After SILENT_AFTER_MISSED_HEARTBEATS the side gets no
+ * new calls; after CLOSE_AFTER_MISSED_HEARTBEATS the connection is closed and
+ * reopened.
  *
  * Busy links skip heartbeats because a stage reply also carries the load, and 300
  * idle sides at two heartbeats a second cost an entry 34.5% of a core. One missed
@@ -21,12 +22,12 @@
  */
 
 /** Consecutive missed heartbeats; a single one can be late on a loaded VM. */
-const SILENT_AFTER_MISSED = 2
+const SILENT_AFTER_MISSED_HEARTBEATS = 2
 /**
  * Consecutive missed heartbeats. Keeps the connections of sides that are only slow,
  * because closing one loses the calls on it; calls to a frozen side wait this long.
  */
-const MAX_MISSED = 3
+const CLOSE_AFTER_MISSED_HEARTBEATS = 3
 /**
  * Maximum number of intervals between heartbeats on a link with traffic. Saves
  * heartbeats on busy links, at the cost of later acknowledgements and updates of
@@ -77,7 +78,7 @@
 export function classifySide(missed: number): SideHealth {
   if (missed === 0)
     return SideHealth.Answering
-  if (missed >= MAX_MISSED)
+  if (missed >= CLOSE_AFTER_MISSED_HEARTBEATS)
     return SideHealth.Lost
-  return missed >= SILENT_AFTER_MISSED ? SideHealth.Silent : SideHealth.Unclear
+  return missed >= SILENT_AFTER_MISSED_HEARTBEATS ? SideHealth.Silent : SideHealth.Unclear
 }
--- a/packages/daemon/src/connection/http-backend-client.ts
+++ b/packages/daemon/src/connection/http-backend-client.ts
@@ -55,17 +55,17 @@
 
   async readLoad(): Promise<Result<BackendLoad, CallError>> {
     const url = `${this.url}/v1/load`
-    const answer = await callJson({ method: 'GET', url, timeoutMs: LOAD_TIMEOUT_MS, dispatcher: this.agent })
-    if (answer.isErr())
-      return answer
-    const load = backendLoadSchema.safeParse(answer.value)
+    const response = await callJson({ method: 'GET', url, timeoutMs: LOAD_TIMEOUT_MS, dispatcher: this.agent })
+    if (response.isErr())
+      return response
+    const load = backendLoadSchema.safeParse(response.value)
     return load.success ? Ok(load.data) : Err({ failure: CallFailure.InDoubt, message: `load report in an unknown format from ${url}` })
   }
 
   async order(order: BackendOrderMessage): Promise<Result<void, CallError>> {
     const url = `${this.url}/v1/orders`
-    const answer = await callJson({ method: 'POST', url, body: order, timeoutMs: ORDER_TIMEOUT_MS, dispatcher: this.agent })
-    return answer.map(() => undefined)
+    const response = await callJson({ method: 'POST', url, body: order, timeoutMs: ORDER_TIMEOUT_MS, dispatcher: this.agent })
+    return response.map(() => undefined)
   }
 
   async close(): Promise<void> {
--- a/packages/daemon/src/connection/log-client.ts
+++ b/packages/daemon/src/connection/log-client.ts
@@ -40,7 +40,7 @@
   }
 
   async append(stream: string, values: unknown[], signal?: AbortSignal): Promise<Result<number, CallError>> {
-    const answer = await callJson({
+    const response = await callJson({
       method: 'POST',
       url: this.streamUrl(stream),
       body: { records: values },
@@ -48,9 +48,9 @@
       signal,
       dispatcher: this.agent,
     })
-    if (answer.isErr())
-      return answer
-    const parsed = appendSchema.safeParse(answer.value)
+    if (response.isErr())
+      return response
+    const parsed = appendSchema.safeParse(response.value)
     if (!parsed.success)
       return Err({ failure: CallFailure.InDoubt, message: 'the log acknowledged an append in an unknown format' })
     return Ok(parsed.data.offset)
@@ -58,16 +58,16 @@
 
   async read(options: LogReadOptions, signal?: AbortSignal): Promise<Result<LogPage, CallError>> {
     const query = `from=${options.from}&limit=${options.limit}&waitMs=${options.waitMs}`
-    const answer = await callJson({
+    const response = await callJson({
       method: 'GET',
       url: `${this.streamUrl(options.stream)}?${query}`,
       timeoutMs: this.timeoutMs + options.waitMs,
       signal,
       dispatcher: this.agent,
     })
-    if (answer.isErr())
-      return answer
-    const parsed = logPageSchema.safeParse(answer.value)
+    if (response.isErr())
+      return response
+    const parsed = logPageSchema.safeParse(response.value)
     if (!parsed.success)
       return Err({ failure: CallFailure.InDoubt, message: 'the log returned records in an unknown format' })
     return Ok(parsed.data)
--- a/packages/daemon/src/process/entry/request-components.ts
+++ b/packages/daemon/src/process/entry/request-components.ts
@@ -75,7 +75,7 @@
     incarnation,
     address,
     batchMs: settings.entry['claim-batch-ms'],
-    memoryMs: settings.entry['claim-memory-ms'],
+    retentionMs: settings.entry['claim-memory-ms'],
     readBackTimeoutMs: settings.platform['log-timeout-ms'],
   })
 }
@@ -117,7 +117,7 @@
   return new RequestService({
     incarnation,
     inFlightLimit,
-    claimMemoryMs: entry['claim-memory-ms'],
+    claimRetentionMs: entry['claim-memory-ms'],
     admission: createAdmission(entry.admission),
     runner: new RequestRunner({ stageCaller, stageBudget: createStageBudget(entry['stage-budget']), metrics }),
     claims,
--- a/packages/daemon/src/process/side/side-state.ts
+++ b/packages/daemon/src/process/side/side-state.ts
@@ -54,7 +54,7 @@
   }
 
   /** Returns why a call is refused; undefined if it is accepted. */
-  refusal(call: StageCall): RefusalReason | undefined {
+  findRefusal(call: StageCall): RefusalReason | undefined {
     const { backendName, configuration, reconciler } = this.options
     return findRefusal(call, {
       draining: this.draining,
--- a/packages/daemon/src/request/authority/claims.ts
+++ b/packages/daemon/src/request/authority/claims.ts
@@ -19,7 +19,7 @@
  * `append-in-doubt`, `log-unreadable`, `record-unreadable` (namespace
  * `eidermast:claim`).
  *
- * State: the claims of the last `memoryMs` times RETENTION_FACTOR and this entry's
+ * State: the claims of the last `retentionMs` times RETENTION_FACTOR and this entry's
  * own claims in doubt, in memory. A restarted entry reads the stream again. The
  * requests of the previous incarnation stay claimed by it, so that they never run
  * twice.
@@ -67,7 +67,7 @@
   /** Milliseconds for which claims are collected into one append. */
   batchMs: number
   /** Retention of claims in milliseconds, relative to the timestamp in the request id. */
-  memoryMs: number
+  retentionMs: number
   /** Milliseconds to wait after an append until its claims are read back. */
   readBackTimeoutMs: number
 }
@@ -82,7 +82,7 @@
 const READ_RETRY_MS = 100
 /** Claims examined per page, which bounds the time of an expiry. Must be sufficient for the rate of new claims, or old ones accumulate. */
 const MAX_EXPIRY_STEPS = 32
-/** Multiple of `memoryMs` for which claims are kept: a request id may be that old on arrival, and its retry as old again. */
+/** Multiple of `retentionMs` for which claims are kept: a request id may be that old on arrival, and its retry as old again. */
 const RETENTION_FACTOR = 2
 
 /** View of the claim stream at one entry, and the entry's own claim attempts. */
@@ -277,7 +277,7 @@
 
   /** Drops a bounded number of claims whose request ids are too old to be accepted again. */
   private expire(): void {
-    const oldest = this.now() - this.options.memoryMs * RETENTION_FACTOR
+    const oldest = this.now() - this.options.retentionMs * RETENTION_FACTOR
     let steps = 0
     for (const [key, claim] of this.claims) {
       if (++steps > MAX_EXPIRY_STEPS || requestIdTime(claim.requestId) >= oldest)
--- a/packages/daemon/src/request/authority/run-authority.ts
+++ b/packages/daemon/src/request/authority/run-authority.ts
@@ -40,7 +40,7 @@
   finder: OutcomeFinder
   proof: NotRunProof
   /** Retention of claims in milliseconds. */
-  claimMemoryMs: number
+  claimRetentionMs: number
   log: RequestLog
   metrics: RequestMetrics
 }
@@ -130,7 +130,7 @@
   /** Rejects a request id whose timestamp is in the future or older than the retention of claims. */
   private checkRequestIdTime(requestId: string): RequestError | undefined {
     const age = Date.now() - requestIdTime(requestId)
-    if (age > this.options.claimMemoryMs) {
+    if (age > this.options.claimRetentionMs) {
       const message = 'This request id is too old to determine whether the request ran; check its effects, then generate a new id.'
       return createError(ErrorKind.RequestIdExpired, message)
     }
--- a/packages/daemon/src/request/request-service.ts
+++ b/packages/daemon/src/request/request-service.ts
@@ -37,7 +37,7 @@
   /** Maximum number of requests in flight. */
   inFlightLimit: number
   /** Retention of claims in milliseconds. */
-  claimMemoryMs: number
+  claimRetentionMs: number
   admission: AdmissionPolicy
   runner: RequestRunner
   claims: ClaimRegistry
--- a/packages/daemon/src/request/side/stage-runner.ts
+++ b/packages/daemon/src/request/side/stage-runner.ts
@@ -44,7 +44,7 @@
   /** Whether the backend server is leaving, so that queued calls must not start on it. */
   readonly backendLeaving: boolean
   /** Returns why new work is refused, or undefined if it is accepted. */
-  refusal: (call: StageCall) => RefusalReason | undefined
+  findRefusal: (call: StageCall) => RefusalReason | undefined
 }
 
 /** Dependencies of a stage runner. */
@@ -98,7 +98,7 @@
     const tombstone = table.findTombstone(key)
     if (tombstone?.started)
       return this.createEvictedReply(call)
-    const refusal = tombstone ? RefusalReason.Cancelled : side.refusal(call)
+    const refusal = tombstone ? RefusalReason.Cancelled : side.findRefusal(call)
     return refusal ? this.refuse(call, refusal) : this.enqueue(call, onToken)
   }
 
--- a/packages/daemon/src/request/side/stage-table.ts
+++ b/packages/daemon/src/request/side/stage-table.ts
@@ -31,7 +31,7 @@
 /** Marks a key that must never run (again). */
 interface Tombstone {
   /** Creation time in milliseconds. */
-  at: number
+  createdAt: number
   /** Whether the backend server may have been called for this key. */
   started: boolean
 }
@@ -105,7 +105,7 @@
   /** Adds a tombstone for a key that has no run, so that the call is refused if it arrives later. */
   addTombstone(key: string): void {
     if (!this.runs.has(key) && !this.tombstones.has(key))
-      this.tombstones.set(key, { at: this.now(), started: false })
+      this.tombstones.set(key, { createdAt: this.now(), started: false })
     this.evict()
   }
 
@@ -114,7 +114,7 @@
     this.runs.delete(key)
     this.finished.delete(key)
     this.bytes -= estimateRunBytes(run)
-    this.tombstones.set(key, { at: this.now(), started: run.started })
+    this.tombstones.set(key, { createdAt: this.now(), started: run.started })
   }
 
   private evict(): void {
@@ -127,7 +127,7 @@
     }
     let steps = 0
     for (const [key, tombstone] of this.tombstones) {
-      if (tombstone.at >= oldest || ++steps > MAX_EVICTION_STEPS)
+      if (tombstone.createdAt >= oldest || ++steps > MAX_EVICTION_STEPS)
         break
       this.tombstones.delete(key)
     }
--- a/packages/daemon/src/request/stages/retry.ts
+++ b/packages/daemon/src/request/stages/retry.ts
@@ -6,8 +6,8 @@
  * services) since it started.
  *
  * The `budget` policy is a token bucket: each started stage adds
- * RETRY_TOKENS_PER_STAGE tokens, up to MAX_RETRY_TOKENS, and a retry takes one
- * token. A stage makes at most MAX_BUDGET_ATTEMPTS calls. With a fixed number of
+ * RETRY_TOKENS_PER_STAGE tokens, up to MAX_RETRY_TOKENS, and a retry consumes
+ * one token. A stage makes at most MAX_BUDGET_ATTEMPTS calls. With a fixed number of
  * attempts per stage, a failing pool would receive a multiple of its normal load
  * when it is least able to handle it.
  *
--- a/packages/daemon/src/request/stages/stage-attempt.ts
+++ b/packages/daemon/src/request/stages/stage-attempt.ts
@@ -56,11 +56,11 @@
     await wait(RESEND_DELAY_MS, task.signal)
     const { incarnation } = attempt.backend.link
     if (hasEnded(task) || incarnation !== attempt.call.identity.sideIncarnation)
-      return lost('the reply was lost and the call cannot be sent again')
+      return createLostResult('the reply was lost and the call cannot be sent again')
     attempt.call.budgetMs = task.budgetMs()
     result = await sendOnce(task, attempt)
     if (result.outcome === LinkOutcome.Replied)
-      return isOtherIncarnation(result) ? lost('the call reached another process incarnation of the side') : result
+      return isOtherIncarnation(result) ? createLostResult('the call reached another process incarnation of the side') : result
   }
 }
 
@@ -71,13 +71,13 @@
   const cancelled = new Promise<LinkResult>((resolve) => {
     onAbort = () => {
       void link.cancel(attempt.call)
-      resolve(lost('the request ended before the reply arrived'))
+      resolve(createLostResult('the request ended before the reply arrived'))
     }
   })
   task.signal.addEventListener('abort', onAbort)
   const result = await Promise.race([link.call(attempt.call, task.onToken), cancelled])
   task.signal.removeEventListener('abort', onAbort)
-  return isReplyToOtherCall(attempt.call, result) ? lost('the reply belongs to another call') : result
+  return isReplyToOtherCall(attempt.call, result) ? createLostResult('the reply belongs to another call') : result
 }
 
 function isReplyToOtherCall(call: StageCall, result: LinkResult): boolean {
@@ -86,6 +86,6 @@
   return !matchesCall(call.identity, result.reply.identity)
 }
 
-function lost(message: string): LinkResult {
+function createLostResult(message: string): LinkResult {
   return { outcome: LinkOutcome.Lost, message }
 }
--- a/test/request/authority/claims.test.ts
+++ b/test/request/authority/claims.test.ts
@@ -64,7 +64,7 @@
 const SHORT_READ_BACK_TIMEOUT_MS = 1
 
 function createRegistry(log: LogClient, readBackTimeoutMs = 600_000): ClaimRegistry {
-  return new ClaimRegistry(log, { incarnation: uuidv7(), address: '127.0.0.1:1', batchMs: 0, memoryMs: 600_000, readBackTimeoutMs })
+  return new ClaimRegistry(log, { incarnation: uuidv7(), address: '127.0.0.1:1', batchMs: 0, retentionMs: 600_000, readBackTimeoutMs })
 }
 
 /** Waits until the log contains at least the given number of records. */
--- a/test/request/authority/run-authority.test.ts
+++ b/test/request/authority/run-authority.test.ts
@@ -50,13 +50,13 @@
   log = new FakeLog()
   requestId = uuidv7()
   othersReportNotRun = false
-  const claims = new ClaimRegistry(log, { incarnation: uuidv7(), address: '127.0.0.1:1', batchMs: 0, memoryMs: 600_000, readBackTimeoutMs: 1 })
+  const claims = new ClaimRegistry(log, { incarnation: uuidv7(), address: '127.0.0.1:1', batchMs: 0, retentionMs: 600_000, readBackTimeoutMs: 1 })
   claims.apply(log.page(0))
   authority = new RunAuthority({
     claims,
     finder: { queryHolder: async () => Err(HOLDER_QUERIED) },
     proof: { holds: async () => othersReportNotRun },
-    claimMemoryMs: 600_000,
+    claimRetentionMs: 600_000,
     log: { claimed: vi.fn() },
     metrics: { recordClaim: vi.fn() },
   } as unknown as ConstructorParameters<typeof RunAuthority>[0])
--- a/test/request/side/stage-runner.test.ts
+++ b/test/request/side/stage-runner.test.ts
@@ -35,7 +35,7 @@
         get backendLeaving() {
           return isLeaving()
         },
-        refusal: () => this.draining ? RefusalReason.Draining : undefined,
+        findRefusal: () => this.draining ? RefusalReason.Draining : undefined,
       },
       backend: this.backend,
       table: this.table,
