--- a/packages/daemon/src/connection/caller-identity.ts
+++ b/packages/daemon/src/connection/caller-identity.ts
@@ -26,7 +26,7 @@
 import { parseCallerHeaders } from './caller-headers.js'
 import { equalSecrets } from './peer-key.js'
 
-/** Authenticates the caller of a request by its headers; an error describes to the caller how to proceed. */
+/** Authenticates the caller of a request by its headers; an error describes how the caller can proceed. */
 export function identifyCaller(
   headers: IncomingHttpHeaders,
   configuration: Configuration,
--- a/packages/daemon/src/process/settings.ts
+++ b/packages/daemon/src/process/settings.ts
@@ -28,7 +28,7 @@
 export enum ChoiceName {
   Random = 'random',
   RoundRobin = 'round-robin',
-  /** Compares two random candidates and the one most likely to have the prompt prefix cached by predicted finish time. */
+  /** Compares, by predicted finish time, two random candidates and the one most likely to have the prompt prefix cached. */
   Predicted = 'predicted',
 }
 
--- a/packages/daemon/src/process/side/draining.ts
+++ b/packages/daemon/src/process/side/draining.ts
@@ -17,7 +17,7 @@
 
 /** Reason why a side accepts no new calls. */
 export enum DrainReason {
-  /** The process has received a stop signal. */
+  /** The process is stopping. */
   Stopping = 'stopping',
   /** The side does not have a recent enough configuration yet. */
   ConfigurationUnknown = 'configuration-unknown',
--- a/packages/daemon/src/process/side/side-state.ts
+++ b/packages/daemon/src/process/side/side-state.ts
@@ -30,7 +30,7 @@
 
 /** Current state of one side. */
 export class CurrentSideState implements SideState {
-  /** Whether the process has received a stop signal. */
+  /** Whether the process is stopping. */
   stopping = false
   private loggedReason: DrainReason | undefined
 
--- a/packages/daemon/src/request/stages/stage-failure.ts
+++ b/packages/daemon/src/request/stages/stage-failure.ts
@@ -52,7 +52,7 @@
 /** Next step after a failed call, with the error if the request fails. */
 export type FailureDecision = { step: FailureStep.Retry } | { step: FailureStep.Fail, error: RequestError }
 
-/** Decides the next step after a failed call. Consults the retry policy last, because it consumes a retry. */
+/** Decides the next step after a failed call. Consults the retry policy last, because `tryAcquire` consumes a retry. */
 export function decideOnFailure(failed: FailedCall, retry: RetryPolicy): FailureDecision {
   const mayHaveRun = !isProvablyNotRun(failed.result)
   if (mayHaveRun && failed.unrepeatable)
--- a/packages/daemon/src/version/publisher.ts
+++ b/packages/daemon/src/version/publisher.ts
@@ -54,7 +54,7 @@
   timeoutMs?: number
 }
 
-/** Time for a loaded log to confirm the outcome before it is reported as unknown; the operator waits that long at most. */
+/** Time for a loaded log to confirm the outcome before it is reported as unknown, at the cost of keeping the operator waiting. */
 const PUBLISH_TIMEOUT_MS = 5000
 /** Limits the load on an unavailable log, at the cost of a later result. */
 const RETRY_MS = 100
