--- a/packages/daemon/src/connection/entry-peers.ts
+++ b/packages/daemon/src/connection/entry-peers.ts
@@ -5,7 +5,7 @@
  * times out.
  */
 import type { Configuration, ConfigurationDifference } from '../version/configuration.js'
-import type { ForwardedRequest, HeartbeatReply, OutcomeQuestion, OutcomeReply } from './messages.js'
+import type { ForwardedRequest, HeartbeatReply, OutcomeQuery, OutcomeReply } from './messages.js'
 import type { EntryClient, PeerConnection } from './peer-connection.js'
 import { createLogger } from '@eidermast/common'
 import { ObjectKind } from '../version/objects.js'
@@ -28,23 +28,20 @@
 }
 
 /**
- * Timeout for connecting and, separately, for the first heartbeat. A shorter one
- * can miss a busy entry; twice as long would use a full second of a request's
- * deadline if the other entry is frozen.
+ * Timeout for connecting and, separately, for the first heartbeat. Leaves time for
+ * a busy entry; a frozen one uses up to a second of a request's deadline in total.
  */
 const HEARTBEAT_TIMEOUT_MS = 500
 /**
  * Timeout of an outcome query. With 250 ms, an entry that was busy or paused for
  * that long caused callers to receive an unknown outcome, which they have to
  * investigate, although nothing had run (test/promises/unrepeatable, one entry
- * frozen for 600 ms). A longer timeout keeps callers waiting for an entry that no
- * longer exists.
+ * frozen for 600 ms). Callers wait this long for an entry that no longer exists.
  */
 const OUTCOME_TIMEOUT_MS = 1000
 /**
- * Timeout for receiving a configuration difference. A shorter one can be too
- * short for all objects over a slow link; a longer one delays the query to the
- * next entry.
+ * Timeout for receiving a configuration difference: long enough for all objects
+ * over a slow link, at the cost of a later query to the next entry.
  */
 const DIFFERENCE_TIMEOUT_MS = 5000
 
@@ -52,7 +49,7 @@
 export enum ForwardState {
   Answered = 'answered',
   /** The target process incarnation has ended or cannot be reached. */
-  Gone = 'gone',
+  Unreachable = 'gone',
   /** The target was reached, but its answer was lost. */
   Lost = 'lost',
 }
@@ -71,23 +68,23 @@
   constructor(private readonly options: EntryPeersOptions) {}
 
   /** Queries an entry for the outcome of a request; undefined if it does not reply in time. */
-  async askOutcome(address: string, question: OutcomeQuestion): Promise<OutcomeReply | undefined> {
-    const answer = await this.query(address, client => client.outcome.query(question), OUTCOME_TIMEOUT_MS)
-    return outcomeReplySchema.safeParse(answer).data
+  async queryOutcome(address: string, query: OutcomeQuery): Promise<OutcomeReply | undefined> {
+    const reply = await this.query(address, client => client.outcome.query(query), OUTCOME_TIMEOUT_MS)
+    return outcomeReplySchema.safeParse(reply).data
   }
 
   /** Fetches the objects above an offset of another entry's configuration; undefined if it does not reply in time. */
   async difference(address: string, since: number): Promise<ConfigurationDifference | undefined> {
     const kinds = Object.values(ObjectKind)
-    const answer = await this.query(address, client => client.difference.query({ since, kinds }), DIFFERENCE_TIMEOUT_MS)
-    return differenceSchema.safeParse(answer).data as ConfigurationDifference | undefined
+    const reply = await this.query(address, client => client.difference.query({ since, kinds }), DIFFERENCE_TIMEOUT_MS)
+    return differenceSchema.safeParse(reply).data as ConfigurationDifference | undefined
   }
 
   /** Forwards a request to the only process incarnation that may run it, and waits until the request's deadline. */
   async forward(address: string, incarnation: string, request: ForwardedRequest): Promise<ForwardResult> {
     const peer = await this.connect(address)
     if (peer?.heartbeat.incarnation !== incarnation)
-      return { state: ForwardState.Gone, answer: '' }
+      return { state: ForwardState.Unreachable, answer: '' }
     const result = await callPeer(peer.connection, client => client.forward.mutate(request), request.deadlineMs)
     if (result.state === CallState.Answered)
       return { state: ForwardState.Answered, answer: result.value }
--- a/packages/daemon/src/connection/http-backend-client.ts
+++ b/packages/daemon/src/connection/http-backend-client.ts
@@ -14,11 +14,11 @@
 import { classifyThrownError, readErrorResponse, readRunResponse, readServiceResponse, readTokenStream } from './backend-response.js'
 import { callJson } from './json-http.js'
 
-/** The backend server is on the same VM, so half would suffice; a longer timeout detects a frozen VM later. */
+/** Ample for a backend server on the same VM; bounds the time to detect a frozen VM. */
 const CONNECT_TIMEOUT_MS = 1000
-/** A shorter timeout can miss responses of a busy engine; a longer one detects a frozen engine later. */
+/** Leaves time for a busy engine to respond; bounds the time to detect a frozen one. */
 const LOAD_TIMEOUT_MS = 1000
-/** Time to acknowledge an order. A shorter timeout can resend orders to a slow engine; a longer one delays the next attempt. */
+/** Time to acknowledge an order. Keeps orders from being resent to a slow engine, at the cost of a later next attempt. */
 const ORDER_TIMEOUT_MS = 10_000
 /** Connections in addition to one per slot: one for load requests and one for orders. */
 const EXTRA_CONNECTIONS = 2
@@ -55,17 +55,17 @@
 
   async readLoad(): Promise<Result<BackendLoad, CallError>> {
     const url = `${this.url}/v1/load`
-    const answer = await callJson({ method: 'GET', url, timeoutMs: LOAD_TIMEOUT_MS, dispatcher: this.agent })
-    if (answer.isErr())
-      return answer
-    const load = backendLoadSchema.safeParse(answer.value)
+    const response = await callJson({ method: 'GET', url, timeoutMs: LOAD_TIMEOUT_MS, dispatcher: this.agent })
+    if (response.isErr())
+      return response
+    const load = backendLoadSchema.safeParse(response.value)
     return load.success ? Ok(load.data) : Err({ failure: CallFailure.InDoubt, message: `load report in an unknown format from ${url}` })
   }
 
   async order(order: BackendOrderMessage): Promise<Result<void, CallError>> {
     const url = `${this.url}/v1/orders`
-    const answer = await callJson({ method: 'POST', url, body: order, timeoutMs: ORDER_TIMEOUT_MS, dispatcher: this.agent })
-    return answer.map(() => undefined)
+    const response = await callJson({ method: 'POST', url, body: order, timeoutMs: ORDER_TIMEOUT_MS, dispatcher: this.agent })
+    return response.map(() => undefined)
   }
 
   async close(): Promise<void> {
--- a/packages/daemon/src/process/entry/request-components.ts
+++ b/packages/daemon/src/process/entry/request-components.ts
@@ -24,9 +24,8 @@
 
 /**
  * Time for which keys of unrepeatable requests are retained beyond the lifetime
- * of claims and tickets. It covers clock skew between entries and responses in
- * transit. Half of it is enough if clocks are synchronized; a higher value takes
- * more memory.
+ * of claims and tickets. It covers clock skew between entries, including clocks
+ * that are not synchronized, and responses in transit, at the cost of memory.
  */
 const KEY_RETENTION_MARGIN_MS = 120_000
 
@@ -76,7 +75,7 @@
     incarnation,
     address,
     batchMs: settings.entry['claim-batch-ms'],
-    memoryMs: settings.entry['claim-memory-ms'],
+    retentionMs: settings.entry['claim-memory-ms'],
     readBackTimeoutMs: settings.platform['log-timeout-ms'],
   })
 }
@@ -118,7 +117,7 @@
   return new RequestService({
     incarnation,
     inFlightLimit,
-    claimMemoryMs: entry['claim-memory-ms'],
+    claimRetentionMs: entry['claim-memory-ms'],
     admission: createAdmission(entry.admission),
     runner: new RequestRunner({ stageCaller, stageBudget: createStageBudget(entry['stage-budget']), metrics }),
     claims,
--- a/packages/daemon/src/process/side/side-state.ts
+++ b/packages/daemon/src/process/side/side-state.ts
@@ -30,7 +30,7 @@
 
 /** Current state of one side. */
 export class CurrentSideState implements SideState {
-  /** Whether the process was asked to stop. */
+  /** Whether the process is stopping. */
   stopping = false
   private loggedReason: DrainReason | undefined
 
@@ -54,7 +54,7 @@
   }
 
   /** Returns why a call is refused; undefined if it is accepted. */
-  refusal(call: StageCall): RefusalReason | undefined {
+  findRefusal(call: StageCall): RefusalReason | undefined {
     const { backendName, configuration, reconciler } = this.options
     return findRefusal(call, {
       draining: this.draining,
--- a/packages/daemon/src/process/side/side.ts
+++ b/packages/daemon/src/process/side/side.ts
@@ -34,9 +34,8 @@
 const log = createLogger('process')
 
 /**
- * Time to send the last replies before connections are closed. Half of it may
- * cut off a large reply on a slow link, which the entry then treats as lost; a
- * higher value only prolongs a stop.
+ * Time to send the last replies before connections are closed. A large reply on a
+ * slow link would otherwise be cut off and treated as lost by the entry.
  */
 const REPLY_FLUSH_MS = 200
 
@@ -90,7 +89,7 @@
     return side
   }
 
-  get addresses(): DaemonInfo {
+  get info(): DaemonInfo {
     const { name, role } = this.settings.process
     return { role, name, incarnation: this.incarnation, pid: process.pid, peer: this.peerServer.address }
   }
@@ -127,7 +126,7 @@
       backendName: this.settings.process.name,
       backend: this.backend,
       intervalMs,
-      onReading: () => {
+      onPoll: () => {
         this.state.logDraining()
         this.runner.refuseQueuedIfLeaving()
       },
--- a/packages/daemon/src/request/authority/claims.ts
+++ b/packages/daemon/src/request/authority/claims.ts
@@ -19,7 +19,7 @@
  * `append-in-doubt`, `log-unreadable`, `record-unreadable` (namespace
  * `eidermast:claim`).
  *
- * State: the claims of the last `memoryMs` times RETENTION_FACTOR and this entry's
+ * State: the claims of the last `retentionMs` times RETENTION_FACTOR and this entry's
  * own claims in doubt, in memory. A restarted entry reads the stream again. The
  * requests of the previous incarnation stay claimed by it, so that they never run
  * twice.
@@ -67,29 +67,29 @@
   /** Milliseconds for which claims are collected into one append. */
   batchMs: number
   /** Retention of claims in milliseconds, relative to the timestamp in the request id. */
-  memoryMs: number
+  retentionMs: number
   /** Milliseconds to wait after an append until its claims are read back. */
   readBackTimeoutMs: number
 }
 
-/** How long the log may hold a read open (long polling). Half of it doubles the idle reads of the log. */
+/** How long the log may hold a read open (long polling), to limit the reads of an idle log. */
 const READ_WAIT_MS = 2000
 /** Age up to which the view counts as current: one long poll without records, plus 500 ms for its response. */
 const MAX_VIEW_AGE_MS = READ_WAIT_MS + 500
-/** Records per read. Half as many double the reads of a starting entry; twice as many double the size of each response. */
+/** Records per read: limits the size of a response, at the cost of more reads by a starting entry. */
 const READ_LIMIT = 5000
-/** Delay after a failed read. Shorter delays send more reads to a log that is down; longer delays detect its recovery later. */
+/** Delay after a failed read. Limits the reads of a log that is down, at the cost of detecting its recovery later. */
 const READ_RETRY_MS = 100
-/** Claims examined per page, which bounds the time of an expiry. Fewer than arrive would let old claims accumulate. */
+/** Claims examined per page, which bounds the time of an expiry. Must be sufficient for the rate of new claims, or old ones accumulate. */
 const MAX_EXPIRY_STEPS = 32
-/** Multiple of `memoryMs` for which claims are kept: a request id may be that old on arrival, and its retry as old again. */
+/** Multiple of `retentionMs` for which claims are kept: a request id may be that old on arrival, and its retry as old again. */
 const RETENTION_FACTOR = 2
 
 /** View of the claim stream at one entry, and the entry's own claim attempts. */
 export class ClaimRegistry {
   private readonly claims = new Map<string, Claim>()
   /** Resolvers of this incarnation's claim attempts that have not been read back, by claim id. */
-  private readonly waiting = new Map<string, (result: ClaimResult) => void>()
+  private readonly resolvers = new Map<string, (result: ClaimResult) => void>()
   /** Ids of this incarnation's claims that will never be used. */
   private readonly abandoned = new Set<string>()
   private readonly appender: ClaimAppender
@@ -168,7 +168,7 @@
   claim(account: string, requestId: string): ClaimAttempt {
     const { incarnation, address } = this.options
     const claimId = uuidv7()
-    const result = new Promise<ClaimResult>(settle => this.waiting.set(claimId, settle))
+    const result = new Promise<ClaimResult>(settle => this.resolvers.set(claimId, settle))
     this.appender.add({ record: ClaimRecordKind.Claim, claimId, account, requestId, incarnation, address })
     return { claimId, result }
   }
@@ -237,8 +237,8 @@
   /** Resolves the pending attempt of a claim that was read back. */
   private resolveAttempt(claimId: string, winner: Claim): void {
     const won = winner.claimId === claimId
-    const settle = this.waiting.get(claimId)
-    this.waiting.delete(claimId)
+    const settle = this.resolvers.get(claimId)
+    this.resolvers.delete(claimId)
     if (settle)
       settle(this.createResult(won, winner))
     else if (won && this.abandoned.has(claimId))
@@ -265,10 +265,10 @@
   }
 
   private failAttempt(claimId: string, kind: ClaimResultKind.Unavailable | ClaimResultKind.InDoubt): void {
-    const settle = this.waiting.get(claimId)
+    const settle = this.resolvers.get(claimId)
     if (!settle)
       return
-    this.waiting.delete(claimId)
+    this.resolvers.delete(claimId)
     // If the claim still appears in the log, it is released then.
     if (kind === ClaimResultKind.InDoubt)
       this.abandoned.add(claimId)
@@ -277,7 +277,7 @@
 
   /** Drops a bounded number of claims whose request ids are too old to be accepted again. */
   private expire(): void {
-    const oldest = this.now() - this.options.memoryMs * RETENTION_FACTOR
+    const oldest = this.now() - this.options.retentionMs * RETENTION_FACTOR
     let steps = 0
     for (const [key, claim] of this.claims) {
       if (++steps > MAX_EXPIRY_STEPS || requestIdTime(claim.requestId) >= oldest)
--- a/packages/daemon/src/request/authority/outcome-finder.ts
+++ b/packages/daemon/src/request/authority/outcome-finder.ts
@@ -1,7 +1,7 @@
 /**
  * Finds the outcome of a request that only another process incarnation may run.
  * Forwards the request to the incarnation that issued its ticket or queries the
- * holder of its claim; if that incarnation is gone, looks up the result of the last
+ * holder of its claim; if that incarnation cannot be reached, looks up the result of the last
  * stage at the sides. Never runs the request itself.
  *
  * Uses the outcomes and claims of this entry, its connections to other entries and
@@ -88,7 +88,7 @@
       return this.answerForPeer({ account, requestId, digest: digestRequest(plan.target, body), deadlineMs })
     const request = { account, requestId, target: plan.target, body, deadlineMs }
     const { state, answer } = await this.options.peers.forward(holder.address, holder.incarnation, request)
-    this.log.askedHolder(requestId, holder, state)
+    this.log.queriedHolder(requestId, holder, state)
     if (state === ForwardState.Answered)
       return parseAnswer(answer)
     const advice = 'check its effects before sending another.'
--- a/packages/daemon/src/request/authority/run-authority.ts
+++ b/packages/daemon/src/request/authority/run-authority.ts
@@ -40,7 +40,7 @@
   finder: OutcomeFinder
   proof: NotRunProof
   /** Retention of claims in milliseconds. */
-  claimMemoryMs: number
+  claimRetentionMs: number
   log: RequestLog
   metrics: RequestMetrics
 }
@@ -48,7 +48,7 @@
 /** Whether this entry may run a request; if not, the answer and the state to record for the request. */
 export type Authority = { granted: true } | { granted: false, answer: RequestAnswer, state: OutcomeState }
 
-/** Tolerated clock skew of callers. A lower value rejects callers with less accurate clocks; a higher one keeps claims longer. */
+/** Tolerated clock skew of callers, for callers with inaccurate clocks; claims are kept that much longer. */
 const MAX_CLOCK_SKEW_MS = 60_000
 
 /** Claim result in logs and metrics if the request ended before the log answered. */
@@ -130,7 +130,7 @@
   /** Rejects a request id whose timestamp is in the future or older than the retention of claims. */
   private checkRequestIdTime(requestId: string): RequestError | undefined {
     const age = Date.now() - requestIdTime(requestId)
-    if (age > this.options.claimMemoryMs) {
+    if (age > this.options.claimRetentionMs) {
       const message = 'This request id is too old to determine whether the request ran; check its effects, then generate a new id.'
       return createError(ErrorKind.RequestIdExpired, message)
     }
--- a/packages/daemon/src/request/side/stage-table.ts
+++ b/packages/daemon/src/request/side/stage-table.ts
@@ -12,7 +12,7 @@
  * results are lost; copies of the calls are refused afterwards because they are
  * addressed to the previous process incarnation of the side.
  */
-import type { ResultQuestion, StageCall, StageReply } from '../../connection/messages.js'
+import type { ResultQuery, StageCall, StageReply } from '../../connection/messages.js'
 import type { BackendRun } from './backend-run.js'
 import { StageReplyKind } from '../../connection/messages.js'
 import { matchesBody } from '../stages/stage-input.js'
@@ -31,12 +31,12 @@
 /** Marks a key that must never run (again). */
 interface Tombstone {
   /** Creation time in milliseconds. */
-  at: number
+  createdAt: number
   /** Whether the backend server may have been called for this key. */
   started: boolean
 }
 
-/** Tombstones examined per change, which bounds the time of an eviction. Fewer than are added would let old ones accumulate. */
+/** Tombstones examined per change, which bounds the time of an eviction. Must exceed the number added per change, or old ones accumulate. */
 const MAX_EVICTION_STEPS = 64
 
 /** The table of stage calls. */
@@ -68,10 +68,10 @@
   }
 
   /** Finds the result of a finished stage of a request, regardless of which entry called the stage. */
-  findFinished(question: ResultQuestion): StageReply | undefined {
+  findFinished(query: ResultQuery): StageReply | undefined {
     for (const key of this.finished.keys()) {
       const run = this.runs.get(key)!
-      if (run.finished?.kind === StageReplyKind.Done && matchesQuery(run.call, question))
+      if (run.finished?.kind === StageReplyKind.Done && matchesQuery(run.call, query))
         return run.finished
     }
     return undefined
@@ -105,7 +105,7 @@
   /** Adds a tombstone for a key that has no run, so that the call is refused if it arrives later. */
   addTombstone(key: string): void {
     if (!this.runs.has(key) && !this.tombstones.has(key))
-      this.tombstones.set(key, { at: this.now(), started: false })
+      this.tombstones.set(key, { createdAt: this.now(), started: false })
     this.evict()
   }
 
@@ -114,7 +114,7 @@
     this.runs.delete(key)
     this.finished.delete(key)
     this.bytes -= estimateRunBytes(run)
-    this.tombstones.set(key, { at: this.now(), started: run.started })
+    this.tombstones.set(key, { createdAt: this.now(), started: run.started })
   }
 
   private evict(): void {
@@ -127,15 +127,15 @@
     }
     let steps = 0
     for (const [key, tombstone] of this.tombstones) {
-      if (tombstone.at >= oldest || ++steps > MAX_EVICTION_STEPS)
+      if (tombstone.createdAt >= oldest || ++steps > MAX_EVICTION_STEPS)
         break
       this.tombstones.delete(key)
     }
   }
 }
 
-function matchesQuery(call: StageCall, question: ResultQuestion): boolean {
+function matchesQuery(call: StageCall, query: ResultQuery): boolean {
   const { requestId, account, stage } = call.identity
-  const sameStage = requestId === question.requestId && account === question.account && stage === question.stage
-  return sameStage && matchesBody(call, question.body)
+  const sameStage = requestId === query.requestId && account === query.account && stage === query.stage
+  return sameStage && matchesBody(call, query.body)
 }
