--- a/packages/gateway/src/process/stages/admission-accuracy.ts
+++ b/packages/gateway/src/process/stages/admission-accuracy.ts
@@ -10,7 +10,7 @@
  */
 import type { PreparationRequest } from '../../connection/peers/preparation.js'
 
-/** Weight of the newest request. Half of it follows a burst late; twice as much follows single requests. */
+/** Weight of the newest request. Follows a burst soon, without following single requests. */
 const EWMA_WEIGHT = 0.1
 /** Bounds of a single sample, so that a request that lost a backend server does not dominate for long. */
 const MAX_FACTOR = 2.5
--- a/packages/gateway/src/process/stages/backend/backend-pause.ts
+++ b/packages/gateway/src/process/stages/backend/backend-pause.ts
@@ -14,11 +14,11 @@
  */
 
 /**
- * Pause after the first failed call. A shorter one sends more calls into the
- * failure; a longer one leaves a healthy backend server idle.
+ * Pause after the first failed call. Avoids further failed calls, at the cost of
+ * leaving a healthy backend server idle after a single failure.
  */
 const INITIAL_PAUSE_MS = 100
-/** Upper bound of the backoff. Twice as much leaves a recovered backend server idle for 10 s. */
+/** Upper bound of the backoff, which limits how long a recovered backend server stays idle. */
 const MAX_PAUSE_MS = 5000
 
 /** Pause after a backend server ran out of result memory; short, since results are freed continuously. */
--- a/packages/gateway/src/process/stages/backend/result-deleter.ts
+++ b/packages/gateway/src/process/stages/backend/result-deleter.ts
@@ -8,8 +8,8 @@
 import type { ResultHolder, StageResult } from '../../../request/stages/stage-task.js'
 
 /**
- * Milliseconds that a deletion waits to share a call with others. A longer
- * delay keeps memory in use; a shorter one sends more calls.
+ * Milliseconds that a deletion waits to share a call with others. Saves calls, at
+ * the cost of memory that stays in use meanwhile.
  */
 const FREE_DELAY_MS = 5
 /**
--- a/packages/gateway/src/process/stages/backend/result-memory.ts
+++ b/packages/gateway/src/process/stages/backend/result-memory.ts
@@ -17,9 +17,9 @@
  */
 const USABLE_MEMORY_SHARE = 0.97
 /**
- * Results that expire within this time are not passed to a reader. A shorter
- * margin risks calls whose inputs expire in transit; a longer one runs items
- * again whose results could still be read.
+ * Results that expire within this time are not passed to a reader, so that inputs
+ * of a call do not expire in transit. Their items run again, although some of the
+ * results could still be read.
  */
 const EXPIRY_MARGIN_MS = 100
 
--- a/packages/gateway/src/process/stages/backend/stage-backend.ts
+++ b/packages/gateway/src/process/stages/backend/stage-backend.ts
@@ -10,9 +10,8 @@
 import { ResultMemory } from './result-memory.js'
 
 /**
- * Weight of the newest call in the moving average of the measured speed. A
- * lower one detects a slowed backend server late; a higher one follows single
- * calls.
+ * Weight of the newest call in the moving average of the measured speed. Detects a
+ * slowed backend server soon, without following single calls.
  */
 const SPEED_EWMA_WEIGHT = 0.4
 /** Bounds of measured over configured time, so that one outlier does not dominate the average. */
@@ -113,7 +112,7 @@
     return pauseMs
   }
 
-  /** An item found no memory although this account had reserved it. */
+  /** An item found no memory although this process had reserved it. */
   pauseForMemory(now: number): void {
     this.pausedUntil = now + MEMORY_PAUSE_MS
     this.memory.markExhausted(now)
--- a/packages/gateway/src/process/stages/engine-assignment.ts
+++ b/packages/gateway/src/process/stages/engine-assignment.ts
@@ -35,7 +35,7 @@
 const MAX_SLOWDOWN = 20
 /** See MAX_SLOWDOWN. */
 const MIN_SLOWDOWN = 0.5
-/** Weight of the newest long request in the measured time per token. Half of it detects a slowed engine late. */
+/** Weight of the newest long request in the measured time per token; high enough to detect a slowed engine soon. */
 const SPEED_EWMA_WEIGHT = 0.2
 /**
  * Tokens from which on a request has its full weight: most of the time of a
--- a/packages/gateway/src/process/stages/pool/call-size.ts
+++ b/packages/gateway/src/process/stages/pool/call-size.ts
@@ -9,9 +9,9 @@
  * start within SOON_CALL_FRACTION of the fixed time of a call; a call takes
  * whole tasks until it has its share.
  * Why: a call ends with its last item, so each added task delays all others in
- * it. If the first idle backend server takes everything up to a full call, calls
- * of one task run beside calls of four while others become idle milliseconds
- * later. Under load few backend servers start soon and many items wait, so the
+ * it. If the first idle backend server took all items up to a full call, a call
+ * of four tasks would run beside a call of one, although other backend servers
+ * become idle milliseconds later. Under load few backend servers start soon and many items wait, so the
  * same rule fills the calls.
  * Log event: `stage-call` (items).
  */
--- a/packages/gateway/src/process/stages/pool/call-timeout.ts
+++ b/packages/gateway/src/process/stages/pool/call-timeout.ts
@@ -12,8 +12,8 @@
  */
 
 /**
- * A lower factor aborts calls queued behind those of another coordinator; a
- * higher one lets an unresponsive backend server hold its items for seconds.
+ * Leaves time for a call of another coordinator that runs first, at the cost of
+ * items that wait for seconds for an unresponsive backend server.
  */
 const TIMEOUT_FACTOR = 2.5
 /** Covers connection set-up and slow responses where calls are short. */
--- a/packages/gateway/src/process/stages/pool/domain-wait.ts
+++ b/packages/gateway/src/process/stages/pool/domain-wait.ts
@@ -18,16 +18,16 @@
 import type { StageTask } from '../../../request/stages/stage-task.js'
 import type { BackendForecast, CallForecasts } from './call-forecasts.js'
 
-/** Longest wait for a better failure domain. Limits of 200 ms and 120 ms made no significant difference. */
+/** Longest wait for a better failure domain; limits the delay of a task. Limits of 200 ms and 120 ms make no significant difference. */
 const MAX_DOMAIN_WAIT_MS = 400
 /**
- * Time kept free before the target. A smaller margin risks the target to save
- * bytes; a larger one causes more cross-domain traffic.
+ * Time kept free before the target. Protects the target, at the cost of more
+ * cross-domain traffic.
  */
 const TARGET_MARGIN_MS = 150
 /**
- * Cross-domain bytes that cost as much as one millisecond of waiting. Half of it
- * waits twice as long for the same bytes.
+ * Cross-domain bytes that cost as much as one millisecond of waiting. The wait
+ * that is accepted to save some bytes is inversely proportional to it.
  */
 const CROSS_DOMAIN_BYTES_PER_MS = 4000
 /** Lower costs are not worth a wait; this is the resolution of timers. */
--- a/packages/gateway/src/process/stages/pool/early-free.ts
+++ b/packages/gateway/src/process/stages/pool/early-free.ts
@@ -20,8 +20,8 @@
 export const COORDINATOR_OVERLAP_MS = 1500
 /**
  * Expected fetch time over the nominal transfer time; allows for both links and
- * a busy backend server. A lower factor risks lost inputs; a higher one keeps
- * memory in use.
+ * a busy backend server. Protects against freeing inputs before they are fetched,
+ * at the cost of memory that stays in use longer.
  */
 const FETCH_TIME_FACTOR = 3
 /** Connection set-up and queueing of a fetch; the same trade-off as FETCH_TIME_FACTOR. */
--- a/packages/gateway/src/process/stages/pool/item-retry.ts
+++ b/packages/gateway/src/process/stages/pool/item-retry.ts
@@ -14,8 +14,8 @@
 import { ItemFailure, StageCallEnd } from '../../../connection/backends/stage-client.js'
 
 /**
- * Failed calls after which an item fails its task. One more delays the request
- * past most targets; one less fails it at the second broken call.
+ * Failed calls after which an item fails its task. Allows for two broken calls;
+ * after a further retry the request would miss most targets.
  */
 const MAX_ITEM_FAILURES = 3
 
--- a/packages/gateway/src/process/stages/pool/service-throughput.ts
+++ b/packages/gateway/src/process/stages/pool/service-throughput.ts
@@ -7,15 +7,15 @@
 import type { ServiceThroughput } from '../stage-admission.js'
 
 /**
- * Share of a full batch in a typical call. Half of it leaves part of `itemMs`
- * out of the estimates; 1 refuses work that would be in time.
+ * Share of a full batch in a typical call. Includes `itemMs` in the estimates;
+ * estimates from full batches would refuse work that would be in time.
  */
 const TYPICAL_BATCH_FILL = 0.6
 /** Share of the throughput of full batches that is reached under load. */
 const BATCH_EFFICIENCY = 0.9
 /** Calls whose results are in memory at the same time: one being read and one being produced. */
 const CONCURRENT_CALLS_IN_MEMORY = 2
-/** Weight of the newest task in the moving average of the result size. A higher one follows single tasks. */
+/** Weight of the newest task in the moving average of the result size; low, so that it does not follow single tasks. */
 const RESULT_SIZE_EWMA_WEIGHT = 0.05
 
 /** Expected duration of a typical call, in milliseconds. */
--- a/packages/gateway/src/process/stages/pool/stage-calls.ts
+++ b/packages/gateway/src/process/stages/pool/stage-calls.ts
@@ -22,9 +22,9 @@
 
 /**
  * Longest time that the items of a broken call wait for the check whether their
- * backend server crashed. Sent again without it, an item that crashes backend
- * servers reaches the next one first. The check takes 20 ms if the VM is
- * reachable; a longer limit delays the items of a VM that is gone.
+ * backend server crashed. If they were sent again before its result, an item that
+ * crashes backend servers could reach the next one first. The check takes 20 ms if
+ * the VM is reachable; the limit bounds the delay if the VM has failed.
  */
 const MAX_CRASH_CHECK_MS = 100
 
--- a/packages/gateway/src/process/stages/shared-preparer.ts
+++ b/packages/gateway/src/process/stages/shared-preparer.ts
@@ -24,16 +24,15 @@
 import { UNSHARDED } from './shard-choice.js'
 
 /**
- * Calls to coordinators per request. Half of it fails requests when two
- * coordinators die in turn; twice as many keep a client waiting that no
- * coordinator can serve.
+ * Calls to coordinators per request. Allows two coordinators to fail one after the
+ * other; limits how long a client waits if no coordinator can serve it.
  */
 const MAX_COORDINATOR_CALLS = 4
-/** Retry delay for clients when no coordinator answered. Half of it doubles the retries while gateways restart. */
+/** Retry delay for clients when no coordinator answered. Limits the rate of retries while gateways restart. */
 const RETRY_AFTER_MS = 1000
 /**
- * Milliseconds that a release waits to share a call with others. Half of it
- * sends more calls; twice as much keeps result memory in use longer.
+ * Milliseconds that a release waits to share a call with others. Saves calls, at
+ * the cost of result memory that stays in use meanwhile.
  */
 const RELEASE_DELAY_MS = 20
 
--- a/packages/gateway/src/process/stages/stage-admission.ts
+++ b/packages/gateway/src/process/stages/stage-admission.ts
@@ -16,9 +16,9 @@
  * Why: while a request passes through its first stages, the items ahead of it in
  * later stages are processed. The correction is learned from work that was
  * admitted seconds before. Applied to the time of the stages as well, it refused
- * 0.11 and 0.13 of the least urgent requests for good after 2 s of slow calls,
+ * 0.11 and 0.13 of the least urgent requests permanently after 2 s of slow calls,
  * although the queues were empty; applied to the wait alone, 0.05 and 0.02. Queued
- * work that cannot be in time expires in the queue and delays the rest. Running it
+ * work that cannot be in time expires in the queue and delays other work. Running it
  * in the background gave worse results at both sites, as did admitting it up to
  * a tenth beyond the target.
  * Log event: `stages-admission`.
@@ -28,13 +28,13 @@
 
 /**
  * Wait that is allowed whatever the target: some targets are below the time of
- * the stages alone. Half of it refuses routes with short targets under little
- * load; twice as much admits work that will be late.
+ * the stages alone, and their routes would be refused under little load. The cost
+ * is that some work is admitted that will be late.
  */
 const ALWAYS_ALLOWED_WAIT_MS = 300
-/** Shortest retry delay. Half of it doubles the retries under overload. */
+/** Shortest retry delay; limits the rate of retries under overload. */
 const MIN_RETRY_MS = 300
-/** Retry delay if a service has no backend server. Twice as much delays service after a restart. */
+/** Retry delay if a service has no backend server. Short, so that clients return soon after a restart. */
 const NO_BACKEND_RETRY_MS = 800
 /** A refused client retries when its work is expected to take this share of its target. */
 const RETRY_TARGET_SHARE = 0.8
--- a/packages/gateway/src/process/stages/stage-coordinator.ts
+++ b/packages/gateway/src/process/stages/stage-coordinator.ts
@@ -28,21 +28,20 @@
 import { rankRequest } from './stage-order.js'
 
 /**
- * Interval of dispatching waiting tasks that no end of a call triggers. Twice as
- * much delays tasks that waited for a failure domain; half only costs processor
- * time.
+ * Interval of dispatching waiting tasks that no end of a call triggers. Limits the
+ * delay of tasks that waited for a failure domain, at the cost of processor time.
  */
 const DISPATCH_INTERVAL_MS = 50
 /**
- * Time after which unreleased results are freed; far above any request's deadline
- * and the 4 s lifetime of a result. Half of it could free results of requests
- * with long deadlines; twice as much keeps the state of lost requests longer.
+ * Time after which unreleased results are freed. Far above the 4 s lifetime of a
+ * result and any request's deadline, so that requests with long deadlines keep
+ * their results, at the cost of keeping the state of lost requests.
  */
 const MAX_RESULT_HOLD_MS = 20_000
 /**
  * Part of the answer time outside the engine: from the coordinator via the
- * gateway to the engine, and back. Half of it admits some late requests; twice
- * as much refuses some that would be in time.
+ * gateway to the engine, and back. Keeps late requests from being admitted,
+ * without refusing those that would be in time.
  */
 const ANSWER_OVERHEAD_MS = 70
 /** Time from the last stage to the answer if no engine reads the results. */
@@ -207,7 +206,7 @@
     return { ...inputs, engine: engine.id }
   }
 
-  /** Engines that may answer a request now. Rate-limited ones only if all are, since each gateway waits for its turn there. */
+  /** Engines that may answer a request now. Rate-limited ones only if all are, since a request to them waits for its gateway's next time slot. */
   private eligibleEngines({ prompt, service }: PreparationRequest, now: number): Backend[] {
     const engines = prompt && service ? this.backends.available(service) : []
     const open = engines.filter(engine => this.dependencies.coldPace.mayTake(engine, now))
--- a/packages/gateway/src/process/stages/stage-order.ts
+++ b/packages/gateway/src/process/stages/stage-order.ts
@@ -17,8 +17,8 @@
 import type { StageTask } from '../../request/stages/stage-task.js'
 
 /**
- * Shift of one priority level. Half of it lets less urgent requests delay urgent
- * ones; twice as much delays low priorities for seconds in a burst.
+ * Shift of one priority level. Keeps less urgent requests from delaying urgent
+ * ones, without delaying low priorities for seconds in a burst.
  */
 const PRIORITY_STEP_MS = 300
 
--- a/packages/gateway/src/request/attempts/backend-attempt.ts
+++ b/packages/gateway/src/request/attempts/backend-attempt.ts
@@ -56,7 +56,7 @@
     return this.controller.signal.aborted
   }
 
-  /** Calls the backend server, which has to send the response head within `headTimeMs`. */
+  /** Calls the backend server, which has to send the response head within `headTimeoutMs`. */
   async run(call: BackendCall, headTimeoutMs: number, clientSignal: AbortSignal): Promise<AttemptResult> {
     const abort = (): void => this.controller.abort()
     const timer = setTimeout(abort, headTimeoutMs)
--- a/packages/gateway/src/request/attempts/backend-runner.ts
+++ b/packages/gateway/src/request/attempts/backend-runner.ts
@@ -17,9 +17,9 @@
 
 /**
  * Age after which a known limit is refreshed by sending a request in this
- * gateway's next time slot. Half moves more requests away from the engines that
- * cache their prompts; twice leaves a backend server idle longer after it has
- * lifted its limit.
+ * gateway's next time slot. Limits how long a backend server stays idle after it
+ * has lifted its limit, at the cost of requests that are moved away from the
+ * engines that cache their prompts.
  */
 const LIMIT_REFRESH_MS = 1000
 
--- a/packages/gateway/src/request/attempts/cold-start-limiter.ts
+++ b/packages/gateway/src/request/attempts/cold-start-limiter.ts
@@ -39,7 +39,7 @@
 export const COORDINATED_SHARE = 0.4
 /** Share of the allowance for gateways that select by themselves, all together. */
 export const UNCOORDINATED_SHARE = 0.15
-/** With 500 ms, any second overlaps the open time slots of at most 1.5 s; longer ones raise that to 2 s. */
+/** Limits bursts: the requests of any second belong to time slots that began within 1.5 s. */
 const MAX_OPEN_MS = 500
 const MILLISECONDS_PER_SECOND = 1000
 
--- a/packages/gateway/src/request/attempts/load-balancing.ts
+++ b/packages/gateway/src/request/attempts/load-balancing.ts
@@ -36,8 +36,8 @@
 }
 
 /**
- * Older load reports are ignored. Half would ignore servers that respond rarely,
- * twice would avoid servers that have become idle since.
+ * Older load reports are ignored, because the server may have become idle since.
+ * Long enough to use the reports of servers that respond rarely.
  */
 const LOAD_LIFETIME_MS = 1500
 
@@ -49,8 +49,8 @@
 }
 
 /**
- * Load per slot that a call to another failure domain is worth. Half crosses
- * domains for small differences in load, twice fills the own domain first.
+ * Load per slot that a call to another failure domain costs. Avoids cross-domain
+ * calls for small differences in load, without filling the own domain first.
  */
 const OTHER_DOMAIN_PENALTY_LOAD = 0.3
 /**
@@ -81,14 +81,14 @@
  */
 const UNCACHED_TOKEN_COST_MS = 0.05
 /**
- * Cost of each other request in progress. Half keeps shared prompts on busy
- * servers, twice scatters them.
+ * Cost of each other request in progress. Moves requests with a shared prompt away
+ * from busy servers, without scattering them over all servers.
  */
 const REQUEST_COST_MS = 8
 /**
- * Bytes from another failure domain that cost one millisecond. Half moves
- * requests to busy servers to save transfers, twice crosses domains for small
- * differences in load.
+ * Bytes from another failure domain that cost one millisecond. Avoids transfers
+ * for small differences in load, but does not send requests to busy servers to
+ * save a transfer.
  */
 const OTHER_DOMAIN_BYTES_PER_MS = 40_000
 
--- a/packages/gateway/src/request/attempts/retry-rule.ts
+++ b/packages/gateway/src/request/attempts/retry-rule.ts
@@ -21,14 +21,13 @@
 import { CallFailureKind } from '../../connection/backends/backend-client.js'
 
 /**
- * Least remaining time for another attempt. Half would send calls that cannot be
- * answered in time, twice would refuse some that can.
+ * Least remaining time for another attempt. Avoids calls that cannot be answered
+ * in time, at the cost of refusing some that can.
  */
 const MIN_REMAINING_MS = 30
 /**
- * Attempts per request, including those that did not run. Half would fail
- * requests while a pool is being replaced, twice would retry for too long while
- * a pool is full.
+ * Attempts per request, including those that did not run. Enough for requests to
+ * succeed while a pool is being replaced; limits the retries while a pool is full.
  */
 const MAX_ATTEMPTS = 6
 
--- a/packages/gateway/src/request/attempts/slotted-rate-limiter.ts
+++ b/packages/gateway/src/request/attempts/slotted-rate-limiter.ts
@@ -20,7 +20,7 @@
 import type { Backend } from '../../connection/backends/backend.js'
 import { HASH_RANGE, hashText } from '../rendezvous.js'
 
-/** A longer time lets the time slots of several gateways overlap; with a shorter one, time slots pass unused if requests are rare. */
+/** Limits the overlap with the time slots of other gateways, at the cost of time slots that pass unused if requests are rare. */
 const MAX_OPEN_MS = 1000
 /** Lower bound of the limit in requests per second: a backend server that gets no requests cannot report that its limit has ended. */
 const MIN_PER_SECOND = 0.1
--- a/packages/gateway/src/request/client-retry-detector.ts
+++ b/packages/gateway/src/request/client-retry-detector.ts
@@ -8,16 +8,16 @@
  * deadline.
  * Why: requests carry no attempt count, and the ids of rejected requests are not
  * shared between gateways; the deadline is the only evidence that every gateway sees.
- * Log event: `stages-admission` shows the decision that takes it as an input.
+ * Log event: `stages-admission` (isRetry).
  *
  * State: one number per route, until the route is removed from the configuration.
  * A new process takes the first request of each route as a first attempt.
  */
 
 /**
- * Share of the route's longest deadline. A smaller one misses retries sent soon
- * after the rejection; a larger one mistakes jitter in the deadlines of first
- * attempts for retries.
+ * Share of the route's longest deadline below which a request is a retry. Close to
+ * 1, to detect retries sent soon after the rejection; the difference allows for
+ * jitter in the deadlines of first attempts.
  */
 const RETRY_DEADLINE_SHARE = 0.985
 
--- a/packages/gateway/src/request/deadlines.ts
+++ b/packages/gateway/src/request/deadlines.ts
@@ -19,14 +19,13 @@
 import type { Route } from '../version/configuration.js'
 
 /**
- * For clients that send no deadline. Half would cut off long responses, twice
- * would occupy slots longer.
+ * For clients that send no deadline. Leaves time for long responses, at the cost
+ * of slots that stay occupied after such a client has given up.
  */
 const DEFAULT_DEADLINE_MS = 10_000
 /**
- * Reserved for sending the response to the client. With too little, the response
- * arrives after the client has given up; with too much, requests are rejected
- * that could still be answered.
+ * Reserved for sending the response, so that it arrives before the client gives
+ * up, at the cost of rejecting requests that could be answered in this time.
  */
 const RESPONSE_MARGIN_MS = 20
 
@@ -38,9 +37,9 @@
 const EVENT_WAIT_GAP_FACTOR = 8
 
 /**
- * Minimum time of an attempt that may be followed by another one. Half would
- * abandon healthy calls of routes with a short target, twice would leave those
- * routes no time for a second attempt.
+ * Minimum time of an attempt that may be followed by another one. Keeps routes
+ * with a short target from abandoning healthy calls, and leaves them time for a
+ * second attempt.
  */
 const MIN_ATTEMPT_MS = 150
 
--- a/packages/gateway/src/request/request-errors.ts
+++ b/packages/gateway/src/request/request-errors.ts
@@ -21,8 +21,9 @@
 import { PreparationFailureKind } from '../connection/peers/preparation.js'
 
 /**
- * Retry delay for clients after every backend server refused. Half sends retries
- * to a pool that is still full, twice leaves free slots unused.
+ * Retry delay for clients after every backend server refused. Keeps retries from
+ * reaching a pool that is still full, at the cost of slots that become free
+ * earlier and stay unused.
  */
 const REFUSED_RETRY_AFTER_MS = 200
 
--- a/packages/gateway/src/request/responses/response-relay.ts
+++ b/packages/gateway/src/request/responses/response-relay.ts
@@ -18,8 +18,8 @@
 
 /**
  * A larger non-streaming response is treated as broken, because it is buffered
- * in memory. Half would reject legitimate large responses; with twice, a few
- * large responses could exhaust the process's memory.
+ * in memory. Allows legitimate large responses, and keeps a few of them from
+ * exhausting the process's memory.
  */
 const MAX_BUFFERED_RESPONSE_BYTES = 8_000_000
 
--- a/packages/gateway/src/request/responses/stall-detector.ts
+++ b/packages/gateway/src/request/responses/stall-detector.ts
@@ -18,20 +18,20 @@
 export type Probe = (timeoutMs: number) => Promise<boolean>
 
 /**
- * Idle time before a probe. Half would probe during ordinary pauses; with twice,
- * clients have disconnected before the stall is detected.
+ * Idle time before a probe. Longer than ordinary pauses between events, and short
+ * enough to detect a stall before clients disconnect.
  */
 const IDLE_BEFORE_PROBE_MS = 900
-/** Interval of the idle check; a third of the idle time bounds how late a stall is noticed. */
+/** Interval of the idle check, which bounds how late a stall is detected. */
 const CHECK_INTERVAL_MS = IDLE_BEFORE_PROBE_MS / 3
 /**
- * Time for the reply to a probe. Half fails on a busy backend server, twice
- * delays the next attempt.
+ * Time for the reply to a probe. Allows for a busy backend server, at the cost of
+ * delaying the next attempt.
  */
 const PROBE_TIMEOUT_MS = 500
 /**
- * Consecutive unanswered probes. With one, a single lost packet would abort the
- * call; with four, clients have disconnected before the abort.
+ * Consecutive unanswered probes that abort the call. Tolerates a single lost
+ * packet, and aborts before clients disconnect.
  */
 const MAX_FAILED_PROBES = 2
 
--- a/packages/gateway/src/request/stages/request-stages.ts
+++ b/packages/gateway/src/request/stages/request-stages.ts
@@ -20,7 +20,7 @@
 import { StageStates } from './stage-states.js'
 
 /**
- * Delay after which a client may retry failed stage work. Half doubles the
+ * Delay after which a client may retry failed stage work. Limits the rate of
  * retries while backend servers fail.
  */
 const RETRY_AFTER_MS = 1000
--- a/packages/gateway/src/request/stages/stage-delay.ts
+++ b/packages/gateway/src/request/stages/stage-delay.ts
@@ -11,7 +11,7 @@
  */
 import type { StageGraph } from './stage-graph.js'
 
-/** Share of the stage's own call duration that is reserved for queueing before it: less risks the target, more occupies memory longer. */
+/** Share of the stage's own call duration that is reserved for queueing before it; protects the target at the cost of memory that is occupied longer. */
 const START_MARGIN_SHARE = 0.6
 /** A shorter delay is not worth a timer. */
 const MIN_DELAY_MS = 20
--- a/packages/gateway/src/request/stages/stage-failure.ts
+++ b/packages/gateway/src/request/stages/stage-failure.ts
@@ -16,9 +16,9 @@
 import { ItemFailure } from '../../connection/backends/stage-client.js'
 
 /**
- * Restarts of a request's stage work. With half, a request that loses a backend
- * server twice fails; with twice, hopeless work takes calls from other requests
- * until its deadline.
+ * Restarts of a request's stage work. Allows a request to lose a backend server
+ * twice; the limit keeps work that cannot succeed from using calls that other
+ * requests need until its deadline.
  */
 const MAX_RESTARTS = 2
 
