--- a/packages/gateway/src/process/gateway.ts
+++ b/packages/gateway/src/process/gateway.ts
@@ -202,8 +202,8 @@
   private createStageCoordinators(): StageCoordinators {
     const client = this.platform.stageClient(this.connections)
     const retryBudget = new RetryBudget({ ...this.retryBudgetSettings(), ratio: 0 }, () => countSharingGateways(this.members.shards.length))
-    const coldPace = new ColdStartLimiter(this.self.name, service => this.sharedLimits.coordinatedColdRate(service))
-    return new StageCoordinators({ registry: this.registry, client, retryBudget, crashes: this.crashTracker, coldPace, intake: this.intakes, log: this.log })
+    const coldStartLimiter = new ColdStartLimiter(this.self.name, service => this.sharedLimits.coordinatedColdRate(service))
+    return new StageCoordinators({ registry: this.registry, client, retryBudget, crashes: this.crashTracker, coldStartLimiter, intake: this.intakes, log: this.log })
   }
 
   private createBackendRunner(): BackendRunner {
--- a/packages/gateway/src/process/stages/backend/result-memory.ts
+++ b/packages/gateway/src/process/stages/backend/result-memory.ts
@@ -31,8 +31,8 @@
 interface HeldResult {
   bytes: number
   expiresAt: number
-  /** A deletion call is in progress; the bytes stay counted until the backend server confirms it. */
-  freeing: boolean
+  /** Its deletion is scheduled or in progress; the bytes stay counted until the backend server confirms it. */
+  isMarkedForDeletion: boolean
 }
 
 /** Result memory of one backend server; times are in milliseconds on the process clock. */
@@ -68,7 +68,7 @@
 
   /** Records a result; its reserved bytes stay in use until it is deleted or expires. */
   hold(handle: string, bytes: number, now: number, lifetimeMs = this.limits.resultLifetimeMs): void {
-    this.held.set(handle, { bytes, expiresAt: now + lifetimeMs, freeing: false })
+    this.held.set(handle, { bytes, expiresAt: now + lifetimeMs, isMarkedForDeletion: false })
   }
 
   /** Keeps the reserved bytes of a broken call until its results, if there are any, have expired. */
@@ -106,7 +106,7 @@
 
   isReadable(handle: string, now: number): boolean {
     const result = this.held.get(handle)
-    return result !== undefined && !result.freeing && now < result.expiresAt - EXPIRY_MARGIN_MS
+    return result !== undefined && !result.isMarkedForDeletion && now < result.expiresAt - EXPIRY_MARGIN_MS
   }
 
   remainingLifetimeMs(handle: string, now: number): number {
@@ -115,9 +115,9 @@
 
   markForDeletion(handle: string): boolean {
     const result = this.held.get(handle)
-    if (!result || result.freeing)
+    if (!result || result.isMarkedForDeletion)
       return false
-    result.freeing = true
+    result.isMarkedForDeletion = true
     return true
   }
 
--- a/packages/gateway/src/process/stages/backend/stage-backend.ts
+++ b/packages/gateway/src/process/stages/backend/stage-backend.ts
@@ -24,7 +24,7 @@
 /** State of one backend server; times are in milliseconds on the process clock. */
 export class StageBackend {
   readonly memory: ResultMemory
-  private callsUnderWay = 0
+  private callsInFlight = 0
   /** Expected end of the call in progress. */
   private busyUntil = 0
   private pausedUntil = 0
@@ -66,7 +66,7 @@
 
   /** Whether a call may be sent now. */
   isIdle(now: number): boolean {
-    return this.callsUnderWay < this.limits.concurrency && now >= this.pausedUntil && this.intake.waitMs(this.backend) === 0
+    return this.callsInFlight < this.limits.concurrency && now >= this.pausedUntil && this.intake.waitMs(this.backend) === 0
   }
 
   /** Whether it gets calls now, or as soon as the call in progress ends. */
@@ -76,7 +76,7 @@
 
   /** Milliseconds until another call can start. */
   msUntilNextCall(now: number): number {
-    const busy = this.callsUnderWay >= this.limits.concurrency ? Math.max(1, this.busyUntil - now) : 0
+    const busy = this.callsInFlight >= this.limits.concurrency ? Math.max(1, this.busyUntil - now) : 0
     return Math.max(busy, this.pausedUntil - now, this.intake.waitMs(this.backend))
   }
 
@@ -87,14 +87,14 @@
 
   /** Records the start of a call and reserves memory for its results. */
   startCall(items: number, bytes: number, now: number): void {
-    this.callsUnderWay++
+    this.callsInFlight++
     this.memory.reserve(bytes)
     this.busyUntil = now + this.expectedCallMs(items)
   }
 
   /** Records an answered call. Its duration is a valid sample only if every item has a result. */
   succeed(items: number, tookMs: number, hasAllResults: boolean): void {
-    this.callsUnderWay--
+    this.callsInFlight--
     this.failures = 0
     if (!hasAllResults)
       return
@@ -105,7 +105,7 @@
 
   /** Records a failed call and returns the pause that follows, in milliseconds. */
   fail(now: number): number {
-    this.callsUnderWay--
+    this.callsInFlight--
     const pauseMs = failurePauseMs(this.failures)
     this.failures++
     this.pausedUntil = now + pauseMs
--- a/packages/gateway/src/process/stages/engine-assignment.ts
+++ b/packages/gateway/src/process/stages/engine-assignment.ts
@@ -21,10 +21,10 @@
 /** Additional cost of an uncached token of a shared part: recomputing it takes engine time from other requests. */
 const RECOMPUTE_COST_MS_PER_TOKEN = 0.08
 /**
- * Share of the uncached tokens that counts at the home engine of a prompt, which
+ * Share of the uncached tokens that counts at the preferred engine of a prompt, which
  * may have them cached from an earlier coordinator or from longer ago.
  */
-const HOME_UNCACHED_SHARE = 0.5
+const PREFERRED_UNCACHED_SHARE = 0.5
 /** Cross-domain bytes that cost as much as one millisecond. */
 const CROSS_DOMAIN_BYTES_PER_MS = 40_000
 /** How long a part counts as cached after it was assigned to an engine. */
@@ -163,31 +163,31 @@
   }
 
   private findCheapest(request: EngineRequest, engines: readonly Backend[], now: number): EngineCost | undefined {
-    const home = findPreferredEngine(request.prompt, engines)
+    const preferred = findPreferredEngine(request.prompt, engines)
     let cheapest: EngineCost | undefined
     for (const engine of engines) {
-      const cost = this.cost(request, engine, engine === home, now)
+      const cost = this.cost(request, engine, engine === preferred, now)
       if (!cheapest || cost.costMs < cheapest.costMs)
         cheapest = cost
     }
     return cheapest
   }
 
-  private cost({ prompt, failureDomain, bytes }: EngineRequest, engine: Backend, isHome: boolean, now: number): EngineCost {
+  private cost({ prompt, failureDomain, bytes }: EngineRequest, engine: Backend, isPreferred: boolean, now: number): EngineCost {
     const { pendingTokens, msPerToken } = this.stateOf(engine)
-    const uncachedTokens = this.uncachedTokens(prompt, engine, isHome, now)
+    const uncachedTokens = this.uncachedTokens(prompt, engine, isPreferred, now)
     const prefillMs = (pendingTokens + ownTokens(prompt) + uncachedTokens) * msPerToken
     const transferMs = engine.failureDomain === failureDomain ? 0 : bytes / CROSS_DOMAIN_BYTES_PER_MS
     return { engine, uncachedTokens, firstEventMs: FIXED_OVERHEAD_MS + prefillMs, costMs: prefillMs + uncachedTokens * RECOMPUTE_COST_MS_PER_TOKEN + transferMs }
   }
 
   /** Tokens of the shared parts from the first uncached one on; a cached part is only usable if all parts before it are cached too. */
-  private uncachedTokens(prompt: readonly PromptPart[], engine: Backend, isHome: boolean, now: number): number {
+  private uncachedTokens(prompt: readonly PromptPart[], engine: Backend, isPreferred: boolean, now: number): number {
     const state = this.stateOf(engine)
     const shared = sharedParts(prompt)
     const firstUncached = shared.findIndex(part => !state.isCached(part.id, now))
     const tokens = firstUncached === -1 ? 0 : countTokens(shared.slice(firstUncached))
-    return isHome ? tokens * HOME_UNCACHED_SHARE : tokens
+    return isPreferred ? tokens * PREFERRED_UNCACHED_SHARE : tokens
   }
 
   private stateOf(engine: Backend): EngineState {
--- a/packages/gateway/src/process/stages/pool/crash-isolation.ts
+++ b/packages/gateway/src/process/stages/pool/crash-isolation.ts
@@ -15,17 +15,17 @@
  * Log event: `stage-call` (`requests`), `stages-ended`.
  */
 import type { StageTask } from '../../../request/stages/stage-task.js'
-import type { StageCrashWatch } from './pool-dependencies.js'
+import type { StageCrashMonitor } from './pool-dependencies.js'
 
 /** Crashes after which items are isolated; one less than the number that leads to quarantine. */
 const ISOLATION_CRASH_COUNT = 2
 
 /** Whether the items of a task must not share a call with other requests. */
-export function isIsolated({ fingerprint }: StageTask, crashes: StageCrashWatch): boolean {
+export function isIsolated({ fingerprint }: StageTask, crashes: StageCrashMonitor): boolean {
   return fingerprint !== undefined && crashes.crashCount(fingerprint) >= ISOLATION_CRASH_COUNT
 }
 
 /** Whether the items of a task must not be sent. */
-export function isQuarantined({ fingerprint }: StageTask, crashes: StageCrashWatch): boolean {
+export function isQuarantined({ fingerprint }: StageTask, crashes: StageCrashMonitor): boolean {
   return fingerprint !== undefined && crashes.refusal(fingerprint) !== undefined
 }
--- a/packages/gateway/src/process/stages/pool/item-retry.ts
+++ b/packages/gateway/src/process/stages/pool/item-retry.ts
@@ -4,7 +4,7 @@
  * Inputs: the failure, failed calls of the item including this one, and the
  * retry budget of the service (this coordinator's share).
  * Rule: a call that was not sent is retried without being counted. An item that
- * is late or whose input is gone fails its task. Anything else is sent again, in
+ * is late or whose input is lost fails its task. Anything else is sent again, in
  * up to MAX_ITEM_FAILURES calls, as long as the budget allows.
  * Why: items are safe to run again, but a retry displaces other requests and
  * counts against the retry budget of the service. A lost input is not recovered
--- a/packages/gateway/src/process/stages/pool/pool-dependencies.ts
+++ b/packages/gateway/src/process/stages/pool/pool-dependencies.ts
@@ -8,13 +8,13 @@
 import type { CrashMonitor } from '../../../request/crash-monitor.js'
 
 /** Reports broken calls and tells which requests have crashed backend servers. */
-export type StageCrashWatch = Pick<CrashMonitor, 'noteBroken' | 'crashCount' | 'refusal'>
+export type StageCrashMonitor = Pick<CrashMonitor, 'noteBroken' | 'crashCount' | 'refusal'>
 
 /** Dependencies of one pool. */
 export interface StagePoolDependencies {
   client: StageClient
   retryBudget: Pick<RetryBudget, 'takeRetry'>
-  crashes: StageCrashWatch
+  crashes: StageCrashMonitor
   /** When a call may be sent to a backend server that limits its calls. */
   intake: Pick<IntakeGate, 'waitMs'>
   log: EventLog
--- a/packages/gateway/src/process/stages/pool/pool-task.ts
+++ b/packages/gateway/src/process/stages/pool/pool-task.ts
@@ -46,13 +46,13 @@
 
 /** Converts an item to the form sent to its backend server. */
 export function describeItem(item: PoolItem, now: number): StageItem {
-  const { stageTask: task } = item.task
+  const { stageTask } = item.task
   return {
-    requestId: task.requestId,
-    stage: task.stage,
+    requestId: stageTask.requestId,
+    stage: stageTask.stage,
     index: item.index,
-    remainingMs: Math.max(1, Math.round(task.deadlineAt - now)),
-    key: task.key,
-    inputs: task.inputs.length > 0 ? task.inputs.map(input => input.handle) : undefined,
+    remainingMs: Math.max(1, Math.round(stageTask.deadlineAt - now)),
+    key: stageTask.key,
+    inputs: stageTask.inputs.length > 0 ? stageTask.inputs.map(input => input.handle) : undefined,
   }
 }
--- a/packages/gateway/src/process/stages/pool/stage-batch.ts
+++ b/packages/gateway/src/process/stages/pool/stage-batch.ts
@@ -94,9 +94,9 @@
     const [first] = entries
     if (first && (isIsolated(first.task.stageTask) || isIsolated(task.stageTask)))
       continue
-    const taken = countItems(entries)
-    const slots = maxItems - taken
-    if (slots <= 0 || taken >= targetItems)
+    const selectedCount = countItems(entries)
+    const slots = maxItems - selectedCount
+    if (slots <= 0 || selectedCount >= targetItems)
       return
     const waiting = task.waiting.length
     const withinMemory = Math.floor((freeBytes - reservedBytes(entries)) / task.stageTask.resultBytes)
--- a/packages/gateway/src/process/stages/pool/stage-calls.ts
+++ b/packages/gateway/src/process/stages/pool/stage-calls.ts
@@ -16,7 +16,7 @@
 import { ItemFailure, StageCallEnd } from '../../../connection/backends/stage-client.js'
 import { logBackendPaused, logStageCall } from '../stage-log.js'
 import { callTimeoutMs } from './call-timeout.js'
-import { COORDINATOR_OVERLAP_MS, inputsFetchedAfterMs } from './early-free.js'
+import { COORDINATOR_OVERLAP_MS, inputsFetchedAfterMs } from './input-fetch-time.js'
 import { countsAsFailure, decideItemRetry } from './item-retry.js'
 import { describeItem, inputBytesOf, resultBytesOf } from './pool-task.js'
 
--- a/packages/gateway/src/process/stages/pool/stage-pool.ts
+++ b/packages/gateway/src/process/stages/pool/stage-pool.ts
@@ -24,7 +24,7 @@
 import { chooseBatch } from './stage-batch.js'
 import { StageCalls } from './stage-calls.js'
 import { TaskQueue } from './task-queue.js'
-import { cannotMeetDeadline, hasUnreadableInput } from './waiting-end.js'
+import { cannotMeetDeadline, hasUnreadableInput } from './waiting-task-failure.js'
 
 /** Batches and runs the items of one service. */
 export class StagePool implements StageTaskQueue {
--- a/packages/gateway/src/process/stages/stage-coordinator.ts
+++ b/packages/gateway/src/process/stages/stage-coordinator.ts
@@ -52,7 +52,7 @@
 /** Dependencies of a coordinator. */
 export interface StageCoordinatorDependencies extends StagePoolDependencies {
   /** Limits how often this coordinator may assign cold engines. */
-  coldPace: Pick<ColdStartLimiter, 'mayTake' | 'note'>
+  coldStartLimiter: Pick<ColdStartLimiter, 'mayTake' | 'note'>
 }
 
 /** Owns the pools of all stage services, and the requests whose results are held. */
@@ -202,16 +202,16 @@
     const engine = this.engines.assign({ requestId, prompt, ...inputs }, this.eligibleEngines(request, now), now)
     if (!engine)
       return inputs
-    this.dependencies.coldPace.note(engine, now)
+    this.dependencies.coldStartLimiter.note(engine, now)
     return { ...inputs, engine: engine.id }
   }
 
   /** Engines that may answer a request now. Rate-limited ones only if all are, since a request to them waits for its gateway's next time slot. */
   private eligibleEngines({ prompt, service }: PreparationRequest, now: number): Backend[] {
     const engines = prompt && service ? this.backends.available(service) : []
-    const open = engines.filter(engine => this.dependencies.coldPace.mayTake(engine, now))
-    const unlimited = open.filter(({ intake }) => intake.limitPerSecond === undefined)
-    return unlimited.length > 0 ? unlimited : open
+    const eligible = engines.filter(engine => this.dependencies.coldStartLimiter.mayTake(engine, now))
+    const unlimited = eligible.filter(({ intake }) => intake.limitPerSecond === undefined)
+    return unlimited.length > 0 ? unlimited : eligible
   }
 
   /** Updates the backend servers of a service's pool. */
--- a/packages/gateway/src/process/stages/stage-log.ts
+++ b/packages/gateway/src/process/stages/stage-log.ts
@@ -39,7 +39,7 @@
 }
 
 /** A request was admitted or refused. */
-export function logAdmission(log: EventLog, { request, answerMs }: AdmissionCandidate, decision: AdmissionDecision, requestsUnderWay: number): void {
+export function logAdmission(log: EventLog, { request, answerMs }: AdmissionCandidate, decision: AdmissionDecision, activeRequests: number): void {
   log.write('stages-admission', {
     request: request.requestId,
     decision: decision.isAdmitted ? 'in-time' : 'refused',
@@ -48,7 +48,7 @@
     targetMs: Math.round(request.targetMs),
     priority: request.priority,
     isRetry: request.isRetry,
-    underWay: requestsUnderWay,
+    underWay: activeRequests,
     shard: request.shard,
   })
 }
--- a/packages/gateway/src/request/attempts/backend-attempt.ts
+++ b/packages/gateway/src/request/attempts/backend-attempt.ts
@@ -47,8 +47,8 @@
   private readonly controller = new AbortController()
   private readonly probe: Probe
 
-  constructor(private readonly deps: AttemptDependencies) {
-    this.probe = timeoutMs => deps.client.probe(deps.backend, timeoutMs)
+  constructor(private readonly dependencies: AttemptDependencies) {
+    this.probe = timeoutMs => dependencies.client.probe(dependencies.backend, timeoutMs)
   }
 
   /** Whether this gateway abandoned the attempt or the client disconnected. */
@@ -61,16 +61,16 @@
     const abort = (): void => this.controller.abort()
     const timer = setTimeout(abort, headTimeoutMs)
     clientSignal.addEventListener('abort', abort)
-    this.deps.backend.outstanding++
+    this.dependencies.backend.outstanding++
     try {
-      const head = await this.awaitHead(this.deps.client.run(this.deps.backend, call, this.controller.signal))
+      const head = await this.awaitHead(this.dependencies.client.run(this.dependencies.backend, call, this.controller.signal))
       clearTimeout(timer)
       if (head.isErr())
         return { end: endOfFailure(head.error), failure: head.error }
       return { ...await this.handleResponse(head.value), framed: head.value.framed }
     }
     finally {
-      this.deps.backend.outstanding--
+      this.dependencies.backend.outstanding--
       clearTimeout(timer)
       clientSignal.removeEventListener('abort', abort)
     }
@@ -78,7 +78,7 @@
 
   /** Probes the backend server of a stream until the response head arrives. */
   private async awaitHead<Head>(head: Promise<Head>): Promise<Head> {
-    if (!this.deps.request.route.streaming)
+    if (!this.dependencies.request.route.streaming)
       return head
     const stallDetector = new StallDetector(this.probe, () => this.controller.abort())
     try {
@@ -90,19 +90,19 @@
   }
 
   private handleResponse(answer: BackendResponse): Promise<AttemptResult> | AttemptResult {
-    if (this.deps.request.route.streaming && answer.status < SUCCESS_STATUS_END)
+    if (this.dependencies.request.route.streaming && answer.status < SUCCESS_STATUS_END)
       return this.relay(answer)
-    if (this.deps.answer.started)
+    if (this.dependencies.answer.started)
       return this.rejectNonStream(answer)
     return this.bufferAndSend(answer)
   }
 
   private async relay(answer: BackendResponse): Promise<AttemptResult> {
-    const ended = await relayStream(answer, this.deps.answer, {
+    const ended = await relayStream(answer, this.dependencies.answer, {
       controller: this.controller,
       remainingMs: this.remainingMs(),
       probe: this.probe,
-      onEvent: this.deps.onEvent,
+      onEvent: this.dependencies.onEvent,
     })
     return ended.isOk() ? { end: AttemptEnd.Answered } : broken(ended.error)
   }
@@ -118,14 +118,14 @@
     const whole = await bufferResponse(answer, this.controller, this.remainingMs())
     if (whole.isErr())
       return broken(whole.error)
-    if (answer.status >= SERVER_ERROR_STATUS && this.deps.request.route.repeatable)
+    if (answer.status >= SERVER_ERROR_STATUS && this.dependencies.request.route.repeatable)
       return { end: AttemptEnd.ServerError, fallback: whole.value }
-    sendBuffered(whole.value, this.deps.answer)
+    sendBuffered(whole.value, this.dependencies.answer)
     return { end: AttemptEnd.Answered }
   }
 
   private remainingMs(): number {
-    return this.deps.request.deadlineAt - performance.now()
+    return this.dependencies.request.deadlineAt - performance.now()
   }
 }
 
--- a/packages/gateway/src/request/attempts/backend-run.ts
+++ b/packages/gateway/src/request/attempts/backend-run.ts
@@ -19,7 +19,7 @@
 import type { RunInputs, RunResult, RunSubject } from './run-subject.js'
 import { Err, Ok } from 'ts-results-es'
 import { CallFailureKind } from '../../connection/backends/backend-client.js'
-import { atLeastOneMs, decideAttemptTime } from '../deadlines.js'
+import { atLeastOneMs, decideHeadTimeoutMs } from '../deadlines.js'
 import { errorOfUnanswered } from '../request-errors.js'
 import { sendBuffered } from '../responses/response-relay.js'
 import { BackendAttempt } from './backend-attempt.js'
@@ -65,7 +65,7 @@
   private waitMs = 0
 
   constructor(
-    private readonly deps: BackendRunDependencies,
+    private readonly dependencies: BackendRunDependencies,
     private readonly choose: SelectBackend,
     private readonly subject: RunSubject,
   ) {
@@ -97,10 +97,10 @@
    * them takes seconds, so the server is selected again afterwards.
    */
   private async prepareAttempt(): Promise<Result<Backend, RetryDecision>> {
-    const { budget } = this.deps
+    const { budget } = this.dependencies
     const { service } = this.subject.request
     const isRetry = needsBudget(this.history)
-    if (this.deps.crashes.refusal(this.subject.request.fingerprint) !== undefined)
+    if (this.dependencies.crashes.refusal(this.subject.request.fingerprint) !== undefined)
       return Err(RetryDecision.Quarantined)
     const candidate = this.selectForAttempt()
     if (candidate.isOk() && isRetry && !budget.takeRetry(service))
@@ -127,7 +127,7 @@
     const backend = this.choose(request, inputs, this.tried)
     if (backend)
       return backend
-    this.waitMs = shortestWaitMs(this.deps, request.service)
+    this.waitMs = shortestWaitMs(this.dependencies, request.service)
     return this.waitMs === 0 ? this.choose(request, inputs, this.tried) : undefined
   }
 
@@ -141,17 +141,17 @@
   private async attempt(backend: Backend): Promise<AttemptResult> {
     const { request, answer, signal } = this.subject
     this.tried.add(backend.id)
-    this.deps.log.attemptStarted({ request, backend, attempt: this.history.attempts, remainingMs: this.remainingMs() })
-    const attempt = new BackendAttempt({ client: this.deps.client, backend, request, answer, onEvent: id => this.recordEvent(id) })
+    this.dependencies.log.attemptStarted({ request, backend, attempt: this.history.attempts, remainingMs: this.remainingMs() })
+    const attempt = new BackendAttempt({ client: this.dependencies.client, backend, request, answer, onEvent: id => this.recordEvent(id) })
     const startedAt = performance.now()
-    const result = await attempt.run(this.buildCall(), this.attemptTime(), signal)
+    const result = await attempt.run(this.buildCall(), this.headTimeoutMs(), signal)
     this.reportResult(backend, result, performance.now() - startedAt, attempt.aborted)
     return result
   }
 
-  private attemptTime(): number {
+  private headTimeoutMs(): number {
     const { route } = this.subject.request
-    return decideAttemptTime({
+    return decideHeadTimeoutMs({
       remainingMs: this.remainingMs(),
       targetLatencyMs: route.targetLatencyMs,
       mayRunAgain: mayRunAfterNext(this.history, route),
@@ -168,7 +168,7 @@
       body: request.body,
       remainingMs: atLeastOneMs(Math.round(this.remainingMs())),
       account: request.account?.name,
-      priority: this.deps.isEngine(request.service) ? request.priority : undefined,
+      priority: this.dependencies.isEngine(request.service) ? request.priority : undefined,
       inputs: this.handles,
       lastEventId: this.lastEventId,
     }
@@ -193,21 +193,21 @@
       streaming: request.route.streaming,
       abandonedHere: aborted && !signal.aborted,
     })
-    recordHealthSignal(this.deps.ejection, backend, healthSignal, tookMs)
-    this.reportToCrashWatch(backend, result)
+    recordHealthSignal(this.dependencies.ejection, backend, healthSignal, tookMs)
+    this.reportToCrashMonitor(backend, result)
     if (failure)
-      this.deps.log.attemptFailed({ requestId: request.head.requestId, backend, failure, tookMs })
+      this.dependencies.log.attemptFailed({ requestId: request.head.requestId, backend, failure, tookMs })
     if (failure?.kind === CallFailureKind.Misdirected)
-      this.deps.registry.removeBackend(backend, 'address is now used by another backend server')
+      this.dependencies.registry.removeBackend(backend, 'address is now used by another backend server')
   }
 
   /** An unframed response looks complete even if a crash of its backend server truncated it, so it does not count as answered. */
-  private reportToCrashWatch(backend: Backend, { failure, framed }: AttemptResult): void {
+  private reportToCrashMonitor(backend: Backend, { failure, framed }: AttemptResult): void {
     const { fingerprint } = this.subject.request
     if (!failure && framed)
-      this.deps.crashes.noteAnswered(fingerprint)
+      this.dependencies.crashes.noteAnswered(fingerprint)
     else if (!failure || failure.kind === CallFailureKind.Broken)
-      void this.deps.crashes.noteBroken(backend, fingerprint)
+      void this.dependencies.crashes.noteBroken(backend, fingerprint)
   }
 
   private recordFailure(backend: Backend, { end, failure, fallback }: AttemptResult): void {
@@ -234,7 +234,7 @@
       service: request.service,
       cancelled: signal.aborted,
       runs: this.history.runs,
-      refusal: this.deps.crashes.refusal(request.fingerprint),
+      refusal: this.dependencies.crashes.refusal(request.fingerprint),
       lastFailure: this.lastFailure,
       waitMs: this.waitMs,
     })
--- a/packages/gateway/src/request/attempts/backend-runner.ts
+++ b/packages/gateway/src/request/attempts/backend-runner.ts
@@ -36,51 +36,51 @@
 
 /** Selects backend servers and runs requests at them. */
 export class BackendRunner {
-  private readonly runDeps: BackendRunDependencies
+  private readonly runDependencies: BackendRunDependencies
 
-  constructor(private readonly deps: BackendRunnerDependencies) {
-    this.runDeps = { ...deps, log: new RequestLog(deps.log) }
+  constructor(private readonly dependencies: BackendRunnerDependencies) {
+    this.runDependencies = { ...dependencies, log: new RequestLog(dependencies.log) }
   }
 
   /** Failure domain of the backend server that would be selected now. */
   preferredFailureDomain(request: RoutedRequest): string {
-    return this.choose(request, NO_INPUTS, new Set())?.failureDomain ?? this.deps.failureDomain
+    return this.choose(request, NO_INPUTS, new Set())?.failureDomain ?? this.dependencies.failureDomain
   }
 
   /** Milliseconds until a backend server of the request's service accepts a request, as the servers report; Infinity if none accepts work. */
   shortestWaitMs({ service }: RoutedRequest): number {
-    return shortestWaitMs(this.deps, service)
+    return shortestWaitMs(this.dependencies, service)
   }
 
   /** Answers the request, or returns why it could not be answered. */
   async run(subject: RunSubject): Promise<RunResult> {
-    this.deps.budget.countRequest(subject.request.service)
-    return new BackendRun(this.runDeps, this.chooseForCall.bind(this), subject).run()
+    this.dependencies.budget.countRequest(subject.request.service)
+    return new BackendRun(this.runDependencies, this.chooseForCall.bind(this), subject).run()
   }
 
   /** Selects a backend server for a call and counts the call against the cold start limit. */
   private chooseForCall(request: RoutedRequest, inputs: RunInputs, tried: ReadonlySet<string>): Backend | undefined {
     const backend = this.choose(request, inputs, tried)
     if (backend && backend.id !== inputs.engine)
-      this.deps.coldStartLimiter.note(backend, performance.now())
+      this.dependencies.coldStartLimiter.note(backend, performance.now())
     return backend
   }
 
   /** The preferred backend server among those that were not tried. */
   private choose(request: RoutedRequest, inputs: RunInputs, tried: ReadonlySet<string>): Backend | undefined {
-    const candidates = this.deps.registry.available(request.service).filter(backend => !tried.has(backend.id))
+    const candidates = this.dependencies.registry.available(request.service).filter(backend => !tried.has(backend.id))
     const now = performance.now()
-    const accepting = candidates.filter(backend => this.deps.intake.waitMs(backend) === 0)
-    const usable = this.deps.ejection.filter(accepting)
-    const withStaleLimit = usable.find(backend => isLimitStale(backend.intake, now) && this.deps.coldStartLimiter.mayTake(backend, now))
+    const accepting = candidates.filter(backend => this.dependencies.intake.waitMs(backend) === 0)
+    const usable = this.dependencies.ejection.filter(accepting)
+    const withStaleLimit = usable.find(backend => isLimitStale(backend.intake, now) && this.dependencies.coldStartLimiter.mayTake(backend, now))
     const preferred = withStaleLimit ?? usable.find(backend => backend.id === inputs.engine)
     if (preferred)
       return preferred
-    const eligible = accepting.filter(backend => this.deps.coldStartLimiter.mayTake(backend, now))
-    const choice = this.deps.isEngine(request.service) ? this.deps.enginePolicy : this.deps.plainPolicy
-    return choice.order(eligible, {
+    const eligible = accepting.filter(backend => this.dependencies.coldStartLimiter.mayTake(backend, now))
+    const policy = this.dependencies.isEngine(request.service) ? this.dependencies.enginePolicy : this.dependencies.plainPolicy
+    return policy.order(eligible, {
       promptParts: request.head.promptParts,
-      failureDomain: inputs.failureDomain ?? this.deps.failureDomain,
+      failureDomain: inputs.failureDomain ?? this.dependencies.failureDomain,
       bytes: inputs.bytes,
     })[0]
   }
--- a/packages/gateway/src/request/attempts/load-balancing.ts
+++ b/packages/gateway/src/request/attempts/load-balancing.ts
@@ -32,7 +32,7 @@
 /** A load balancing policy. */
 export interface LoadBalancingPolicy {
   /** The candidates that are not ejected, in order of preference; empty if there are none. */
-  order: (candidates: readonly Backend[], subject: SelectionInputs) => Backend[]
+  order: (candidates: readonly Backend[], inputs: SelectionInputs) => Backend[]
 }
 
 /**
@@ -52,7 +52,7 @@
  * Load per slot that a call to another failure domain costs. Avoids cross-domain
  * calls for small differences in load, without filling the own domain first.
  */
-const OTHER_DOMAIN_PENALTY_LOAD = 0.3
+const CROSS_DOMAIN_PENALTY_LOAD = 0.3
 /**
  * Upper bound of the random load per slot that spreads the calls of several
  * gateways over equally loaded servers. Must be less than the load of one call.
@@ -63,14 +63,14 @@
 export class LeastLoadPolicy implements LoadBalancingPolicy {
   constructor(private readonly ejection: EjectionPolicy) {}
 
-  order(candidates: readonly Backend[], subject: SelectionInputs): Backend[] {
+  order(candidates: readonly Backend[], inputs: SelectionInputs): Backend[] {
     const now = performance.now()
-    return orderByCost(this.ejection.filter(candidates), backend => this.cost(backend, subject, now))
+    return orderByCost(this.ejection.filter(candidates), backend => this.cost(backend, inputs, now))
   }
 
-  private cost(backend: Backend, subject: SelectionInputs, now: number): number {
+  private cost(backend: Backend, inputs: SelectionInputs, now: number): number {
     const load = knownLoad(backend, now) / Math.max(1, backend.record.capacity)
-    const domainPenalty = backend.failureDomain === subject.failureDomain ? 0 : OTHER_DOMAIN_PENALTY_LOAD
+    const domainPenalty = backend.failureDomain === inputs.failureDomain ? 0 : CROSS_DOMAIN_PENALTY_LOAD
     return load + domainPenalty + Math.random() * MAX_TIE_BREAK_LOAD
   }
 }
@@ -90,21 +90,21 @@
  * for small differences in load, but does not send requests to busy servers to
  * save a transfer.
  */
-const OTHER_DOMAIN_BYTES_PER_MS = 40_000
+const CROSS_DOMAIN_BYTES_PER_MS = 40_000
 
 /** For model engines: cached prompt parts, load, and bytes from other failure domains. */
 export class PrefixAwarePolicy implements LoadBalancingPolicy {
   constructor(private readonly ejection: EjectionPolicy) {}
 
-  order(candidates: readonly Backend[], subject: SelectionInputs): Backend[] {
+  order(candidates: readonly Backend[], inputs: SelectionInputs): Backend[] {
     const now = performance.now()
     const usable = this.ejection.filter(candidates)
-    const sharedTokens = countTokens(sharedParts(subject.promptParts))
-    const preferred = findPreferredEngine(subject.promptParts, usable)
+    const sharedTokens = countTokens(sharedParts(inputs.promptParts))
+    const preferred = findPreferredEngine(inputs.promptParts, usable)
     return orderByCost(usable, (backend) => {
-      const read = backend === preferred ? 0 : sharedTokens * UNCACHED_TOKEN_COST_MS
-      const fetch = backend.failureDomain === subject.failureDomain ? 0 : subject.bytes / OTHER_DOMAIN_BYTES_PER_MS
-      return read + fetch + knownLoad(backend, now) * REQUEST_COST_MS
+      const recomputeMs = backend === preferred ? 0 : sharedTokens * UNCACHED_TOKEN_COST_MS
+      const transferMs = backend.failureDomain === inputs.failureDomain ? 0 : inputs.bytes / CROSS_DOMAIN_BYTES_PER_MS
+      return recomputeMs + transferMs + knownLoad(backend, now) * REQUEST_COST_MS
     })
   }
 }
--- a/packages/gateway/src/request/attempts/retry-rule.ts
+++ b/packages/gateway/src/request/attempts/retry-rule.ts
@@ -72,7 +72,7 @@
   BudgetUsed = 'budget-used',
   /** Identical requests have crashed the backend servers that ran them. */
   Quarantined = 'quarantined',
-  /** Its stage results are gone and could not be recreated. */
+  /** Its stage results are lost and could not be recreated. */
   InputsGone = 'inputs-gone',
 }
 
--- a/packages/gateway/src/request/deadlines.ts
+++ b/packages/gateway/src/request/deadlines.ts
@@ -67,7 +67,7 @@
 }
 
 /** Inputs of the time limit of one attempt. */
-export interface AttemptTimeInputs {
+export interface HeadTimeoutInputs {
   /** Milliseconds until the request's deadline; negative if it has passed. */
   remainingMs: number
   targetLatencyMs: number
@@ -76,7 +76,7 @@
 }
 
 /** Computes how long one attempt may wait for the response head, in milliseconds. */
-export function decideAttemptTime({ remainingMs, targetLatencyMs, mayRunAgain }: AttemptTimeInputs): number {
+export function decideHeadTimeoutMs({ remainingMs, targetLatencyMs, mayRunAgain }: HeadTimeoutInputs): number {
   const availableMs = atLeastOneMs(remainingMs)
   if (!mayRunAgain)
     return availableMs
--- a/packages/gateway/src/request/proxy-request-handler.ts
+++ b/packages/gateway/src/request/proxy-request-handler.ts
@@ -43,9 +43,9 @@
   private readonly router: RequestRouter
   private readonly log: RequestLog
 
-  constructor(private readonly deps: ProxyRequestHandlerDependencies) {
-    this.router = new RequestRouter(deps.configuration)
-    this.log = new RequestLog(deps.log)
+  constructor(private readonly dependencies: ProxyRequestHandlerDependencies) {
+    this.router = new RequestRouter(dependencies.configuration)
+    this.log = new RequestLog(dependencies.log)
   }
 
   /** Answers a request; the signal aborts when its client disconnects. */
@@ -60,42 +60,42 @@
 
   /** Returns the error for a request that must not be sent to any backend server; undefined for others. */
   private refuse({ fingerprint }: RoutedRequest): RequestError | undefined {
-    const refusal = this.deps.crashes.refusal(fingerprint)
+    const refusal = this.dependencies.crashes.refusal(fingerprint)
     return refusal === undefined ? undefined : createError(ErrorKind.Quarantined, refusal)
   }
 
   private run(request: RoutedRequest, answer: ClientResponse, signal: AbortSignal): Promise<RunResult> {
     if (request.route.stages.length === 0)
-      return this.deps.runner.run({ request, inputs: NO_INPUTS, answer, signal })
+      return this.dependencies.runner.run({ request, inputs: NO_INPUTS, answer, signal })
     return this.prepareAndRun(request, answer, signal)
   }
 
   private async prepareAndRun(request: RoutedRequest, answer: ClientResponse, signal: AbortSignal): Promise<RunResult> {
     const { requestId } = request.head
     const firstEventMs = Math.ceil(request.firstEventBy - performance.now())
-    const waitMs = this.deps.runner.shortestWaitMs(request)
+    const waitMs = this.dependencies.runner.shortestWaitMs(request)
     if (Number.isFinite(waitMs) && waitMs > firstEventMs)
       return { error: errorOfWithheld(request.service, waitMs) }
     const stagesSignal = AbortSignal.any([signal, AbortSignal.timeout(atLeastOneMs(firstEventMs))])
-    const prepared = await this.deps.preparer.prepare(this.describeStageWork(request), stagesSignal)
+    const prepared = await this.dependencies.preparer.prepare(this.describeStageWork(request), stagesSignal)
     if (prepared.isErr())
       return { error: this.refuse(request) ?? errorOfPreparation(prepared.error) }
     const inputs: RunInputs = {
       ...prepared.value,
-      onRead: () => this.deps.preparer.release(requestId),
+      onRead: () => this.dependencies.preparer.release(requestId),
       recreate: () => this.recreateInputs(request, stagesSignal),
     }
     try {
-      return await this.deps.runner.run({ request, inputs, answer, signal })
+      return await this.dependencies.runner.run({ request, inputs, answer, signal })
     }
     finally {
-      this.deps.preparer.release(requestId)
+      this.dependencies.preparer.release(requestId)
     }
   }
 
   /** Recreates the inputs after the first ones were consumed or lost. */
   private async recreateInputs(request: RoutedRequest, signal: AbortSignal): Promise<readonly string[] | undefined> {
-    const prepared = await this.deps.preparer.prepare(this.describeStageWork(request), signal)
+    const prepared = await this.dependencies.preparer.prepare(this.describeStageWork(request), signal)
     // The coordinator logged the reason as `stages-ended`; the run ends with the result of its attempt.
     return prepared.isOk() ? prepared.value.handles : undefined
   }
@@ -113,14 +113,14 @@
       isRetry: request.isRetry,
       service: request.service,
       prompt: request.head.promptParts.length > 0 ? request.head.promptParts : undefined,
-      failureDomain: this.deps.runner.preferredFailureDomain(request),
+      failureDomain: this.dependencies.runner.preferredFailureDomain(request),
     }
   }
 
   private finish(request: ClientRequest, route: string | undefined, answer: ClientResponse, { error, retry, firstEventAt }: RunResult): void {
     const tookMs = performance.now() - request.arrivedAt
-    const configurationVersion = this.deps.configuration.version
-    this.deps.metrics.countRequest(route ?? NO_ROUTE, outcomeOf(error), tookMs)
+    const configurationVersion = this.dependencies.configuration.version
+    this.dependencies.metrics.countRequest(route ?? NO_ROUTE, outcomeOf(error), tookMs)
     const firstEventMs = firstEventAt === undefined ? undefined : firstEventAt - request.arrivedAt
     this.log.requestEnded({ requestId: request.head.requestId, route, error, retry, tookMs, firstEventMs, configurationVersion })
     if (!error)
--- a/packages/gateway/src/request/stages/request-stages.ts
+++ b/packages/gateway/src/request/stages/request-stages.ts
@@ -99,8 +99,8 @@
   remainingItems(service: string): number {
     if (this.ended)
       return 0
-    const open = this.request.stages.filter((stage, number) => stage.service === service && !this.states.hasResults(number))
-    return open.reduce((sum, stage) => sum + stage.items, 0)
+    const incomplete = this.request.stages.filter((stage, number) => stage.service === service && !this.states.hasResults(number))
+    return incomplete.reduce((sum, stage) => sum + stage.items, 0)
   }
 
   /** Cancels the work in flight and frees all results. */
--- a/test/gateway/deadlines.test.ts
+++ b/test/gateway/deadlines.test.ts
@@ -1,4 +1,4 @@
-import { decideAttemptTime, decideDeadlines } from '@eidermast/gateway'
+import { decideDeadlines, decideHeadTimeoutMs } from '@eidermast/gateway'
 import { describe, expect, test } from 'vitest'
 import { createRoute } from './support/fakes.js'
 
@@ -35,6 +35,6 @@
     ['at most the time left', { remainingMs: 50, targetLatencyMs: 300, mayRunAgain: true }, 50],
     ['1 ms if no time is left', { remainingMs: -5, targetLatencyMs: 300, mayRunAgain: false }, 1],
   ])('gets %s', (_name, inputs, milliseconds) => {
-    expect(decideAttemptTime(inputs)).toBe(milliseconds)
+    expect(decideHeadTimeoutMs(inputs)).toBe(milliseconds)
   })
 })
--- a/test/gateway/engine-assignment.test.ts
+++ b/test/gateway/engine-assignment.test.ts
@@ -99,11 +99,11 @@
     const others = ENGINES.filter(engine => engine !== first)
     const second = assignments.assign(sharing('part'), others, 0)!
     expect(assignments.choose(sharing('part'), [second, ...others], 1000)?.engine).toBe(second)
-    const home = new EngineAssignments().choose(sharing('part'), others, 0)?.engine
-    expect(assignments.choose(sharing('part'), others, LONG_MS)?.engine).toBe(home)
+    const preferred = new EngineAssignments().choose(sharing('part'), others, 0)?.engine
+    expect(assignments.choose(sharing('part'), others, LONG_MS)?.engine).toBe(preferred)
   })
 
-  test('is one that has the common first part cached, rather than the home of the part after it', () => {
+  test('is one that has the common first part cached, rather than the preferred engine of the part after it', () => {
     const assignments = new EngineAssignments()
     const beginning = (rest: string) => createRequest({ prompt: [{ id: 'first', tokens: 400 }, { id: rest, tokens: 200 }, { id: 'own', tokens: 100 }] })
     const engines = Array.from({ length: 6 }, (_, number) => {
--- a/test/gateway/retry-budget.test.ts
+++ b/test/gateway/retry-budget.test.ts
@@ -31,11 +31,11 @@
   test('recovers fully once the window has passed', () => {
     let now = 0
     const budget = new RetryBudget({ ratio: 0, extra: 10, windowMs: 1000 }, () => 1, () => now)
-    const take = (): number => Array.from({ length: 20 }, () => budget.takeRetry('service')).filter(Boolean).length
-    expect(take()).toBe(8)
+    const takeRetries = (): number => Array.from({ length: 20 }, () => budget.takeRetry('service')).filter(Boolean).length
+    expect(takeRetries()).toBe(8)
     now = 500
-    expect(take()).toBe(0)
+    expect(takeRetries()).toBe(0)
     now = 1200
-    expect(take()).toBe(8)
+    expect(takeRetries()).toBe(8)
   })
 })
--- a/test/gateway/slowness.test.ts
+++ b/test/gateway/slowness.test.ts
@@ -11,7 +11,7 @@
 
 const EACH_TICK_LATE = Array.from({ length: 20 }, () => 50)
 
-// Guards against small VMs that hand over coordination in turn. With the same threshold for VMs of
+// Guards against small VMs that hand over coordination one after another. With the same threshold for VMs of
 // all sizes, a coordinator on 0.12 of a core had ticks 40 ms late or more under normal load,
 // considered itself slow and handed over, and so did its successors: 17 handovers in 26 s, during
 // which most requests with stages failed.
--- a/test/gateway/stage-crashes.test.ts
+++ b/test/gateway/stage-crashes.test.ts
@@ -17,11 +17,11 @@
 /** Time after which all work is done or has failed. */
 const SCENARIO_MS = 4000
 
-function createBoard(): CrashTracker {
+function createCrashTracker(): CrashTracker {
   const { log } = createLog()
-  const witness = new CrashDetector({ checkPresence: async () => Presence.Gone, log: new GatewayLog(log), onCrash: crash => board.noteCrash(crash) })
-  const board = new CrashTracker({ name: 'gateway-a', ledger: { publish: async () => {} }, log, detector: witness, restoresOthers: () => true })
-  return board
+  const detector = new CrashDetector({ checkPresence: async () => Presence.Gone, log: new GatewayLog(log), onCrash: crash => tracker.noteCrash(crash) })
+  const tracker = new CrashTracker({ name: 'gateway-a', ledger: { publish: async () => {} }, log, detector, restoresOthers: () => true })
+  return tracker
 }
 
 function isFatal({ items }: FakeStageCall): boolean {
@@ -30,9 +30,9 @@
 
 /** Creates a coordinator with six backend servers that crash when they run an item of the request CAUSE. */
 function createCrashScenario() {
-  const board = createBoard()
+  const crashTracker = createCrashTracker()
   const backends = ['a', 'b', 'c', 'd', 'e', 'f'].map(name => ({ id: `encode-${name}` }))
-  const coordinator = createCoordinator(backends, board)
+  const coordinator = createCoordinator(backends, crashTracker)
   const { service, registry, stageCoordinator } = coordinator
   const crashed: FakeStageCall[] = []
   service.behaviour = (call) => {
@@ -48,7 +48,7 @@
     const result = await stageCoordinator.prepare(createStageRequest({ requestId, fingerprint: `f-${requestId}`, stages }), NEVER)
     outcomes.set(requestId, result.isOk())
   }
-  return { board, crashed, outcomes, send, service }
+  return { board: crashTracker, crashed, outcomes, send, service }
 }
 
 /** Requests whose items share a call, or are queued behind it. */
--- a/test/gateway/stage-load.test.ts
+++ b/test/gateway/stage-load.test.ts
@@ -24,7 +24,7 @@
 beforeEach(() => void vi.useFakeTimers())
 afterEach(() => void vi.useRealTimers())
 
-// Guards against refusing requests that backend servers have room for. In a burst of requests with three stages a third
+// Guards against refusing requests that backend servers have capacity for. In a burst of requests with three stages a third
 // of them was refused, and at a usual rate some of the least urgent, while calls were half empty and admitted requests
 // finished long before their target. An idle backend server took all waiting items although others became idle
 // milliseconds later, and the estimate added the wait in a later stage to the time in which that wait passes. The
@@ -65,7 +65,7 @@
   // requests had finished late during 2 s of slow calls, and each of them raised the correction factor of admission, which
   // applied to the time of the stages as well when the queues were empty again. Reproduced in a simulation of that power
   // loss; here calls of 60 in 100 backend servers take 0.4 s longer for 2 s.
-  // Before: 65 of 398 and 78 of 395 of the background requests refused for good, 0.62 and 0.53 served in time.
+  // Before: 65 of 398 and 78 of 395 of the background requests refused permanently, 0.62 and 0.53 served in time.
   test.each(SEEDS)('requests are admitted again as soon as the queues are empty after slow calls (seed %i)', async (seed) => {
     const slowdown = { from: 1000, to: 3000, share: 0.6, extraCallMs: 400 }
     const [urgent, large, background] = await simulateStageLoad([URGENT, LARGE, BACKGROUND], seed, { loadMs: 5000, maxRetries: 2, slowdown })
--- a/test/gateway/stage-rules.test.ts
+++ b/test/gateway/stage-rules.test.ts
@@ -135,7 +135,7 @@
     ['is retried after an error', ItemFailure.Error, 1, { isRetried: true }],
     ['is retried after a call that was not sent, however often it failed', StageCallEnd.NotSent, 9, { isRetried: true }],
     ['fails its task after the third failed call', StageCallEnd.Broken, 3, { isRetried: false, failure: ItemFailure.Error }],
-    ['fails its task if an input is gone', ItemFailure.InputGone, 1, { isRetried: false, failure: ItemFailure.InputGone }],
+    ['fails its task if an input is lost', ItemFailure.InputGone, 1, { isRetried: false, failure: ItemFailure.InputGone }],
     ['fails its task if it is late', ItemFailure.Late, 1, { isRetried: false, failure: ItemFailure.Late }],
   ])('%s', (_name, cause, failures, decision) => {
     expect(decideItemRetry(cause, failures, () => true)).toEqual(decision)
