--- a/packages/gateway/src/process/stages/pool/stage-batch.ts
+++ b/packages/gateway/src/process/stages/pool/stage-batch.ts
@@ -59,7 +59,7 @@
 }
 
 /** Selects the items of the next call; empty if none should run here now. */
-export function chooseBatch(input: BatchInput): BatchEntry[] {
+export function selectBatch(input: BatchInput): BatchEntry[] {
   const entries: BatchEntry[] = []
   const { local, overflow } = partitionByDomain(input)
   addTasks(entries, local, input, BatchReason.SuitsDomain)
--- a/packages/gateway/src/process/stages/pool/stage-pool.ts
+++ b/packages/gateway/src/process/stages/pool/stage-pool.ts
@@ -21,7 +21,7 @@
 import { isIsolated, isQuarantined } from './crash-isolation.js'
 import { findBetterDomain } from './domain-wait.js'
 import { estimateThroughput, typicalCallMs, updateTypicalResultBytes } from './service-throughput.js'
-import { chooseBatch } from './stage-batch.js'
+import { selectBatch } from './stage-batch.js'
 import { StageCalls } from './stage-calls.js'
 import { TaskQueue } from './task-queue.js'
 import { cannotMeetDeadline, hasUnreadableInput } from './waiting-task-failure.js'
@@ -162,7 +162,7 @@
 
   private takeBatch(backend: StageBackend, now: number): PoolItem[] {
     const forecasts = new CallForecasts(this.backends.values(), now)
-    const batch = chooseBatch({
+    const batch = selectBatch({
       tasks: this.queue.tasks,
       isIsolated: task => isIsolated(task, this.dependencies.crashes),
       maxItems: this.limits.batch,
--- a/packages/gateway/src/request/attempts/backend-attempt.ts
+++ b/packages/gateway/src/request/attempts/backend-attempt.ts
@@ -37,7 +37,7 @@
   client: BackendClient
   backend: Backend
   request: RoutedRequest
-  answer: ClientResponse
+  clientResponse: ClientResponse
   /** Called just before an event of a stream is forwarded. */
   onEvent: (id: string | undefined) => void
 }
@@ -89,16 +89,16 @@
     }
   }
 
-  private handleResponse(answer: BackendResponse): Promise<AttemptResult> | AttemptResult {
-    if (this.dependencies.request.route.streaming && answer.status < SUCCESS_STATUS_END)
-      return this.relay(answer)
-    if (this.dependencies.answer.started)
-      return this.rejectNonStream(answer)
-    return this.bufferAndSend(answer)
+  private handleResponse(response: BackendResponse): Promise<AttemptResult> | AttemptResult {
+    if (this.dependencies.request.route.streaming && response.status < SUCCESS_STATUS_END)
+      return this.relay(response)
+    if (this.dependencies.clientResponse.started)
+      return this.rejectNonStream(response)
+    return this.bufferAndSend(response)
   }
 
-  private async relay(answer: BackendResponse): Promise<AttemptResult> {
-    const ended = await relayStream(answer, this.dependencies.answer, {
+  private async relay(response: BackendResponse): Promise<AttemptResult> {
+    const ended = await relayStream(response, this.dependencies.clientResponse, {
       controller: this.controller,
       remainingMs: this.remainingMs(),
       probe: this.probe,
@@ -108,19 +108,19 @@
   }
 
   /** Rejects a non-streaming response to a resumed stream, whose head has already been sent. */
-  private rejectNonStream(answer: BackendResponse): AttemptResult {
-    answer.destroy()
-    return broken(`got status ${answer.status} while resuming a stream that has already started`)
+  private rejectNonStream(response: BackendResponse): AttemptResult {
+    response.destroy()
+    return broken(`got status ${response.status} while resuming a stream that has already started`)
   }
 
   /** Buffers the whole response before sending it, so that a truncated one is never framed as complete. */
-  private async bufferAndSend(answer: BackendResponse): Promise<AttemptResult> {
-    const whole = await bufferResponse(answer, this.controller, this.remainingMs())
+  private async bufferAndSend(response: BackendResponse): Promise<AttemptResult> {
+    const whole = await bufferResponse(response, this.controller, this.remainingMs())
     if (whole.isErr())
       return broken(whole.error)
-    if (answer.status >= SERVER_ERROR_STATUS && this.dependencies.request.route.repeatable)
+    if (response.status >= SERVER_ERROR_STATUS && this.dependencies.request.route.repeatable)
       return { end: AttemptEnd.ServerError, fallback: whole.value }
-    sendBuffered(whole.value, this.dependencies.answer)
+    sendBuffered(whole.value, this.dependencies.clientResponse)
     return { end: AttemptEnd.Answered }
   }
 
--- a/packages/gateway/src/request/attempts/backend-run.ts
+++ b/packages/gateway/src/request/attempts/backend-run.ts
@@ -66,7 +66,7 @@
 
   constructor(
     private readonly dependencies: BackendRunDependencies,
-    private readonly choose: SelectBackend,
+    private readonly select: SelectBackend,
     private readonly subject: RunSubject,
   ) {
     this.handles = subject.inputs.handles
@@ -108,10 +108,10 @@
     if (candidate.isErr() || !this.inputsRead)
       return candidate
     const isRecreated = await this.recreateInputs()
-    const choice = isRecreated ? this.selectForAttempt() : Err(RetryDecision.InputsGone)
-    if (choice.isErr() && isRetry)
+    const selected = isRecreated ? this.selectForAttempt() : Err(RetryDecision.InputsGone)
+    if (selected.isErr() && isRetry)
       budget.returnRetry(service)
-    return choice
+    return selected
   }
 
   /** Selects the backend server for the next attempt, or returns why there is no attempt. */
@@ -124,11 +124,11 @@
   /** Selects the preferred backend server that was not tried. Selects again if a wait has ended between the selection and the look-up of the shortest wait. */
   private selectBackend(): Backend | undefined {
     const { request, inputs } = this.subject
-    const backend = this.choose(request, inputs, this.tried)
+    const backend = this.select(request, inputs, this.tried)
     if (backend)
       return backend
     this.waitMs = shortestWaitMs(this.dependencies, request.service)
-    return this.waitMs === 0 ? this.choose(request, inputs, this.tried) : undefined
+    return this.waitMs === 0 ? this.select(request, inputs, this.tried) : undefined
   }
 
   /** Recreates the stage results that an earlier attempt consumed or lost. */
@@ -139,10 +139,10 @@
   }
 
   private async attempt(backend: Backend): Promise<AttemptResult> {
-    const { request, answer, signal } = this.subject
+    const { request, clientResponse, signal } = this.subject
     this.tried.add(backend.id)
     this.dependencies.log.attemptStarted({ request, backend, attempt: this.history.attempts, remainingMs: this.remainingMs() })
-    const attempt = new BackendAttempt({ client: this.dependencies.client, backend, request, answer, onEvent: id => this.recordEvent(id) })
+    const attempt = new BackendAttempt({ client: this.dependencies.client, backend, request, clientResponse, onEvent: id => this.recordEvent(id) })
     const startedAt = performance.now()
     const result = await attempt.run(this.buildCall(), this.headTimeoutMs(), signal)
     this.reportResult(backend, result, performance.now() - startedAt, attempt.aborted)
@@ -225,9 +225,9 @@
   }
 
   private end(retry: RetryDecision): RunResult {
-    const { request, answer, signal } = this.subject
-    if (this.fallback && !answer.started && !signal.aborted) {
-      sendBuffered(this.fallback, answer)
+    const { request, clientResponse, signal } = this.subject
+    if (this.fallback && !clientResponse.started && !signal.aborted) {
+      sendBuffered(this.fallback, clientResponse)
       return { retry, firstEventAt: this.firstEventAt }
     }
     const error = errorOfUnanswered({
--- a/packages/gateway/src/request/attempts/backend-runner.ts
+++ b/packages/gateway/src/request/attempts/backend-runner.ts
@@ -44,7 +44,7 @@
 
   /** Failure domain of the backend server that would be selected now. */
   preferredFailureDomain(request: RoutedRequest): string {
-    return this.choose(request, NO_INPUTS, new Set())?.failureDomain ?? this.dependencies.failureDomain
+    return this.select(request, NO_INPUTS, new Set())?.failureDomain ?? this.dependencies.failureDomain
   }
 
   /** Milliseconds until a backend server of the request's service accepts a request, as the servers report; Infinity if none accepts work. */
@@ -55,19 +55,19 @@
   /** Answers the request, or returns why it could not be answered. */
   async run(subject: RunSubject): Promise<RunResult> {
     this.dependencies.budget.countRequest(subject.request.service)
-    return new BackendRun(this.runDependencies, this.chooseForCall.bind(this), subject).run()
+    return new BackendRun(this.runDependencies, this.selectForCall.bind(this), subject).run()
   }
 
   /** Selects a backend server for a call and counts the call against the cold start limit. */
-  private chooseForCall(request: RoutedRequest, inputs: RunInputs, tried: ReadonlySet<string>): Backend | undefined {
-    const backend = this.choose(request, inputs, tried)
+  private selectForCall(request: RoutedRequest, inputs: RunInputs, tried: ReadonlySet<string>): Backend | undefined {
+    const backend = this.select(request, inputs, tried)
     if (backend && backend.id !== inputs.engine)
       this.dependencies.coldStartLimiter.note(backend, performance.now())
     return backend
   }
 
   /** The preferred backend server among those that were not tried. */
-  private choose(request: RoutedRequest, inputs: RunInputs, tried: ReadonlySet<string>): Backend | undefined {
+  private select(request: RoutedRequest, inputs: RunInputs, tried: ReadonlySet<string>): Backend | undefined {
     const candidates = this.dependencies.registry.available(request.service).filter(backend => !tried.has(backend.id))
     const now = performance.now()
     const accepting = candidates.filter(backend => this.dependencies.intake.waitMs(backend) === 0)
--- a/packages/gateway/src/request/attempts/run-subject.ts
+++ b/packages/gateway/src/request/attempts/run-subject.ts
@@ -37,7 +37,7 @@
 export interface RunSubject {
   request: RoutedRequest
   inputs: RunInputs
-  answer: ClientResponse
+  clientResponse: ClientResponse
   /** Aborts when the client disconnects. */
   signal: AbortSignal
 }
--- a/packages/gateway/src/request/proxy-request-handler.ts
+++ b/packages/gateway/src/request/proxy-request-handler.ts
@@ -49,13 +49,13 @@
   }
 
   /** Answers a request; the signal aborts when its client disconnects. */
-  async serve(request: ClientRequest, answer: ClientResponse, signal: AbortSignal): Promise<void> {
+  async serve(request: ClientRequest, clientResponse: ClientResponse, signal: AbortSignal): Promise<void> {
     const routed = this.router.route(request)
     if (routed.isErr())
-      return this.finish(request, undefined, answer, { error: routed.error })
+      return this.finish(request, undefined, clientResponse, { error: routed.error })
     const refused = this.refuse(routed.value)
-    const end = refused ? { error: refused } : await this.run(routed.value, answer, signal)
-    this.finish(request, routed.value.route.name, answer, end)
+    const end = refused ? { error: refused } : await this.run(routed.value, clientResponse, signal)
+    this.finish(request, routed.value.route.name, clientResponse, end)
   }
 
   /** Returns the error for a request that must not be sent to any backend server; undefined for others. */
@@ -64,13 +64,13 @@
     return refusal === undefined ? undefined : createError(ErrorKind.Quarantined, refusal)
   }
 
-  private run(request: RoutedRequest, answer: ClientResponse, signal: AbortSignal): Promise<RunResult> {
+  private run(request: RoutedRequest, clientResponse: ClientResponse, signal: AbortSignal): Promise<RunResult> {
     if (request.route.stages.length === 0)
-      return this.dependencies.runner.run({ request, inputs: NO_INPUTS, answer, signal })
-    return this.prepareAndRun(request, answer, signal)
+      return this.dependencies.runner.run({ request, inputs: NO_INPUTS, clientResponse, signal })
+    return this.prepareAndRun(request, clientResponse, signal)
   }
 
-  private async prepareAndRun(request: RoutedRequest, answer: ClientResponse, signal: AbortSignal): Promise<RunResult> {
+  private async prepareAndRun(request: RoutedRequest, clientResponse: ClientResponse, signal: AbortSignal): Promise<RunResult> {
     const { requestId } = request.head
     const firstEventMs = Math.ceil(request.firstEventBy - performance.now())
     const waitMs = this.dependencies.runner.shortestWaitMs(request)
@@ -86,7 +86,7 @@
       recreate: () => this.recreateInputs(request, stagesSignal),
     }
     try {
-      return await this.dependencies.runner.run({ request, inputs, answer, signal })
+      return await this.dependencies.runner.run({ request, inputs, clientResponse, signal })
     }
     finally {
       this.dependencies.preparer.release(requestId)
@@ -117,7 +117,7 @@
     }
   }
 
-  private finish(request: ClientRequest, route: string | undefined, answer: ClientResponse, { error, retry, firstEventAt }: RunResult): void {
+  private finish(request: ClientRequest, route: string | undefined, clientResponse: ClientResponse, { error, retry, firstEventAt }: RunResult): void {
     const tookMs = performance.now() - request.arrivedAt
     const configurationVersion = this.dependencies.configuration.version
     this.dependencies.metrics.countRequest(route ?? NO_ROUTE, outcomeOf(error), tookMs)
@@ -125,9 +125,9 @@
     this.log.requestEnded({ requestId: request.head.requestId, route, error, retry, tookMs, firstEventMs, configurationVersion })
     if (!error)
       return
-    if (answer.started)
-      answer.cutOff()
+    if (clientResponse.started)
+      clientResponse.cutOff()
     else
-      answer.fail(error)
+      clientResponse.fail(error)
   }
 }
--- a/packages/gateway/src/request/responses/response-relay.ts
+++ b/packages/gateway/src/request/responses/response-relay.ts
@@ -25,33 +25,33 @@
 
 /** A non-streaming response that was read to its end. */
 export interface BufferedResponse {
-  answer: BackendResponse
+  response: BackendResponse
   body: Buffer
 }
 
 /** Buffers a response; returns an error if it breaks off, is too large or takes longer than `remainingMs`. */
 export async function bufferResponse(
-  answer: BackendResponse,
+  response: BackendResponse,
   controller: AbortController,
   remainingMs: number,
 ): Promise<Result<BufferedResponse, string>> {
   const timer = setTimeout(() => controller.abort(), atLeastOneMs(remainingMs))
-  const body = await readBody(answer.body, MAX_BUFFERED_RESPONSE_BYTES)
+  const body = await readBody(response.body, MAX_BUFFERED_RESPONSE_BYTES)
   clearTimeout(timer)
   if (body.isErr()) {
-    answer.destroy()
+    response.destroy()
     return Err(body.error.kind === BodyFailureKind.TooLarge ? `response body is ${body.error.message}` : body.error.message)
   }
-  return Ok({ answer, body: body.value })
+  return Ok({ response, body: body.value })
 }
 
 /** Sends a buffered response to the client, with the same framing as the backend server used. */
-export function sendBuffered({ answer, body }: BufferedResponse, client: ClientResponse): void {
-  if (answer.framed)
-    return client.sendComplete(answer.status, answer.headers, body)
-  client.beginUnframed(answer.status, answer.headers)
+export function sendBuffered({ response, body }: BufferedResponse, clientResponse: ClientResponse): void {
+  if (response.framed)
+    return clientResponse.sendComplete(response.status, response.headers, body)
+  clientResponse.beginUnframed(response.status, response.headers)
   // Sending fails only if the client disconnected; the error needs no handling.
-  void client.send(body).then(() => client.end(), () => {})
+  void clientResponse.send(body).then(() => clientResponse.end(), () => {})
 }
 
 /** Dependencies and limits of a stream relay. */
@@ -66,21 +66,21 @@
 }
 
 /** Forwards the events of one response; returns an error if it breaks off, is truncated or runs out of time. */
-export async function relayStream(answer: BackendResponse, client: ClientResponse, options: RelayOptions): Promise<Result<void, string>> {
+export async function relayStream(response: BackendResponse, clientResponse: ClientResponse, options: RelayOptions): Promise<Result<void, string>> {
   const { controller } = options
   const timer = setTimeout(() => controller.abort(), atLeastOneMs(options.remainingMs))
   const stallDetector = new StallDetector(options.probe, () => controller.abort())
   try {
-    const resumed = client.started
-    beginStream(answer, client)
-    await forwardEvents(answer, client, stallDetector, options.onEvent)
-    if (resumed && !answer.framed)
+    const resumed = clientResponse.started
+    beginStream(response, clientResponse)
+    await forwardEvents(response, clientResponse, stallDetector, options.onEvent)
+    if (resumed && !response.framed)
       return Err('resumed stream has no content length or chunked framing: cannot tell whether it is complete')
-    client.end()
+    clientResponse.end()
     return Ok(undefined)
   }
   catch (error) {
-    answer.destroy()
+    response.destroy()
     return Err(formatError(error))
   }
   finally {
@@ -89,29 +89,29 @@
   }
 }
 
-function beginStream(answer: BackendResponse, client: ClientResponse): void {
-  if (client.started)
+function beginStream(response: BackendResponse, clientResponse: ClientResponse): void {
+  if (clientResponse.started)
     return
-  if (answer.framed)
-    client.begin(answer.status, answer.headers)
+  if (response.framed)
+    clientResponse.begin(response.status, response.headers)
   else
-    client.beginUnframed(answer.status, answer.headers)
+    clientResponse.beginUnframed(response.status, response.headers)
 }
 
 async function forwardEvents(
-  answer: BackendResponse,
-  client: ClientResponse,
+  response: BackendResponse,
+  clientResponse: ClientResponse,
   stallDetector: StallDetector,
   onEvent: RelayOptions['onEvent'],
 ): Promise<void> {
   const splitter = new EventSplitter()
-  for await (const bytes of answer.body) {
+  for await (const bytes of response.body) {
     stallDetector.recordActivity()
     for (const event of splitter.push(bytes)) {
       onEvent(event.id)
-      await client.send(event.bytes)
+      await clientResponse.send(event.bytes)
     }
   }
   if (splitter.hasPartial)
-    await client.send(splitter.partial)
+    await clientResponse.send(splitter.partial)
 }
--- a/test/gateway/backend-run.test.ts
+++ b/test/gateway/backend-run.test.ts
@@ -9,7 +9,7 @@
 const SERVICE = 'plain'
 
 /** A client connection that discards everything. */
-function createAnswer(): ClientResponse {
+function createClientResponse(): ClientResponse {
   return { started: false, sendComplete: () => {}, begin: () => {}, beginUnframed: () => {}, send: async () => {}, end: () => {}, cutOff: () => {}, fail: () => {} }
 }
 
@@ -54,7 +54,7 @@
   const runner = new BackendRunner({ failureDomain: 'zone-a', registry, client, ejection, plainPolicy: policy, enginePolicy: policy, budget, coldStartLimiter: UNLIMITED_COLD_STARTS, intake: OPEN_INTAKE, crashes: NO_CRASHES, log, isEngine: () => false })
   const recreate = vi.fn(async () => recreateHandles(registry))
   const inputs: RunInputs = { handles: ['lost'], failureDomain: undefined, bytes: 0, engine, recreate }
-  const run = () => runner.run({ request: createRequest(), inputs, answer: createAnswer(), signal: new AbortController().signal })
+  const run = () => runner.run({ request: createRequest(), inputs, clientResponse: createClientResponse(), signal: new AbortController().signal })
   return { run, client, budget, recreate }
 }
 
@@ -115,7 +115,7 @@
     const budget = new RetryBudget({ ratio: 0, extra: 0, windowMs: 10_000 }, () => 1)
     const crashes = { ...NO_CRASHES, noteAnswered: vi.fn(), noteBroken: vi.fn(async () => {}) }
     const runner = new BackendRunner({ failureDomain: 'zone-a', registry, client, ejection, plainPolicy: policy, enginePolicy: policy, budget, coldStartLimiter: UNLIMITED_COLD_STARTS, intake: OPEN_INTAKE, crashes, log, isEngine: () => false })
-    await runner.run({ request: createRequest(), inputs: { handles: undefined, failureDomain: undefined, bytes: 0 }, answer: createAnswer(), signal: new AbortController().signal })
+    await runner.run({ request: createRequest(), inputs: { handles: undefined, failureDomain: undefined, bytes: 0 }, clientResponse: createClientResponse(), signal: new AbortController().signal })
     expect(crashes.noteAnswered).toHaveBeenCalledTimes(times)
     expect(crashes.noteBroken).toHaveBeenCalledTimes(1 - times)
   })
@@ -135,7 +135,7 @@
     const policy = new LeastLoadPolicy(ejection)
     const budget = new RetryBudget({ ratio: 0, extra: 10, windowMs: 10_000 }, () => 1)
     const runner = new BackendRunner({ failureDomain: 'zone-a', registry, client, ejection, plainPolicy: policy, enginePolicy: policy, budget, coldStartLimiter: UNLIMITED_COLD_STARTS, intake, crashes: NO_CRASHES, log, isEngine: () => false })
-    return runner.run({ request: createRequest(), inputs: NO_INPUTS, answer: createAnswer(), signal: new AbortController().signal })
+    return runner.run({ request: createRequest(), inputs: NO_INPUTS, clientResponse: createClientResponse(), signal: new AbortController().signal })
   }
 
   test('is sent if a time slot begins just after the selection found none', async () => {
--- a/test/gateway/stage-crashes.test.ts
+++ b/test/gateway/stage-crashes.test.ts
@@ -48,7 +48,7 @@
     const result = await stageCoordinator.prepare(createStageRequest({ requestId, fingerprint: `f-${requestId}`, stages }), NEVER)
     outcomes.set(requestId, result.isOk())
   }
-  return { board: crashTracker, crashed, outcomes, send, service }
+  return { crashTracker, crashed, outcomes, send, service }
 }
 
 /** Requests whose items share a call, or are queued behind it. */
@@ -68,9 +68,9 @@
   })
 
   test('is isolated after two crashes', async () => {
-    const { board, crashed, send, service } = createCrashScenario()
+    const { crashTracker, crashed, send, service } = createCrashScenario()
     for (const backend of ['earlier-1', 'earlier-2'])
-      board.applyReports('gateway-b', { crashes: [{ fingerprint: `f-${CAUSE}`, backend, at: Date.now(), gateway: 'gateway-b' }], answers: [] })
+      crashTracker.applyReports('gateway-b', { crashes: [{ fingerprint: `f-${CAUSE}`, backend, at: Date.now(), gateway: 'gateway-b' }], answers: [] })
     for (const requestId of REQUEST_IDS)
       void send(requestId)
     await vi.advanceTimersByTimeAsync(SCENARIO_MS)
@@ -79,19 +79,19 @@
   })
 
   test('is not sent after three crashes, whichever gateway observed them', async () => {
-    const { board, crashed, outcomes, send } = createCrashScenario()
+    const { crashTracker, crashed, outcomes, send } = createCrashScenario()
     for (const backend of ['earlier-1', 'earlier-2', 'earlier-3'])
-      board.applyReports('gateway-b', { crashes: [{ fingerprint: `f-${CAUSE}`, backend, at: Date.now(), gateway: 'gateway-b' }], answers: [] })
+      crashTracker.applyReports('gateway-b', { crashes: [{ fingerprint: `f-${CAUSE}`, backend, at: Date.now(), gateway: 'gateway-b' }], answers: [] })
     await send(CAUSE)
     expect(crashed).toEqual([])
     expect(outcomes.get(CAUSE)).toBe(false)
   })
 
   test('keeps its crash count when its stages produce results', async () => {
-    const { board, send } = createCrashScenario()
-    board.applyReports('gateway-b', { crashes: ['1', '2'].map(backend => ({ fingerprint: 'f-fine', backend, at: Date.now(), gateway: 'gateway-b' })), answers: [] })
+    const { crashTracker, send } = createCrashScenario()
+    crashTracker.applyReports('gateway-b', { crashes: ['1', '2'].map(backend => ({ fingerprint: 'f-fine', backend, at: Date.now(), gateway: 'gateway-b' })), answers: [] })
     void send('fine')
     await vi.advanceTimersByTimeAsync(SCENARIO_MS)
-    expect(board.crashCount('f-fine')).toBe(2)
+    expect(crashTracker.crashCount('f-fine')).toBe(2)
   })
 })
--- a/test/gateway/stage-rules.test.ts
+++ b/test/gateway/stage-rules.test.ts
@@ -2,7 +2,6 @@
 import {
   BatchReason,
   CallForecasts,
-  chooseBatch,
   createPoolTask,
   decideItemRetry,
   decideStageFailure,
@@ -10,6 +9,7 @@
   findBetterDomain,
   inputsFetchedAfterMs,
   ItemFailure,
+  selectBatch,
   StageCallEnd,
   StageFailureDecision,
 } from '@eidermast/gateway'
@@ -37,7 +37,7 @@
 
 describe('the selection of a batch', () => {
   function choose(tasks: PoolTask[], options: Partial<BatchInput> = {}) {
-    const entries = chooseBatch({ tasks, isIsolated: () => false, maxItems: 4, targetItems: 4, freeBytes: 1000, betterDomain: () => undefined, nextCalls: () => ({ slots: 4, freeBytes: 1000 }), ...options })
+    const entries = selectBatch({ tasks, isIsolated: () => false, maxItems: 4, targetItems: 4, freeBytes: 1000, betterDomain: () => undefined, nextCalls: () => ({ slots: 4, freeBytes: 1000 }), ...options })
     return entries.map(part => [tasks.indexOf(part.task), part.items, part.reason])
   }
 
