--- a/packages/gateway/src/process/stages/pool/pool-task.ts
+++ b/packages/gateway/src/process/stages/pool/pool-task.ts
@@ -23,13 +23,13 @@
   /** Indexed like the items. */
   results: (StageResult | undefined)[]
   /** Items whose inputs count as fetched; negative infinity once an item was queued again. */
-  fetched: number
+  fetchedItems: number
   ended: boolean
 }
 
 /** Creates a task with all items queued. */
 export function createPoolTask(task: StageTask): PoolTask {
-  const created: PoolTask = { stageTask: task, waiting: [], results: Array.from({ length: task.items }), fetched: 0, ended: false }
+  const created: PoolTask = { stageTask: task, waiting: [], results: Array.from({ length: task.items }), fetchedItems: 0, ended: false }
   created.waiting = created.results.map((_, index) => ({ task: created, index, failures: 0 }))
   return created
 }
--- a/packages/gateway/src/process/stages/pool/stage-calls.ts
+++ b/packages/gateway/src/process/stages/pool/stage-calls.ts
@@ -136,8 +136,8 @@
 /** Notifies the tasks whose inputs are all fetched. */
 function reportFetched(items: readonly PoolItem[]): void {
   for (const { task } of items) {
-    task.fetched++
-    if (task.fetched === task.stageTask.items && !task.ended)
+    task.fetchedItems++
+    if (task.fetchedItems === task.stageTask.items && !task.ended)
       task.stageTask.listener.inputsFetched()
   }
 }
--- a/packages/gateway/src/process/stages/pool/task-queue.ts
+++ b/packages/gateway/src/process/stages/pool/task-queue.ts
@@ -54,7 +54,7 @@
       if (task.ended)
         continue
       task.waiting.push(item)
-      task.fetched = Number.NEGATIVE_INFINITY
+      task.fetchedItems = Number.NEGATIVE_INFINITY
       if (!this.queued.includes(task))
         this.queued.push(task)
     }
--- a/packages/gateway/src/process/stages/shared-preparer.ts
+++ b/packages/gateway/src/process/stages/shared-preparer.ts
@@ -100,7 +100,7 @@
     return second.isErr() && second.error.kind === PreparationFailureKind.Overloaded ? result : second
   }
 
-  /** Calls the coordinators of a shard in turn, with the remaining time and the results handed over so far. */
+  /** Calls the coordinators of a shard one after another, with the remaining time and the results handed over so far. */
   private async prepareInShard(request: PreparationRequest, shard: StageShard, signal: AbortSignal): Promise<Preparation> {
     const startedAt = performance.now()
     let { progress } = request
--- a/packages/gateway/src/request/proxy-request-handler.ts
+++ b/packages/gateway/src/request/proxy-request-handler.ts
@@ -105,7 +105,7 @@
     return {
       requestId: request.head.requestId,
       fingerprint: request.fingerprint,
-      stages: request.route.stages.map((stage, number) => ({ ...stage, items: request.head.stageItems[number] ?? 0 })),
+      stages: request.route.stages.map((stage, index) => ({ ...stage, items: request.head.stageItems[index] ?? 0 })),
       key: request.head.stageKey,
       priority: request.priority,
       targetMs: request.route.targetLatencyMs - (now - request.arrivedAt),
--- a/packages/gateway/src/request/responses/stall-detector.ts
+++ b/packages/gateway/src/request/responses/stall-detector.ts
@@ -61,7 +61,7 @@
   private stopped = false
   private timer: NodeJS.Timeout
 
-  constructor(private readonly probe: Probe, private readonly abandon: () => void) {
+  constructor(private readonly probe: Probe, private readonly abort: () => void) {
     this.timer = this.schedule()
   }
 
@@ -86,7 +86,7 @@
     if (this.stopped)
       return
     if (this.decide() === IdleDecision.Abort)
-      this.abandon()
+      this.abort()
     else
       this.timer = this.schedule()
   }
--- a/packages/gateway/src/request/stages/request-stages.ts
+++ b/packages/gateway/src/request/stages/request-stages.ts
@@ -92,14 +92,14 @@
     clearTimeout(this.delayTimer)
     this.states.cancelTasks()
     this.states = new StageStates([], this.graph, this.queueOf)
-    this.listener(Err({ kind: PreparationFailureKind.HandedOver, message: 'the coordinator is stopping', retryAfterMs: 0, progress }))
+    this.listener(Err({ kind: PreparationFailureKind.HandedOver, message: 'the stage work is handed over to another coordinator', retryAfterMs: 0, progress }))
   }
 
   /** Items of a service that have no result yet. */
   remainingItems(service: string): number {
     if (this.ended)
       return 0
-    const incomplete = this.request.stages.filter((stage, number) => stage.service === service && !this.states.hasResults(number))
+    const incomplete = this.request.stages.filter((stage, index) => stage.service === service && !this.states.hasResults(index))
     return incomplete.reduce((sum, stage) => sum + stage.items, 0)
   }
 
--- a/packages/gateway/src/request/stages/stage-delay.ts
+++ b/packages/gateway/src/request/stages/stage-delay.ts
@@ -16,7 +16,7 @@
 /** A shorter delay is not worth a timer. */
 const MIN_DELAY_MS = 20
 
-/** Expected times of the stages by number, in milliseconds. */
+/** Expected times of the stages by their index in the route, in milliseconds. */
 export interface StageTimes {
   /** Of a complete call. */
   callMs: (stage: number) => number
--- a/packages/gateway/src/request/stages/stage-failure.ts
+++ b/packages/gateway/src/request/stages/stage-failure.ts
@@ -3,7 +3,7 @@
  *
  * Inputs: why the stage failed, how often the request's stage work was
  * restarted, whether this coordinator is handing its work over (all current).
- * Rule: during a hand-over, the next coordinator runs the stage again. Stage work
+ * Rule: during a handover, the next coordinator runs the stage again. Stage work
  * that is too late ends, as does work that crashes the backend servers that run
  * it. Any other failure restarts all stages of the request, at most MAX_RESTARTS
  * times; individual items have already been retried by then.
--- a/packages/gateway/src/request/stages/stage-states.ts
+++ b/packages/gateway/src/request/stages/stage-states.ts
@@ -103,9 +103,9 @@
       return
     state.hasInputs = true
     for (const dependency of this.stages[stage].dependsOn) {
-      const read = this.states[dependency]
-      read.readersLeft--
-      if (read.readersLeft === 0)
+      const dependencyState = this.states[dependency]
+      dependencyState.readersLeft--
+      if (dependencyState.readersLeft === 0)
         this.freeResults(dependency)
     }
   }
--- a/test/gateway/engine-load.test.ts
+++ b/test/gateway/engine-load.test.ts
@@ -93,9 +93,9 @@
   return { recomputedShare: recomputedTokens / readTokens, firstEventMs: firstEventMs.sort((a, b) => a - b) }
 }
 
-// Guards against recomputing cached prompt parts on engine after engine. It happened when a prompt went to the home
+// Guards against recomputing cached prompt parts on engine after engine. It happened when a prompt went to the preferred
 // engine of its last shared part although another engine had the first part cached, and when the fixed overhead of
-// short prompts made engines appear slow, so that prompts left their home engines. With both faults, 0.031 to 0.033 of
+// short prompts made engines appear slow, so that prompts left their preferred engines. With both faults, 0.031 to 0.033 of
 // the tokens are recomputed here.
 describe('prompts on many engines', () => {
   test.each([1, 2, 3])('are assigned to engines with cached parts, without long queues (seed %i)', (seed) => {
--- a/test/gateway/members.test.ts
+++ b/test/gateway/members.test.ts
@@ -273,7 +273,7 @@
     })
   })
 
-  test('changes at once to a successor heard from recently, never to one last heard from long ago', async () => {
+  test('changes at once to a successor that replied recently, never to one whose last reply is old', async () => {
     const { members, peers } = await createSettledMembers(undefined, 'gateway-c', 1000)
     peers.replies.set('gateway-b', 'silent')
     await vi.advanceTimersByTimeAsync(2000)
@@ -373,7 +373,7 @@
     expect(coordinators()).toEqual(['gateway-0', 'gateway-0'])
   })
 
-  test('stay during a rolling restart, and become one when many gateways have left for good', async () => {
+  test('stay during a rolling restart, and become one when many gateways have left permanently', async () => {
     const { members } = await createDivided()
     for (let number = 8; number < GATEWAYS; number++)
       members.remove(`gateway-${number}`)
--- a/test/gateway/support/fakes.ts
+++ b/test/gateway/support/fakes.ts
@@ -56,7 +56,7 @@
   }
 }
 
-/** A crash watch that knows of no crashes and records none. */
+/** A crash monitor that knows of no crashes and records none. */
 export const NO_CRASHES: CrashMonitor = { noteBroken: async () => {}, noteAnswered: () => {}, crashCount: () => 0, refusal: () => undefined }
 
 /** A call received by a fake stage backend server. */
