--- a/packages/gateway/src/process/stages/pool/call-size.ts
+++ b/packages/gateway/src/process/stages/pool/call-size.ts
@@ -11,8 +11,8 @@
  * Why: a call ends with its last item, so each added task delays all others in
  * it. If the first idle backend server took all items up to a full call, a call
  * of four tasks would run beside a call of one, although other backend servers
- * become idle milliseconds later. Under load few backend servers start soon and many items wait, so the
- * same rule fills the calls.
+ * become idle milliseconds later. Under load few backend servers start soon and
+ * many items wait, so the same rule fills the calls.
  * Log event: `stage-call` (items).
  */
 import type { CallForecasts } from './call-forecasts.js'
--- a/packages/gateway/src/process/stages/pool/pool-dependencies.ts
+++ b/packages/gateway/src/process/stages/pool/pool-dependencies.ts
@@ -1,5 +1,5 @@
 /**
- * Dependencies of the stage pools. They live as long as the process.
+ * Dependencies of the stage pools. Used for the lifetime of the process.
  */
 import type { EventLog } from '@eidermast/common'
 import type { IntakeGate } from '../../../connection/backends/intake-gate.js'
--- a/packages/gateway/src/process/stages/pool/stage-calls.ts
+++ b/packages/gateway/src/process/stages/pool/stage-calls.ts
@@ -2,7 +2,7 @@
  * Runs the calls of one stage service and applies their outcomes: results go to
  * their tasks, failed items back to the queue or to the failure of their task.
  * Owns the calls in progress; relies on the client to answer or abort each. When
- * the process dies, results of its calls expire at their backend servers.
+ * the process exits, results of its calls expire at their backend servers.
  */
 import type { ItemOutcome, StageCallResult } from '../../../connection/backends/stage-client.js'
 import type { StageLimits } from '../../../version/configuration.js'
@@ -121,15 +121,15 @@
 
   /** Queues items for another call, or fails their tasks. */
   private retry(items: readonly PoolItem[], cause: ItemFailureCause): void {
-    const live = items.filter(item => !item.task.ended)
-    for (const item of live) {
+    const unfinished = items.filter(item => !item.task.ended)
+    for (const item of unfinished) {
       if (countsAsFailure(cause))
         item.failures++
       const decision = decideItemRetry(cause, item.failures, () => this.dependencies.retryBudget.takeRetry(this.service))
       if (!decision.isRetried)
         this.queue.fail(item.task, decision.failure)
     }
-    this.queue.requeue(live)
+    this.queue.requeue(unfinished)
   }
 }
 
--- a/packages/gateway/src/process/stages/pool/stage-pool.ts
+++ b/packages/gateway/src/process/stages/pool/stage-pool.ts
@@ -1,9 +1,9 @@
 /**
  * The backend servers of one stage service and the tasks that wait for them.
  * Whenever a task arrives or a call ends, each idle backend server gets a batch
- * of items, which may belong to several requests. Owns both for the life of the
+ * of items, which may belong to several requests. Owns both for the lifetime of the
  * process; relies on the registry for the backend servers. Nothing is persisted:
- * if the process dies, the requesting gateways ask the next coordinator.
+ * if the process exits, the requesting gateways ask the next coordinator.
  */
 import type { Backend } from '../../../connection/backends/backend.js'
 import type { StageProgress } from '../../../connection/peers/preparation.js'
--- a/packages/gateway/src/process/stages/shared-preparer.ts
+++ b/packages/gateway/src/process/stages/shared-preparer.ts
@@ -6,7 +6,7 @@
  * one through this module. Owns the mapping from each request to the coordinator
  * that holds its results until they are released, and the releases that wait for
  * their batch; relies on the membership for the current coordinator. When the
- * process dies, coordinators see their callers disconnect, and results whose
+ * process exits, coordinators see their callers disconnect, and results whose
  * release is lost expire.
  */
 import type { EventLog } from '@eidermast/common'
--- a/packages/gateway/src/process/stages/stage-coordinator.ts
+++ b/packages/gateway/src/process/stages/stage-coordinator.ts
@@ -1,10 +1,10 @@
 /**
  * Coordinator of one shard of the stage work, or of all of it: batches the items
  * of all gateways' requests in one pool per stage service. Owns the pools for the
- * life of the process, and the stage work of each request until its results are
+ * lifetime of the process, and the stage work of each request until its results are
  * released. A single coordinator per shard is a matter of efficiency, not of
  * correctness: items are safe to run again, and two coordinators at once only
- * cost result memory and time. When the process dies, the requesting gateways ask
+ * cost result memory and time. When the process exits, the requesting gateways ask
  * the next coordinator, and results left behind expire.
  */
 import type { Result } from 'ts-results-es'
--- a/packages/gateway/src/process/stages/stage-coordinators.ts
+++ b/packages/gateway/src/process/stages/stage-coordinators.ts
@@ -1,7 +1,7 @@
 /**
  * The stage coordinators of this process, one per shard that it was asked to
  * coordinate. Each owns its pools and requests; this module owns the coordinators
- * for the life of the process. When it dies, the requesting gateways ask the next
+ * for the lifetime of the process. When it exits, the requesting gateways ask the next
  * coordinator of each shard.
  */
 import type { Result } from 'ts-results-es'
--- a/packages/gateway/src/request/attempts/backend-attempt.ts
+++ b/packages/gateway/src/request/attempts/backend-attempt.ts
@@ -2,7 +2,7 @@
  * One attempt of a request at one backend server: makes the call, limits its
  * time and forwards the response to the client. Owns the call's abort signal and
  * timers until the attempt ends; the connection belongs to the backend client.
- * If the process dies, both connections break, so that the client can tell that
+ * If the process exits, both connections break, so that the client can tell that
  * the response is incomplete.
  */
 import type { BackendCall, BackendClient, BackendResponse, CallFailure } from '../../connection/backends/backend-client.js'
--- a/packages/gateway/src/request/proxy-request-handler.ts
+++ b/packages/gateway/src/request/proxy-request-handler.ts
@@ -2,7 +2,7 @@
  * Handles client requests end to end: routes each one, prepares its stages, has
  * a backend server answer it, then counts and logs the result. Lives as long as
  * the process. The state of a request is local to its call of `serve`; if the
- * process dies, it is lost and the client's connection breaks.
+ * process exits, it is lost and the client's connection breaks.
  */
 import type { EventLog, RequestError } from '@eidermast/common'
 import type { ClientRequest, RequestHandler } from '../connection/clients/client-request.js'
--- a/packages/gateway/src/request/responses/response-relay.ts
+++ b/packages/gateway/src/request/responses/response-relay.ts
@@ -3,7 +3,7 @@
  * are buffered to the end first; streams are forwarded event by event. A
  * response that may be truncated is never framed as complete. Holds the bytes
  * of a buffered response until they are sent, and of a stream only the
- * incomplete event; if the process dies, both are lost and the connections break.
+ * incomplete event; if the process exits, both are lost and the connections break.
  */
 import type { Result } from 'ts-results-es'
 import type { BackendResponse } from '../../connection/backends/backend-client.js'
--- a/packages/gateway/src/request/stages/request-stages.ts
+++ b/packages/gateway/src/request/stages/request-stages.ts
@@ -3,7 +3,7 @@
  * stages that it depends on are complete, and results are freed when their last
  * reader has fetched them. Owns the state of the stages from admission until the
  * request releases its results or another coordinator takes over; uses the
- * queues of the services. If the process dies, the requesting gateway asks the
+ * queues of the services. If the process exits, the requesting gateway asks the
  * next coordinator, which restarts the work, and orphaned results expire at
  * their backend servers.
  */
