--- a/packages/gateway/src/process/stages/pool/stage-batch.ts
+++ b/packages/gateway/src/process/stages/pool/stage-batch.ts
@@ -59,7 +59,7 @@
 }
 
 /** Selects the items of the next call; empty if none should run here now. */
-export function chooseBatch(input: BatchInput): BatchEntry[] {
+export function selectBatch(input: BatchInput): BatchEntry[] {
   const entries: BatchEntry[] = []
   const { local, overflow } = partitionByDomain(input)
   addTasks(entries, local, input, BatchReason.SuitsDomain)
@@ -94,9 +94,9 @@
     const [first] = entries
     if (first && (isIsolated(first.task.stageTask) || isIsolated(task.stageTask)))
       continue
-    const taken = countItems(entries)
-    const slots = maxItems - taken
-    if (slots <= 0 || taken >= targetItems)
+    const selectedCount = countItems(entries)
+    const slots = maxItems - selectedCount
+    if (slots <= 0 || selectedCount >= targetItems)
       return
     const waiting = task.waiting.length
     const withinMemory = Math.floor((freeBytes - reservedBytes(entries)) / task.stageTask.resultBytes)
--- a/packages/gateway/src/process/stages/pool/stage-calls.ts
+++ b/packages/gateway/src/process/stages/pool/stage-calls.ts
@@ -2,7 +2,7 @@
  * Runs the calls of one stage service and applies their outcomes: results go to
  * their tasks, failed items back to the queue or to the failure of their task.
  * Owns the calls in progress; relies on the client to answer or abort each. When
- * the process dies, results of its calls expire at their backend servers.
+ * the process exits, results of its calls expire at their backend servers.
  */
 import type { ItemOutcome, StageCallResult } from '../../../connection/backends/stage-client.js'
 import type { StageLimits } from '../../../version/configuration.js'
@@ -16,15 +16,15 @@
 import { ItemFailure, StageCallEnd } from '../../../connection/backends/stage-client.js'
 import { logBackendPaused, logStageCall } from '../stage-log.js'
 import { callTimeoutMs } from './call-timeout.js'
-import { COORDINATOR_OVERLAP_MS, inputsFetchedAfterMs } from './early-free.js'
+import { COORDINATOR_OVERLAP_MS, inputsFetchedAfterMs } from './input-fetch-time.js'
 import { countsAsFailure, decideItemRetry } from './item-retry.js'
 import { describeItem, inputBytesOf, resultBytesOf } from './pool-task.js'
 
 /**
  * Longest time that the items of a broken call wait for the check whether their
- * backend server crashed. Sent again without it, an item that crashes backend
- * servers reaches the next one first. The check takes 20 ms if the VM is
- * reachable; a longer limit delays the items of a VM that is gone.
+ * backend server crashed. If they were sent again before its result, an item that
+ * crashes backend servers could reach the next one first. The check takes 20 ms if
+ * the VM is reachable; the limit bounds the delay if the VM has failed.
  */
 const MAX_CRASH_CHECK_MS = 100
 
@@ -121,23 +121,23 @@
 
   /** Queues items for another call, or fails their tasks. */
   private retry(items: readonly PoolItem[], cause: ItemFailureCause): void {
-    const live = items.filter(item => !item.task.ended)
-    for (const item of live) {
+    const unfinished = items.filter(item => !item.task.ended)
+    for (const item of unfinished) {
       if (countsAsFailure(cause))
         item.failures++
       const decision = decideItemRetry(cause, item.failures, () => this.dependencies.retryBudget.takeRetry(this.service))
       if (!decision.isRetried)
         this.queue.fail(item.task, decision.failure)
     }
-    this.queue.requeue(live)
+    this.queue.requeue(unfinished)
   }
 }
 
 /** Notifies the tasks whose inputs are all fetched. */
 function reportFetched(items: readonly PoolItem[]): void {
   for (const { task } of items) {
-    task.fetched++
-    if (task.fetched === task.stageTask.items && !task.ended)
+    task.fetchedItems++
+    if (task.fetchedItems === task.stageTask.items && !task.ended)
       task.stageTask.listener.inputsFetched()
   }
 }
--- a/packages/gateway/src/process/stages/pool/stage-pool.ts
+++ b/packages/gateway/src/process/stages/pool/stage-pool.ts
@@ -1,9 +1,9 @@
 /**
  * The backend servers of one stage service and the tasks that wait for them.
  * Whenever a task arrives or a call ends, each idle backend server gets a batch
- * of items, which may belong to several requests. Owns both for the life of the
+ * of items, which may belong to several requests. Owns both for the lifetime of the
  * process; relies on the registry for the backend servers. Nothing is persisted:
- * if the process dies, the requesting gateways ask the next coordinator.
+ * if the process exits, the requesting gateways ask the next coordinator.
  */
 import type { Backend } from '../../../connection/backends/backend.js'
 import type { StageProgress } from '../../../connection/peers/preparation.js'
@@ -21,10 +21,10 @@
 import { isIsolated, isQuarantined } from './crash-isolation.js'
 import { findBetterDomain } from './domain-wait.js'
 import { estimateThroughput, typicalCallMs, updateTypicalResultBytes } from './service-throughput.js'
-import { chooseBatch } from './stage-batch.js'
+import { selectBatch } from './stage-batch.js'
 import { StageCalls } from './stage-calls.js'
 import { TaskQueue } from './task-queue.js'
-import { cannotMeetDeadline, hasUnreadableInput } from './waiting-end.js'
+import { cannotMeetDeadline, hasUnreadableInput } from './waiting-task-failure.js'
 
 /** Batches and runs the items of one service. */
 export class StagePool implements StageTaskQueue {
@@ -162,7 +162,7 @@
 
   private takeBatch(backend: StageBackend, now: number): PoolItem[] {
     const forecasts = new CallForecasts(this.backends.values(), now)
-    const batch = chooseBatch({
+    const batch = selectBatch({
       tasks: this.queue.tasks,
       isIsolated: task => isIsolated(task, this.dependencies.crashes),
       maxItems: this.limits.batch,
--- a/packages/gateway/src/process/stages/shared-preparer.ts
+++ b/packages/gateway/src/process/stages/shared-preparer.ts
@@ -6,7 +6,7 @@
  * one through this module. Owns the mapping from each request to the coordinator
  * that holds its results until they are released, and the releases that wait for
  * their batch; relies on the membership for the current coordinator. When the
- * process dies, coordinators see their callers disconnect, and results whose
+ * process exits, coordinators see their callers disconnect, and results whose
  * release is lost expire.
  */
 import type { EventLog } from '@eidermast/common'
@@ -24,16 +24,15 @@
 import { UNSHARDED } from './shard-choice.js'
 
 /**
- * Calls to coordinators per request. Half of it fails requests when two
- * coordinators die in turn; twice as many keep a client waiting that no
- * coordinator can serve.
+ * Calls to coordinators per request. Allows two coordinators to fail one after the
+ * other; limits how long a client waits if no coordinator can serve it.
  */
 const MAX_COORDINATOR_CALLS = 4
-/** Retry delay for clients when no coordinator answered. Half of it doubles the retries while gateways restart. */
+/** Retry delay for clients when no coordinator answered. Limits the rate of retries while gateways restart. */
 const RETRY_AFTER_MS = 1000
 /**
- * Milliseconds that a release waits to share a call with others. Half of it
- * sends more calls; twice as much keeps result memory in use longer.
+ * Milliseconds that a release waits to share a call with others. Saves calls, at
+ * the cost of result memory that stays in use meanwhile.
  */
 const RELEASE_DELAY_MS = 20
 
@@ -101,7 +100,7 @@
     return second.isErr() && second.error.kind === PreparationFailureKind.Overloaded ? result : second
   }
 
-  /** Calls the coordinators of a shard in turn, with the remaining time and the results handed over so far. */
+  /** Calls the coordinators of a shard one after another, with the remaining time and the results handed over so far. */
   private async prepareInShard(request: PreparationRequest, shard: StageShard, signal: AbortSignal): Promise<Preparation> {
     const startedAt = performance.now()
     let { progress } = request
--- a/packages/gateway/src/request/attempts/backend-attempt.ts
+++ b/packages/gateway/src/request/attempts/backend-attempt.ts
@@ -2,7 +2,7 @@
  * One attempt of a request at one backend server: makes the call, limits its
  * time and forwards the response to the client. Owns the call's abort signal and
  * timers until the attempt ends; the connection belongs to the backend client.
- * If the process dies, both connections break, so that the client can tell that
+ * If the process exits, both connections break, so that the client can tell that
  * the response is incomplete.
  */
 import type { BackendCall, BackendClient, BackendResponse, CallFailure } from '../../connection/backends/backend-client.js'
@@ -37,7 +37,7 @@
   client: BackendClient
   backend: Backend
   request: RoutedRequest
-  answer: ClientResponse
+  clientResponse: ClientResponse
   /** Called just before an event of a stream is forwarded. */
   onEvent: (id: string | undefined) => void
 }
@@ -47,8 +47,8 @@
   private readonly controller = new AbortController()
   private readonly probe: Probe
 
-  constructor(private readonly deps: AttemptDependencies) {
-    this.probe = timeoutMs => deps.client.probe(deps.backend, timeoutMs)
+  constructor(private readonly dependencies: AttemptDependencies) {
+    this.probe = timeoutMs => dependencies.client.probe(dependencies.backend, timeoutMs)
   }
 
   /** Whether this gateway abandoned the attempt or the client disconnected. */
@@ -56,21 +56,21 @@
     return this.controller.signal.aborted
   }
 
-  /** Calls the backend server, which has to send the response head within `headTimeMs`. */
+  /** Calls the backend server, which has to send the response head within `headTimeoutMs`. */
   async run(call: BackendCall, headTimeoutMs: number, clientSignal: AbortSignal): Promise<AttemptResult> {
     const abort = (): void => this.controller.abort()
     const timer = setTimeout(abort, headTimeoutMs)
     clientSignal.addEventListener('abort', abort)
-    this.deps.backend.outstanding++
+    this.dependencies.backend.outstanding++
     try {
-      const head = await this.awaitHead(this.deps.client.run(this.deps.backend, call, this.controller.signal))
+      const head = await this.awaitHead(this.dependencies.client.run(this.dependencies.backend, call, this.controller.signal))
       clearTimeout(timer)
       if (head.isErr())
         return { end: endOfFailure(head.error), failure: head.error }
       return { ...await this.handleResponse(head.value), framed: head.value.framed }
     }
     finally {
-      this.deps.backend.outstanding--
+      this.dependencies.backend.outstanding--
       clearTimeout(timer)
       clientSignal.removeEventListener('abort', abort)
     }
@@ -78,7 +78,7 @@
 
   /** Probes the backend server of a stream until the response head arrives. */
   private async awaitHead<Head>(head: Promise<Head>): Promise<Head> {
-    if (!this.deps.request.route.streaming)
+    if (!this.dependencies.request.route.streaming)
       return head
     const stallDetector = new StallDetector(this.probe, () => this.controller.abort())
     try {
@@ -89,43 +89,43 @@
     }
   }
 
-  private handleResponse(answer: BackendResponse): Promise<AttemptResult> | AttemptResult {
-    if (this.deps.request.route.streaming && answer.status < SUCCESS_STATUS_END)
-      return this.relay(answer)
-    if (this.deps.answer.started)
-      return this.rejectNonStream(answer)
-    return this.bufferAndSend(answer)
+  private handleResponse(response: BackendResponse): Promise<AttemptResult> | AttemptResult {
+    if (this.dependencies.request.route.streaming && response.status < SUCCESS_STATUS_END)
+      return this.relay(response)
+    if (this.dependencies.clientResponse.started)
+      return this.rejectNonStream(response)
+    return this.bufferAndSend(response)
   }
 
-  private async relay(answer: BackendResponse): Promise<AttemptResult> {
-    const ended = await relayStream(answer, this.deps.answer, {
+  private async relay(response: BackendResponse): Promise<AttemptResult> {
+    const ended = await relayStream(response, this.dependencies.clientResponse, {
       controller: this.controller,
       remainingMs: this.remainingMs(),
       probe: this.probe,
-      onEvent: this.deps.onEvent,
+      onEvent: this.dependencies.onEvent,
     })
     return ended.isOk() ? { end: AttemptEnd.Answered } : broken(ended.error)
   }
 
   /** Rejects a non-streaming response to a resumed stream, whose head has already been sent. */
-  private rejectNonStream(answer: BackendResponse): AttemptResult {
-    answer.destroy()
-    return broken(`got status ${answer.status} while resuming a stream that has already started`)
+  private rejectNonStream(response: BackendResponse): AttemptResult {
+    response.destroy()
+    return broken(`got status ${response.status} while resuming a stream that has already started`)
   }
 
   /** Buffers the whole response before sending it, so that a truncated one is never framed as complete. */
-  private async bufferAndSend(answer: BackendResponse): Promise<AttemptResult> {
-    const whole = await bufferResponse(answer, this.controller, this.remainingMs())
+  private async bufferAndSend(response: BackendResponse): Promise<AttemptResult> {
+    const whole = await bufferResponse(response, this.controller, this.remainingMs())
     if (whole.isErr())
       return broken(whole.error)
-    if (answer.status >= SERVER_ERROR_STATUS && this.deps.request.route.repeatable)
+    if (response.status >= SERVER_ERROR_STATUS && this.dependencies.request.route.repeatable)
       return { end: AttemptEnd.ServerError, fallback: whole.value }
-    sendBuffered(whole.value, this.deps.answer)
+    sendBuffered(whole.value, this.dependencies.clientResponse)
     return { end: AttemptEnd.Answered }
   }
 
   private remainingMs(): number {
-    return this.deps.request.deadlineAt - performance.now()
+    return this.dependencies.request.deadlineAt - performance.now()
   }
 }
 
--- a/packages/gateway/src/request/proxy-request-handler.ts
+++ b/packages/gateway/src/request/proxy-request-handler.ts
@@ -2,7 +2,7 @@
  * Handles client requests end to end: routes each one, prepares its stages, has
  * a backend server answer it, then counts and logs the result. Lives as long as
  * the process. The state of a request is local to its call of `serve`; if the
- * process dies, it is lost and the client's connection breaks.
+ * process exits, it is lost and the client's connection breaks.
  */
 import type { EventLog, RequestError } from '@eidermast/common'
 import type { ClientRequest, RequestHandler } from '../connection/clients/client-request.js'
@@ -43,59 +43,59 @@
   private readonly router: RequestRouter
   private readonly log: RequestLog
 
-  constructor(private readonly deps: ProxyRequestHandlerDependencies) {
-    this.router = new RequestRouter(deps.configuration)
-    this.log = new RequestLog(deps.log)
+  constructor(private readonly dependencies: ProxyRequestHandlerDependencies) {
+    this.router = new RequestRouter(dependencies.configuration)
+    this.log = new RequestLog(dependencies.log)
   }
 
   /** Answers a request; the signal aborts when its client disconnects. */
-  async serve(request: ClientRequest, answer: ClientResponse, signal: AbortSignal): Promise<void> {
+  async serve(request: ClientRequest, clientResponse: ClientResponse, signal: AbortSignal): Promise<void> {
     const routed = this.router.route(request)
     if (routed.isErr())
-      return this.finish(request, undefined, answer, { error: routed.error })
+      return this.finish(request, undefined, clientResponse, { error: routed.error })
     const refused = this.refuse(routed.value)
-    const end = refused ? { error: refused } : await this.run(routed.value, answer, signal)
-    this.finish(request, routed.value.route.name, answer, end)
+    const end = refused ? { error: refused } : await this.run(routed.value, clientResponse, signal)
+    this.finish(request, routed.value.route.name, clientResponse, end)
   }
 
   /** Returns the error for a request that must not be sent to any backend server; undefined for others. */
   private refuse({ fingerprint }: RoutedRequest): RequestError | undefined {
-    const refusal = this.deps.crashes.refusal(fingerprint)
+    const refusal = this.dependencies.crashes.refusal(fingerprint)
     return refusal === undefined ? undefined : createError(ErrorKind.Quarantined, refusal)
   }
 
-  private run(request: RoutedRequest, answer: ClientResponse, signal: AbortSignal): Promise<RunResult> {
+  private run(request: RoutedRequest, clientResponse: ClientResponse, signal: AbortSignal): Promise<RunResult> {
     if (request.route.stages.length === 0)
-      return this.deps.runner.run({ request, inputs: NO_INPUTS, answer, signal })
-    return this.prepareAndRun(request, answer, signal)
+      return this.dependencies.runner.run({ request, inputs: NO_INPUTS, clientResponse, signal })
+    return this.prepareAndRun(request, clientResponse, signal)
   }
 
-  private async prepareAndRun(request: RoutedRequest, answer: ClientResponse, signal: AbortSignal): Promise<RunResult> {
+  private async prepareAndRun(request: RoutedRequest, clientResponse: ClientResponse, signal: AbortSignal): Promise<RunResult> {
     const { requestId } = request.head
     const firstEventMs = Math.ceil(request.firstEventBy - performance.now())
-    const waitMs = this.deps.runner.shortestWaitMs(request)
+    const waitMs = this.dependencies.runner.shortestWaitMs(request)
     if (Number.isFinite(waitMs) && waitMs > firstEventMs)
       return { error: errorOfWithheld(request.service, waitMs) }
     const stagesSignal = AbortSignal.any([signal, AbortSignal.timeout(atLeastOneMs(firstEventMs))])
-    const prepared = await this.deps.preparer.prepare(this.describeStageWork(request), stagesSignal)
+    const prepared = await this.dependencies.preparer.prepare(this.describeStageWork(request), stagesSignal)
     if (prepared.isErr())
       return { error: this.refuse(request) ?? errorOfPreparation(prepared.error) }
     const inputs: RunInputs = {
       ...prepared.value,
-      onRead: () => this.deps.preparer.release(requestId),
+      onRead: () => this.dependencies.preparer.release(requestId),
       recreate: () => this.recreateInputs(request, stagesSignal),
     }
     try {
-      return await this.deps.runner.run({ request, inputs, answer, signal })
+      return await this.dependencies.runner.run({ request, inputs, clientResponse, signal })
     }
     finally {
-      this.deps.preparer.release(requestId)
+      this.dependencies.preparer.release(requestId)
     }
   }
 
   /** Recreates the inputs after the first ones were consumed or lost. */
   private async recreateInputs(request: RoutedRequest, signal: AbortSignal): Promise<readonly string[] | undefined> {
-    const prepared = await this.deps.preparer.prepare(this.describeStageWork(request), signal)
+    const prepared = await this.dependencies.preparer.prepare(this.describeStageWork(request), signal)
     // The coordinator logged the reason as `stages-ended`; the run ends with the result of its attempt.
     return prepared.isOk() ? prepared.value.handles : undefined
   }
@@ -105,7 +105,7 @@
     return {
       requestId: request.head.requestId,
       fingerprint: request.fingerprint,
-      stages: request.route.stages.map((stage, number) => ({ ...stage, items: request.head.stageItems[number] ?? 0 })),
+      stages: request.route.stages.map((stage, index) => ({ ...stage, items: request.head.stageItems[index] ?? 0 })),
       key: request.head.stageKey,
       priority: request.priority,
       targetMs: request.route.targetLatencyMs - (now - request.arrivedAt),
@@ -113,21 +113,21 @@
       isRetry: request.isRetry,
       service: request.service,
       prompt: request.head.promptParts.length > 0 ? request.head.promptParts : undefined,
-      failureDomain: this.deps.runner.preferredFailureDomain(request),
+      failureDomain: this.dependencies.runner.preferredFailureDomain(request),
     }
   }
 
-  private finish(request: ClientRequest, route: string | undefined, answer: ClientResponse, { error, retry, firstEventAt }: RunResult): void {
+  private finish(request: ClientRequest, route: string | undefined, clientResponse: ClientResponse, { error, retry, firstEventAt }: RunResult): void {
     const tookMs = performance.now() - request.arrivedAt
-    const configurationVersion = this.deps.configuration.version
-    this.deps.metrics.countRequest(route ?? NO_ROUTE, outcomeOf(error), tookMs)
+    const configurationVersion = this.dependencies.configuration.version
+    this.dependencies.metrics.countRequest(route ?? NO_ROUTE, outcomeOf(error), tookMs)
     const firstEventMs = firstEventAt === undefined ? undefined : firstEventAt - request.arrivedAt
     this.log.requestEnded({ requestId: request.head.requestId, route, error, retry, tookMs, firstEventMs, configurationVersion })
     if (!error)
       return
-    if (answer.started)
-      answer.cutOff()
+    if (clientResponse.started)
+      clientResponse.cutOff()
     else
-      answer.fail(error)
+      clientResponse.fail(error)
   }
 }
--- a/packages/gateway/src/request/stages/request-stages.ts
+++ b/packages/gateway/src/request/stages/request-stages.ts
@@ -3,7 +3,7 @@
  * stages that it depends on are complete, and results are freed when their last
  * reader has fetched them. Owns the state of the stages from admission until the
  * request releases its results or another coordinator takes over; uses the
- * queues of the services. If the process dies, the requesting gateway asks the
+ * queues of the services. If the process exits, the requesting gateway asks the
  * next coordinator, which restarts the work, and orphaned results expire at
  * their backend servers.
  */
@@ -20,7 +20,7 @@
 import { StageStates } from './stage-states.js'
 
 /**
- * Delay after which a client may retry failed stage work. Half doubles the
+ * Delay after which a client may retry failed stage work. Limits the rate of
  * retries while backend servers fail.
  */
 const RETRY_AFTER_MS = 1000
@@ -92,15 +92,15 @@
     clearTimeout(this.delayTimer)
     this.states.cancelTasks()
     this.states = new StageStates([], this.graph, this.queueOf)
-    this.listener(Err({ kind: PreparationFailureKind.HandedOver, message: 'the coordinator is stopping', retryAfterMs: 0, progress }))
+    this.listener(Err({ kind: PreparationFailureKind.HandedOver, message: 'the stage work is handed over to another coordinator', retryAfterMs: 0, progress }))
   }
 
   /** Items of a service that have no result yet. */
   remainingItems(service: string): number {
     if (this.ended)
       return 0
-    const open = this.request.stages.filter((stage, number) => stage.service === service && !this.states.hasResults(number))
-    return open.reduce((sum, stage) => sum + stage.items, 0)
+    const incomplete = this.request.stages.filter((stage, index) => stage.service === service && !this.states.hasResults(index))
+    return incomplete.reduce((sum, stage) => sum + stage.items, 0)
   }
 
   /** Cancels the work in flight and frees all results. */
--- a/test/gateway/stage-crashes.test.ts
+++ b/test/gateway/stage-crashes.test.ts
@@ -17,11 +17,11 @@
 /** Time after which all work is done or has failed. */
 const SCENARIO_MS = 4000
 
-function createBoard(): CrashTracker {
+function createCrashTracker(): CrashTracker {
   const { log } = createLog()
-  const witness = new CrashDetector({ checkPresence: async () => Presence.Gone, log: new GatewayLog(log), onCrash: crash => board.noteCrash(crash) })
-  const board = new CrashTracker({ name: 'gateway-a', ledger: { publish: async () => {} }, log, detector: witness, restoresOthers: () => true })
-  return board
+  const detector = new CrashDetector({ checkPresence: async () => Presence.Gone, log: new GatewayLog(log), onCrash: crash => tracker.noteCrash(crash) })
+  const tracker = new CrashTracker({ name: 'gateway-a', ledger: { publish: async () => {} }, log, detector, restoresOthers: () => true })
+  return tracker
 }
 
 function isFatal({ items }: FakeStageCall): boolean {
@@ -30,9 +30,9 @@
 
 /** Creates a coordinator with six backend servers that crash when they run an item of the request CAUSE. */
 function createCrashScenario() {
-  const board = createBoard()
+  const crashTracker = createCrashTracker()
   const backends = ['a', 'b', 'c', 'd', 'e', 'f'].map(name => ({ id: `encode-${name}` }))
-  const coordinator = createCoordinator(backends, board)
+  const coordinator = createCoordinator(backends, crashTracker)
   const { service, registry, stageCoordinator } = coordinator
   const crashed: FakeStageCall[] = []
   service.behaviour = (call) => {
@@ -48,7 +48,7 @@
     const result = await stageCoordinator.prepare(createStageRequest({ requestId, fingerprint: `f-${requestId}`, stages }), NEVER)
     outcomes.set(requestId, result.isOk())
   }
-  return { board, crashed, outcomes, send, service }
+  return { crashTracker, crashed, outcomes, send, service }
 }
 
 /** Requests whose items share a call, or are queued behind it. */
@@ -68,9 +68,9 @@
   })
 
   test('is isolated after two crashes', async () => {
-    const { board, crashed, send, service } = createCrashScenario()
+    const { crashTracker, crashed, send, service } = createCrashScenario()
     for (const backend of ['earlier-1', 'earlier-2'])
-      board.applyReports('gateway-b', { crashes: [{ fingerprint: `f-${CAUSE}`, backend, at: Date.now(), gateway: 'gateway-b' }], answers: [] })
+      crashTracker.applyReports('gateway-b', { crashes: [{ fingerprint: `f-${CAUSE}`, backend, at: Date.now(), gateway: 'gateway-b' }], answers: [] })
     for (const requestId of REQUEST_IDS)
       void send(requestId)
     await vi.advanceTimersByTimeAsync(SCENARIO_MS)
@@ -79,19 +79,19 @@
   })
 
   test('is not sent after three crashes, whichever gateway observed them', async () => {
-    const { board, crashed, outcomes, send } = createCrashScenario()
+    const { crashTracker, crashed, outcomes, send } = createCrashScenario()
     for (const backend of ['earlier-1', 'earlier-2', 'earlier-3'])
-      board.applyReports('gateway-b', { crashes: [{ fingerprint: `f-${CAUSE}`, backend, at: Date.now(), gateway: 'gateway-b' }], answers: [] })
+      crashTracker.applyReports('gateway-b', { crashes: [{ fingerprint: `f-${CAUSE}`, backend, at: Date.now(), gateway: 'gateway-b' }], answers: [] })
     await send(CAUSE)
     expect(crashed).toEqual([])
     expect(outcomes.get(CAUSE)).toBe(false)
   })
 
   test('keeps its crash count when its stages produce results', async () => {
-    const { board, send } = createCrashScenario()
-    board.applyReports('gateway-b', { crashes: ['1', '2'].map(backend => ({ fingerprint: 'f-fine', backend, at: Date.now(), gateway: 'gateway-b' })), answers: [] })
+    const { crashTracker, send } = createCrashScenario()
+    crashTracker.applyReports('gateway-b', { crashes: ['1', '2'].map(backend => ({ fingerprint: 'f-fine', backend, at: Date.now(), gateway: 'gateway-b' })), answers: [] })
     void send('fine')
     await vi.advanceTimersByTimeAsync(SCENARIO_MS)
-    expect(board.crashCount('f-fine')).toBe(2)
+    expect(crashTracker.crashCount('f-fine')).toBe(2)
   })
 })
--- a/test/gateway/stage-rules.test.ts
+++ b/test/gateway/stage-rules.test.ts
@@ -2,7 +2,6 @@
 import {
   BatchReason,
   CallForecasts,
-  chooseBatch,
   createPoolTask,
   decideItemRetry,
   decideStageFailure,
@@ -10,6 +9,7 @@
   findBetterDomain,
   inputsFetchedAfterMs,
   ItemFailure,
+  selectBatch,
   StageCallEnd,
   StageFailureDecision,
 } from '@eidermast/gateway'
@@ -37,7 +37,7 @@
 
 describe('the selection of a batch', () => {
   function choose(tasks: PoolTask[], options: Partial<BatchInput> = {}) {
-    const entries = chooseBatch({ tasks, isIsolated: () => false, maxItems: 4, targetItems: 4, freeBytes: 1000, betterDomain: () => undefined, nextCalls: () => ({ slots: 4, freeBytes: 1000 }), ...options })
+    const entries = selectBatch({ tasks, isIsolated: () => false, maxItems: 4, targetItems: 4, freeBytes: 1000, betterDomain: () => undefined, nextCalls: () => ({ slots: 4, freeBytes: 1000 }), ...options })
     return entries.map(part => [tasks.indexOf(part.task), part.items, part.reason])
   }
 
@@ -135,7 +135,7 @@
     ['is retried after an error', ItemFailure.Error, 1, { isRetried: true }],
     ['is retried after a call that was not sent, however often it failed', StageCallEnd.NotSent, 9, { isRetried: true }],
     ['fails its task after the third failed call', StageCallEnd.Broken, 3, { isRetried: false, failure: ItemFailure.Error }],
-    ['fails its task if an input is gone', ItemFailure.InputGone, 1, { isRetried: false, failure: ItemFailure.InputGone }],
+    ['fails its task if an input is lost', ItemFailure.InputGone, 1, { isRetried: false, failure: ItemFailure.InputGone }],
     ['fails its task if it is late', ItemFailure.Late, 1, { isRetried: false, failure: ItemFailure.Late }],
   ])('%s', (_name, cause, failures, decision) => {
     expect(decideItemRetry(cause, failures, () => true)).toEqual(decision)
--- a/test/gateway/support/fakes.ts
+++ b/test/gateway/support/fakes.ts
@@ -56,7 +56,7 @@
   }
 }
 
-/** A crash watch that knows of no crashes and records none. */
+/** A crash monitor that knows of no crashes and records none. */
 export const NO_CRASHES: CrashMonitor = { noteBroken: async () => {}, noteAnswered: () => {}, crashCount: () => 0, refusal: () => undefined }
 
 /** A call received by a fake stage backend server. */
@@ -137,4 +137,4 @@
 export const OPEN_INTAKE: IntakeGate = { waitMs: () => 0, recordSent: () => {}, handleResponse: () => {} }
 
 /** Allows any number of requests to cold backend servers. */
-export const UNLIMITED_COLD_PACE: Pick<ColdStartLimiter, 'mayTake' | 'note'> = { mayTake: () => true, note: () => {} }
+export const UNLIMITED_COLD_STARTS: Pick<ColdStartLimiter, 'mayTake' | 'note'> = { mayTake: () => true, note: () => {} }
