--- a/packages/gateway/src/connection/backends/backend-connections.ts
+++ b/packages/gateway/src/connection/backends/backend-connections.ts
@@ -14,25 +14,25 @@
 import { CallNotSentError, WorkCall } from './work-call.js'
 
 /**
- * Timeout for establishing a connection. 200 ms fails while a backend server's
- * VM is busy; 800 ms takes too much time from the next attempt.
+ * Timeout for establishing a connection. Long enough for a busy VM of a backend
+ * server, and short enough to leave time for the next attempt.
  */
 const CONNECT_TIMEOUT_MS = 400
 /**
  * How long an idle connection is kept if the backend server announces no
- * keep-alive timeout. At 8 s, some backend servers have closed it already.
+ * keep-alive timeout. Some backend servers close it before 8 s.
  */
 const IDLE_TIMEOUT_MS = 4000
 /**
  * How long before the backend server's keep-alive timeout an idle connection is
- * closed. With a smaller margin, requests are sent on connections that the
- * backend server is already closing.
+ * closed, so that no request is sent on a connection that the backend server is
+ * already closing.
  */
 const IDLE_MARGIN_MS = 700
 /**
  * Minimum number of connections to one backend server, used while this gateway's
- * share is smaller or unknown. With a single one, a probe would wait behind the
- * unresponsive call that it should check.
+ * share is smaller or unknown, so that a probe does not wait behind the
+ * unresponsive call that it checks.
  */
 const MIN_CONNECTIONS = 2
 /**
@@ -62,12 +62,12 @@
 export type ConnectionShare = (service: string) => number
 
 /**
- * Pools by process of a backend server (`life`), since a later process with the
- * same id may have another address.
+ * Pools by incarnation of a backend server, since a later process with the same id
+ * may have another address.
  */
 export class BackendConnections {
   private readonly pools = new Map<string, Pool>()
-  /** Calls that wait for a connection, by process of their backend server. */
+  /** Calls that wait for a connection, by incarnation of their backend server. */
   private readonly waiting = new Map<string, Set<WorkCall>>()
   /** Timers that close the pools of removed backend servers. */
   private readonly closeTimers = new Map<string, NodeJS.Timeout>()
@@ -86,8 +86,8 @@
   async sendWork(backend: Backend, options: WorkOptions): Promise<Dispatcher.ResponseData> {
     if (!backend.acceptsWork || options.signal.aborted)
       throw new CallNotSentError(`${backend.id} accepts no new work, or the call was aborted`)
-    const calls = this.waiting.get(backend.life) ?? new Set()
-    this.waiting.set(backend.life, calls)
+    const calls = this.waiting.get(backend.incarnation) ?? new Set()
+    this.waiting.set(backend.incarnation, calls)
     const call = new WorkCall(backend, this.observer, this.intake, ended => void calls.delete(ended))
     calls.add(call)
     return this.observeResponse(backend, true, () => call.send(this.poolOf(backend), options))
@@ -106,28 +106,28 @@
 
   /** Rejects the calls that wait for a connection to a backend server that accepts no more work. */
   rejectWaiting(backend: Backend): void {
-    for (const call of this.waiting.get(backend.life) ?? [])
+    for (const call of this.waiting.get(backend.incarnation) ?? [])
       call.reject()
   }
 
   /** The pool of a backend server, opened on first use. Throws if the backend server was removed and its pool is closed. */
   poolOf(backend: Backend): Pool {
-    const existing = this.pools.get(backend.life)
+    const existing = this.pools.get(backend.incarnation)
     if (existing)
       return existing
     if (backend.removed)
       throw new CallNotSentError(`${backend.id} was removed from the registry`)
     const pool = createPool(backend.address, Math.max(MIN_CONNECTIONS, this.share(backend.service)))
-    this.pools.set(backend.life, pool)
+    this.pools.set(backend.incarnation, pool)
     return pool
   }
 
   /** Handles the removal of a backend server: rejects waiting calls, and lets calls in flight finish before the pool is closed. */
   remove(backend: Backend): void {
     this.rejectWaiting(backend)
-    this.waiting.delete(backend.life)
-    if (this.pools.has(backend.life))
-      this.closeTimers.set(backend.life, setTimeout(() => this.closePool(backend.life), CLOSE_DELAY_MS).unref())
+    this.waiting.delete(backend.incarnation)
+    if (this.pools.has(backend.incarnation))
+      this.closeTimers.set(backend.incarnation, setTimeout(() => this.closePool(backend.incarnation), CLOSE_DELAY_MS).unref())
   }
 
   /** Closes all pools immediately, which cuts off calls in flight. */
@@ -146,10 +146,10 @@
     return response
   }
 
-  private closePool(life: string): void {
-    const pool = this.pools.get(life)
-    this.pools.delete(life)
-    this.closeTimers.delete(life)
+  private closePool(incarnation: string): void {
+    const pool = this.pools.get(incarnation)
+    this.pools.delete(incarnation)
+    this.closeTimers.delete(incarnation)
     // close() rejects only if the pool was already destroyed, in which case there is nothing left to close.
     void pool?.close().catch(() => {})
   }
--- a/packages/gateway/src/connection/backends/backend-notice.ts
+++ b/packages/gateway/src/connection/backends/backend-notice.ts
@@ -10,7 +10,7 @@
   /** The backend server is leaving and accepts no new work. */
   isLeaving?: boolean
   /** Time in milliseconds during which this process should send no requests; undefined if no back-off is requested. */
-  restMs?: number
+  backoffMs?: number
 }
 
 /** Response headers, with names in lower case. */
@@ -25,6 +25,6 @@
   headers: ResponseHeaders
   /** Whether the call was a request or a stage call, whose response states all limits in force; a probe's may omit them. */
   isWork: boolean
-  /** When the call was made, in milliseconds of the process clock. */
+  /** When the call was made, in milliseconds of the monotonic clock. */
   calledAt: number
 }
--- a/packages/gateway/src/connection/backends/backend.ts
+++ b/packages/gateway/src/connection/backends/backend.ts
@@ -67,8 +67,8 @@
   capacity: number
 }
 
-/** Identifies one process of a backend server, even if a later process reuses its id. */
-export function lifeOf({ id, born }: BackendRecord): string {
+/** Identifies one incarnation (process) of a backend server, even if a later one reuses its id. */
+export function incarnationOf({ id, born }: BackendRecord): string {
   return born === undefined ? id : `${id}/${born}`
 }
 
@@ -78,7 +78,7 @@
   outstanding = 0
   /** The load that it last reported. */
   load: BackendLoad | undefined
-  /** When it reported that load, in milliseconds of the process clock. */
+  /** When it reported that load, in milliseconds of the monotonic clock. */
   loadAt = 0
 
   /** It was removed from the registry. This is final: a restarted process gets a new `Backend`. */
@@ -86,19 +86,19 @@
   /** Its failure domain is evacuated: it is sent no work until the evacuation is revoked. */
   evacuated = false
 
-  /** Start of its current or last cold period, in milliseconds of the process clock. */
+  /** Start of its current or last cold period, in milliseconds of the monotonic clock. */
   coldSince = 0
   private coldUntil = 0
 
-  /** Identifies this process of the backend server, see `lifeOf`. */
-  readonly life: string
+  /** Identifies this process of the backend server, see `incarnationOf`. */
+  readonly incarnation: string
 
   constructor(
     public record: BackendRecord,
     /** Flow control that it has requested in its responses. */
     readonly intake = new IntakeState(),
   ) {
-    this.life = lifeOf(record)
+    this.incarnation = incarnationOf(record)
   }
 
   /** Whether new work may be sent to it. */
@@ -136,6 +136,6 @@
 
   /** The key under which outlier ejection counts its calls. */
   get backendName(): string {
-    return this.life
+    return this.incarnation
   }
 }
--- a/packages/gateway/src/connection/backends/intake-state.ts
+++ b/packages/gateway/src/connection/backends/intake-state.ts
@@ -22,7 +22,7 @@
   ageMs: number
 }
 
-/** Latest notices of one backend server; times are in milliseconds of the process clock. */
+/** Latest notices of one backend server; times are in milliseconds of the monotonic clock. */
 export class IntakeState {
   /** Rate limit in requests per second for all gateways together; undefined if there is none. */
   limitPerSecond: number | undefined
@@ -38,7 +38,7 @@
   private limitEndedAt = Number.NEGATIVE_INFINITY
 
   /** Remaining back-off in milliseconds; 0 if it accepts requests. */
-  restMs(now: number): number {
+  backoffMs(now: number): number {
     return Math.max(0, this.backoffUntil - now)
   }
 
--- a/packages/gateway/src/connection/clients/client-request.ts
+++ b/packages/gateway/src/connection/clients/client-request.ts
@@ -1,8 +1,8 @@
-import type { ClientRequestHead } from './client-codec.js'
 /**
  * A client's request as `ClientServer` passes it to the request path, and the
  * interface that the request path implements.
  */
+import type { ClientRequestHead } from './client-codec.js'
 import type { ClientResponse } from './client-response.js'
 
 /** A request that was read completely. */
@@ -13,12 +13,12 @@
   head: ClientRequestHead
   /** Undefined if the request has neither a length nor chunks. */
   body: Buffer | undefined
-  /** When its head was read, in milliseconds of the process clock. */
+  /** When its head was read, in milliseconds of the monotonic clock. */
   arrivedAt: number
 }
 
 /** Handles requests; implemented by the request path. */
 export interface RequestHandler {
   /** Sends exactly one response, or cuts it off; the signal is aborted when the client disconnects. */
-  serve: (request: ClientRequest, answer: ClientResponse, signal: AbortSignal) => Promise<void>
+  serve: (request: ClientRequest, response: ClientResponse, signal: AbortSignal) => Promise<void>
 }
--- a/packages/gateway/src/connection/clients/client-server.ts
+++ b/packages/gateway/src/connection/clients/client-server.ts
@@ -95,34 +95,34 @@
     const arrivedAt = performance.now()
     const head = this.codec.readHead(message.rawHeaders)
     const requestId = head.isOk() ? head.value.requestId : undefined
-    const answer = new HttpClientResponse(response, this.codec, requestId, () => this.draining)
+    const clientResponse = new HttpClientResponse(response, this.codec, requestId, () => this.draining)
     const signal = createDisconnectSignal(response)
     try {
-      await this.serve(message, { head, limits: this.limits, refusing: this.refusing, arrivedAt }, answer, signal)
+      await this.serve(message, { head, limits: this.limits, refusing: this.refusing, arrivedAt }, clientResponse, signal)
     }
     catch (error) {
-      this.handleInternalError(error, answer)
+      this.handleInternalError(error, clientResponse)
     }
     finally {
       this.active--
     }
   }
 
-  private async serve(message: IncomingMessage, context: ReadContext, answer: HttpClientResponse, signal: AbortSignal): Promise<void> {
+  private async serve(message: IncomingMessage, context: ReadContext, clientResponse: HttpClientResponse, signal: AbortSignal): Promise<void> {
     const request = await readRequest(message, context)
     if (request?.isOk())
-      await this.handler.serve(request.value, answer, signal)
+      await this.handler.serve(request.value, clientResponse, signal)
     else if (request?.isErr())
-      answer.reject(request.error)
+      clientResponse.reject(request.error)
   }
 
-  private handleInternalError(error: unknown, answer: HttpClientResponse): void {
+  private handleInternalError(error: unknown, clientResponse: HttpClientResponse): void {
     const stack = error instanceof Error ? error.stack : undefined
     this.log.write('internal-error', { error: stack ?? formatError(error) })
-    if (answer.started)
-      answer.cutOff()
+    if (clientResponse.started)
+      clientResponse.cutOff()
     else
-      answer.fail(createError(ErrorKind.Internal, 'internal error of the gateway'))
+      clientResponse.fail(createError(ErrorKind.Internal, 'internal error of the gateway'))
   }
 
   /** Responds to data that is not valid HTTP, or to a request head that timed out. */
@@ -137,13 +137,13 @@
 
 /** A signal that is aborted when the client disconnects before the response is complete. */
 function createDisconnectSignal(response: ServerResponse): AbortSignal {
-  const leaving = new AbortController()
+  const disconnect = new AbortController()
   response.on('close', () => {
     if (!response.writableFinished)
-      leaving.abort()
+      disconnect.abort()
   })
-  response.on('error', () => leaving.abort())
-  return leaving.signal
+  response.on('error', () => disconnect.abort())
+  return disconnect.signal
 }
 
 function statusOfParseError(error: Error): string {
--- a/packages/gateway/src/connection/clients/request-reader.ts
+++ b/packages/gateway/src/connection/clients/request-reader.ts
@@ -36,7 +36,7 @@
   limits: ClientLimits
   /** Whether new requests are rejected because this gateway is about to close. */
   refusing: boolean
-  /** When the head was read, in milliseconds of the process clock. */
+  /** When the head was read, in milliseconds of the monotonic clock. */
   arrivedAt: number
 }
 
--- a/packages/gateway/src/connection/peers/crash-exchange.ts
+++ b/packages/gateway/src/connection/peers/crash-exchange.ts
@@ -8,7 +8,7 @@
 export const crashReportsSchema = z.object({
   crashes: z.array(z.object({
     fingerprint: z.string(),
-    /** Process of the backend server that crashed (`life`). */
+    /** Incarnation of the backend server that crashed. */
     backend: z.string(),
     /** Epoch milliseconds. */
     at: z.number(),
--- a/packages/gateway/src/connection/peers/peer-clients.ts
+++ b/packages/gateway/src/connection/peers/peer-clients.ts
@@ -15,7 +15,7 @@
 import { Agent } from 'undici'
 import { decodeHeartbeatReply, decodeListedBackends, decodePreparationReply, encodeHeartbeat, encodePreparationRequest } from './peer-messages.js'
 
-/** Timeout for establishing a connection. At 150 ms, busy gateways are suspected; at 600 ms, dead ones are detected late. */
+/** Timeout for establishing a connection. Long enough for a busy gateway; delays the detection of a dead one. */
 const CONNECT_TIMEOUT_MS = 300
 /**
  * How long an idle connection is kept. Longer than the interval between
@@ -23,8 +23,8 @@
  */
 const IDLE_TIMEOUT_MS = 10_000
 /**
- * Timeout of a heartbeat. At 225 ms, busy gateways are suspected; at 900 ms,
- * frozen ones are detected late.
+ * Timeout of a heartbeat. Long enough for a busy gateway; delays the detection of a
+ * frozen one.
  */
 const HEARTBEAT_TIMEOUT_MS = 450
 /**
--- a/packages/gateway/src/connection/peers/peer-handler.ts
+++ b/packages/gateway/src/connection/peers/peer-handler.ts
@@ -27,16 +27,16 @@
 
 /** Creates the request listener of the server for peers. */
 export function createPeerHandler(router: AnyTRPCRouter): RequestListener {
-  return (message, response) => void answer(router, message, response)
+  return (message, response) => void handleCall(router, message, response)
 }
 
-async function answer(router: AnyTRPCRouter, message: IncomingMessage, response: ServerResponse): Promise<void> {
+async function handleCall(router: AnyTRPCRouter, message: IncomingMessage, response: ServerResponse): Promise<void> {
   const call = describeCall(message)
-  const leaving = new AbortController()
-  response.on('close', () => response.writableFinished || leaving.abort())
+  const disconnect = new AbortController()
+  response.on('close', () => response.writableFinished || disconnect.abort())
   try {
     const getRawInput = (): Promise<unknown> => readInput(message)
-    const data = await callTRPCProcedure({ router, ...call, ctx: {}, getRawInput, signal: leaving.signal, batchIndex: 0 })
+    const data = await callTRPCProcedure({ router, ...call, ctx: {}, getRawInput, signal: disconnect.signal, batchIndex: 0 })
     write(response, 200, { result: { data } })
   }
   catch (cause) {
--- a/packages/gateway/src/process/backend-list.ts
+++ b/packages/gateway/src/process/backend-list.ts
@@ -14,9 +14,9 @@
 import type { BackendRegistry } from './backend-registry.js'
 import type { BackendSink, SourceOutage } from './platform-adapter.js'
 import type { PreviousList } from './stale-entry-filter.js'
-import { lifeOf } from '../connection/backends/backend.js'
+import { incarnationOf } from '../connection/backends/backend.js'
 import { GatewayLog } from './gateway-log.js'
-import { decidePeerLapseGrace } from './lapse-grace.js'
+import { decidePeerRemovalGrace } from './removal-grace.js'
 import { StaleEntryFilter } from './stale-entry-filter.js'
 
 /**
@@ -168,8 +168,8 @@
 
   /** Current entries that a whole list no longer contains. */
   private entriesMissingFrom(entries: readonly ListedBackend[]): ListedBackend[] {
-    const listed = new Set(entries.map(({ record }) => lifeOf(record)))
-    return [...this.entries.values()].filter(({ record }) => !listed.has(lifeOf(record)))
+    const listed = new Set(entries.map(({ record }) => incarnationOf(record)))
+    return [...this.entries.values()].filter(({ record }) => !listed.has(incarnationOf(record)))
   }
 
   private setEntry(entry: ListedBackend): void {
@@ -182,7 +182,7 @@
   }
 
   private unlistWithPeerGrace(id: string, peerGraceMs: number | undefined): void {
-    this.registry.unlistAfterGrace(id, decidePeerLapseGrace({ peerGraceMs, isSourceUnavailable: this.sourceUnavailable }))
+    this.registry.unlistAfterGrace(id, decidePeerRemovalGrace({ peerGraceMs, isSourceUnavailable: this.sourceUnavailable }))
   }
 
   private recordPeerRead(revision: number, peer: Member): void {
--- a/packages/gateway/src/process/backend-registry.ts
+++ b/packages/gateway/src/process/backend-registry.ts
@@ -7,10 +7,10 @@
 import type { EventLog } from '@eidermast/common'
 import type { BackendRecord, LapsingBackend } from '../connection/backends/backend.js'
 import type { SourceOutage } from './platform-adapter.js'
-import { Backend, lifeOf } from '../connection/backends/backend.js'
+import { Backend, incarnationOf } from '../connection/backends/backend.js'
 import { GatewayLog } from './gateway-log.js'
 import { IntakeCache } from './intake/intake-cache.js'
-import { decideLapseGrace } from './lapse-grace.js'
+import { decideRemovalGrace } from './removal-grace.js'
 
 /** Callbacks for changes of the registry. */
 export interface BackendListener {
@@ -98,7 +98,7 @@
   /** The source responds again after an outage, during which entries may have expired. */
   handleSourceRecovery(outage: SourceOutage): void {
     this.lastOutage = outage
-    this.graceUntil = performance.now() + decideLapseGrace(outage)
+    this.graceUntil = performance.now() + decideRemovalGrace(outage)
   }
 
   /** Adds a backend server or updates its record. */
@@ -123,7 +123,7 @@
       return this.remove(id, 'list entry was removed')
     if (this.pendingRemovals.has(id))
       return
-    this.log.backendLapsed(id, graceMs, this.lastOutage)
+    this.log.backendEntryExpired(id, graceMs, this.lastOutage)
     const timer = setTimeout(() => this.remove(id, 'list entry expired and was not renewed'), graceMs)
     this.pendingRemovals.set(id, { timer: timer.unref(), dueAt: performance.now() + graceMs })
   }
@@ -131,7 +131,7 @@
   /** Backend servers whose entries have expired and that still get work for a grace period. */
   get lapsing(): LapsingBackend[] {
     const now = performance.now()
-    return [...this.pendingRemovals].map(([id, { dueAt: at }]) => ({ id, remainingMs: at - now }))
+    return [...this.pendingRemovals].map(([id, { dueAt }]) => ({ id, remainingMs: dueAt - now }))
   }
 
   /** Removes a backend server immediately; it gets no further work. */
@@ -203,7 +203,7 @@
   }
 
   private add(record: BackendRecord): void {
-    const backend = new Backend(record, this.intakeCache.take(lifeOf(record)))
+    const backend = new Backend(record, this.intakeCache.take(incarnationOf(record)))
     backend.evacuated = this.evacuated.has(backend.failureDomain)
     this.byId.set(record.id, backend)
     this.backendsOf(record.service).add(backend)
--- a/packages/gateway/src/process/call-reporter.ts
+++ b/packages/gateway/src/process/call-reporter.ts
@@ -7,12 +7,12 @@
 
 /**
  * Wait for a connection, in milliseconds, above which a call is logged. Well
- * above the time to open a connection, and well below the two seconds after
- * which a leaving backend server may get no more work.
+ * above the time to open a connection, and well below the two seconds for which a
+ * leaving backend server may still get work.
  */
 const LATE_CALL_THRESHOLD_MS = 300
 
-/** Counts calls and logs those that are delayed or turned away. */
+/** Counts calls and logs those that are delayed or rejected. */
 export class CallReporter implements CallObserver {
   constructor(private readonly metrics: GatewayMetrics, private readonly log: GatewayLog) {}
 
@@ -27,7 +27,7 @@
   }
 
   rejected(start: CallStart): void {
-    this.metrics.countTurnedAway()
-    this.log.workTurnedAway(start)
+    this.metrics.countRejectedCall()
+    this.log.workRejected(start)
   }
 }
--- a/packages/gateway/src/process/coordinator-outage-watch.ts
+++ b/packages/gateway/src/process/coordinator-outage-watch.ts
@@ -2,7 +2,7 @@
  * Decides when this gateway restarts its pending reads of the platform's store
  * because the coordinator's reads have failed.
  *
- * Inputs: whether the first coordinator reports, in its heartbeat replies, that
+ * Inputs: whether the overall coordinator reports, in its heartbeat replies, that
  * its source of backend servers does not respond (at most one heartbeat old).
  * Rule: restart the reads once each time the coordinator starts to report it.
  * Why: a read on a lost connection gives no error, and gateways that get updates
@@ -22,7 +22,7 @@
   /** `restartReads` restarts the pending reads. */
   constructor(private readonly restartReads: () => void) {}
 
-  /** Handles a heartbeat reply of the first coordinator. */
+  /** Handles a heartbeat reply of the overall coordinator. */
   handleReply(coordinator: string, isSourceUnavailable: boolean): void {
     const isNew = isSourceUnavailable && this.reportedBy !== coordinator
     this.reportedBy = isSourceUnavailable ? coordinator : undefined
--- a/packages/gateway/src/process/crashes/crash-detector.ts
+++ b/packages/gateway/src/process/crashes/crash-detector.ts
@@ -1,7 +1,7 @@
 /**
  * Detects which backend servers crashed while running requests, and which
  * requests those were. Keeps the fingerprints of broken calls per backend server,
- * in memory, until it is known whether the process is gone.
+ * in memory, until it is known whether the process has ended.
  */
 import type { Backend } from '../../connection/backends/backend.js'
 import type { CheckPresence } from '../../connection/backends/presence-check.js'
@@ -43,27 +43,27 @@
 /** Checks backend servers whose calls broke. */
 export class CrashDetector {
   /** Pending checks by backend server. */
-  private readonly underWay = new Map<Backend, Investigation>()
+  private readonly investigations = new Map<Backend, Investigation>()
 
   constructor(private readonly deps: CrashDetectorDependencies) {}
 
   /** Records a broken call; resolves when it is known whether the backend server crashed. */
   noteBroken(backend: Backend, fingerprint: string): Promise<void> {
-    const pending = this.underWay.get(backend)
+    const pending = this.investigations.get(backend)
     if (pending) {
       pending.fingerprints.add(fingerprint)
       return pending.completion
     }
     const fingerprints = new Set([fingerprint])
     const completion = this.investigate(backend, fingerprints)
-    this.underWay.set(backend, { fingerprints, completion })
+    this.investigations.set(backend, { fingerprints, completion })
     return completion
   }
 
   private async investigate(backend: Backend, broken: ReadonlySet<string>): Promise<void> {
     await wait(COLLECTION_WINDOW_MS)
     const presence = await this.checkRepeatedly(backend)
-    this.underWay.delete(backend)
+    this.investigations.delete(backend)
     const fingerprints = [...broken]
     this.deps.log.backendChecked(backend.record, presence, fingerprints)
     if (presence === Presence.Gone)
--- a/packages/gateway/src/process/crashes/crash-history.ts
+++ b/packages/gateway/src/process/crashes/crash-history.ts
@@ -23,7 +23,7 @@
 
 /** What is known about one fingerprint. */
 interface Entry {
-  /** Keyed by the incarnation of the backend server (`Backend.life`). */
+  /** Keyed by the incarnation of the backend server (`Backend.incarnation`). */
   crashes: Map<string, CrashReport>
   answeredAt?: number
 }
--- a/packages/gateway/src/process/crashes/crash-report.ts
+++ b/packages/gateway/src/process/crashes/crash-report.ts
@@ -9,7 +9,7 @@
 /** A backend server crashed while running a request. */
 export interface CrashReport {
   fingerprint: string
-  /** The incarnation of the backend server that crashed (`Backend.life`). */
+  /** The incarnation of the backend server that crashed (`Backend.incarnation`). */
   backend: string
   at: number
   /** Name of the gateway that observed the crash. */
--- a/packages/gateway/src/process/crashes/crash-tracker.ts
+++ b/packages/gateway/src/process/crashes/crash-tracker.ts
@@ -42,7 +42,7 @@
   detector: Pick<CrashMonitor, 'noteBroken'>
   /**
    * Whether this gateway restores reports of other gateways that the ledger has
-   * lost. One gateway does, since reports of gateways that are gone would
+   * lost. One gateway does, since reports of gateways that have ended would
    * otherwise stay lost.
    */
   restoresOthers: () => boolean
@@ -105,7 +105,7 @@
   /** Records a crash of a backend server with requests in flight. */
   noteCrash({ backend, fingerprints }: BackendCrash): void {
     const at = this.now()
-    this.recordReports({ crashes: fingerprints.map(fingerprint => ({ fingerprint, backend: backend.life, at, gateway: this.deps.name })), answers: [] })
+    this.recordReports({ crashes: fingerprints.map(fingerprint => ({ fingerprint, backend: backend.incarnation, at, gateway: this.deps.name })), answers: [] })
   }
 
   replaceAll(byOwner: ReadonlyMap<string, CrashReports>): void {
--- a/packages/gateway/src/process/crashes/quarantine.ts
+++ b/packages/gateway/src/process/crashes/quarantine.ts
@@ -21,9 +21,9 @@
 import type { CrashReport } from './crash-report.js'
 
 /**
- * Crashes for a quarantine. One fewer would refuse a client's retry of a request
- * that was present at two crashes by chance; each additional one costs a backend
- * server, with all its requests, for some seconds.
+ * Crashes for a quarantine. A request may be present at two crashes by chance, and
+ * its client's retry must not be refused; each crash costs a backend server, with
+ * all its requests, for some seconds.
  */
 const MIN_QUARANTINE_CRASHES = 3
 /**
--- a/packages/gateway/src/process/drain/drain-plan.ts
+++ b/packages/gateway/src/process/drain/drain-plan.ts
@@ -22,9 +22,8 @@
 /**
  * Time from SIGTERM during which new requests are served: two missed checks of
  * the load balancer, one a second (the platform's protocol, section on ingress),
- * and 300 ms for the signal (up to 126 ms late) and a new connection. Half
- * refuses requests that were just sent here; twice as much leaves little of the
- * grace period.
+ * and 300 ms for the signal (up to 126 ms late) and a new connection. Requests that
+ * were just sent here are not refused, and most of the grace period is left.
  */
 export const DRAIN_SERVE_MS = 2300
 
@@ -37,12 +36,12 @@
 
 /**
  * Time from SIGTERM after which the listener closes. Until then, a late request
- * gets a refusal that it may retry elsewhere instead of a refused connection.
- * Half leaves no time for refusals; twice as much delays the restart.
+ * gets a refusal, after which its client may retry it elsewhere, instead of a
+ * refused connection. Delays the restart of an idle gateway.
  */
 export const DRAIN_CLOSE_MS = 2700
 
-/** Half may lose the last log lines to SIGKILL; twice as much cuts off requests that could be answered. */
+/** Time to write the last log lines before SIGKILL; requests that are still unanswered are cut off this much earlier. */
 const END_MARGIN_MS = 400
 
 /** The steps of a shutdown, in order. */
--- a/packages/gateway/src/process/gateway-log.ts
+++ b/packages/gateway/src/process/gateway-log.ts
@@ -33,9 +33,9 @@
     this.log.write('stop', { active, graceMs })
   }
 
-  /** Wall clock advanced by `awayMs` more than the monotonic clock: the VM was suspended, or its clock was set. */
-  woke(awayMs: number): void {
-    this.log.write('woke', { awayMs: Math.round(awayMs) })
+  /** The wall clock advanced by `suspendedMs` more than the monotonic clock: the VM was suspended, or its clock was set. */
+  resumed(suspendedMs: number): void {
+    this.log.write('woke', { awayMs: Math.round(suspendedMs) })
   }
 
   stopped(active: number, tookMs: number): void {
@@ -119,9 +119,9 @@
     this.log.write('backend-leaving', { backend: id, service, source, listedAsDraining: draining })
   }
 
-  /** A backend server rejected a request and asked this process to pause for `restMs` milliseconds. */
-  backendRequestedPause({ id, service }: Backend, restMs: number): void {
-    this.log.write('backend-rest', { backend: id, service, restMs: Math.round(restMs) })
+  /** A backend server rejected a request and asked this process to send none for `backoffMs` milliseconds. */
+  backendRequestedBackoff({ id, service }: Backend, backoffMs: number): void {
+    this.log.write('backend-rest', { backend: id, service, restMs: Math.round(backoffMs) })
   }
 
   /** A backend server started or stopped draining, at most `noticedWithinMs` milliseconds ago. */
@@ -130,7 +130,7 @@
   }
 
   /** An entry was removed after an outage of the list's source; its backend server is used for `usedForMs` milliseconds more. */
-  backendLapsed(backend: string, usedForMs: number, outage: SourceOutage | undefined): void {
+  backendEntryExpired(backend: string, usedForMs: number, outage: SourceOutage | undefined): void {
     this.log.write('backend-lapsed', {
       backend,
       usedForMs: Math.round(usedForMs),
@@ -140,7 +140,7 @@
     })
   }
 
-  /** Calls to a backend server broke off, and its process was probed; `fingerprints` identifies the requests. */
+  /** Calls to a backend server broke, and its presence was checked; `fingerprints` identifies the requests. */
   backendChecked({ id, service }: BackendRecord, presence: Presence, fingerprints: readonly string[]): void {
     this.log.write('backend-checked', { backend: id, service, presence, fingerprints: fingerprints.join(',') })
   }
@@ -151,7 +151,7 @@
   }
 
   /** A call that was waiting for a connection was not sent: its backend server is leaving, was removed, or accepts no requests at present. */
-  workTurnedAway({ backend, waitedMs }: CallStart): void {
+  workRejected({ backend, waitedMs }: CallStart): void {
     const { id, service, record, removed, intake } = backend
     this.log.write('work-turned-away', {
       backend: id,
@@ -161,7 +161,7 @@
       saidLeaving: intake.isLeaving,
       removed,
       limitPerSecond: intake.limitPerSecond,
-      restMs: Math.round(intake.restMs(performance.now())),
+      restMs: Math.round(intake.backoffMs(performance.now())),
     })
   }
 
--- a/packages/gateway/src/process/gateway-share.ts
+++ b/packages/gateway/src/process/gateway-share.ts
@@ -20,7 +20,7 @@
  * `eidermast_gateway_members` shows it.
  */
 
-/** Gateways that may be running but not listed yet. With 0 such a gateway exceeds the limit; with 2 each share is smaller than needed. */
+/** Gateways that may be running but not listed yet. Their share is reserved, at the cost of smaller shares for all others. */
 const UNLISTED_GATEWAYS = 1
 
 /** Number of gateways by which a deployment-wide limit is divided. */
--- a/packages/gateway/src/process/gateway.ts
+++ b/packages/gateway/src/process/gateway.ts
@@ -75,7 +75,7 @@
   private readonly readiness: Readiness
   private readonly internalServers = new InternalServers()
   private readonly coordinatorOutages = new CoordinatorOutageWatch(() => this.platform.restartReads())
-  private readonly suspensionDetector = new SuspensionDetector(awayMs => this.handleResume(awayMs))
+  private readonly suspensionDetector = new SuspensionDetector(suspendedMs => this.handleResume(suspendedMs))
   /** Aborts everything that follows the platform. */
   private readonly shutdown = new AbortController()
   private stopping = false
@@ -183,13 +183,13 @@
   }
 
   private createConnections(): BackendConnections {
-    const reports = new CallReporter(this.metrics, this.gatewayLog)
-    return new BackendConnections(service => this.sharedLimits.connections(service), reports, this.intakes)
+    const reporter = new CallReporter(this.metrics, this.gatewayLog)
+    return new BackendConnections(service => this.sharedLimits.connections(service), reporter, this.intakes)
   }
 
   /** The process may have been suspended: its state may be stale, and peers may have made decisions meanwhile. */
-  private handleResume(awayMs: number): void {
-    this.gatewayLog.woke(awayMs)
+  private handleResume(suspendedMs: number): void {
+    this.gatewayLog.resumed(suspendedMs)
     this.platform.restartReads()
     this.members.restartDiscovery()
   }
--- a/packages/gateway/src/process/intake/backend-intakes.ts
+++ b/packages/gateway/src/process/intake/backend-intakes.ts
@@ -3,8 +3,8 @@
  * backend server, according to the flow control of the backend server.
  *
  * Inputs: the headers of its responses to this process, and what peers report of
- * them (rate limit, leaving), as of now; the turns of `slotted-rate-limiter.ts`.
- * Rule: none during a back-off, nor before this gateway's turn if there is a rate
+ * them (rate limit, leaving), as of now; the slots of `slotted-rate-limiter.ts`.
+ * Rule: none during a back-off, nor before this gateway's next slot if there is a rate
  * limit; none at all once the backend server has announced that it is leaving, in
  * which case the registry no longer counts it. A back-off applies only to the
  * gateway that it was requested from. Probes and reports are always allowed,
@@ -26,7 +26,7 @@
 import { LimitExchange } from './limit-exchange.js'
 
 /** Source in the log for responses to this process. */
-const OWN_ANSWER_SOURCE = 'answer'
+const OWN_RESPONSE_SOURCE = 'answer'
 
 /** The gate for requests to all backend servers. */
 export class BackendIntakes implements IntakeGate {
@@ -46,7 +46,7 @@
   }
 
   waitMs(backend: Backend): number {
-    return Math.max(backend.intake.restMs(performance.now()), this.rateLimiter.waitMs(backend))
+    return Math.max(backend.intake.backoffMs(performance.now()), this.rateLimiter.waitMs(backend))
   }
 
   recordSent({ intake }: Backend): void {
@@ -58,11 +58,11 @@
     this.updateLimit(backend, notice, head)
     if (notice.isLeaving && backend.intake.markLeaving()) {
       this.leavingExchange.note(backend)
-      this.handleLeaving(backend, OWN_ANSWER_SOURCE)
+      this.handleLeaving(backend, OWN_RESPONSE_SOURCE)
     }
-    if (notice.restMs !== undefined) {
-      backend.intake.startBackoff(notice.restMs, performance.now())
-      this.log.backendRequestedPause(backend, notice.restMs)
+    if (notice.backoffMs !== undefined) {
+      backend.intake.startBackoff(notice.backoffMs, performance.now())
+      this.log.backendRequestedBackoff(backend, notice.backoffMs)
     }
   }
 
@@ -76,6 +76,6 @@
     if (!backend.intake.updateLimit(notice, head, performance.now()))
       return
     this.limitExchange.note(backend)
-    this.log.backendLimitChanged(backend, previous, OWN_ANSWER_SOURCE)
+    this.log.backendLimitChanged(backend, previous, OWN_RESPONSE_SOURCE)
   }
 }
--- a/packages/gateway/src/process/intake/leaving-exchange.ts
+++ b/packages/gateway/src/process/intake/leaving-exchange.ts
@@ -1,9 +1,9 @@
 /**
  * Shares between gateways, in heartbeats, which backend servers announced in a
- * response that they are leaving before the platform's list shows it, so that a
- * response to one gateway stops all of them from sending requests there. Owns
- * these until the list shows it as well, in memory; a gateway that starts learns
- * of them from its first peer.
+ * response that they are leaving, before the platform's list shows it. After a
+ * response to one gateway, none of them sends requests there. Keeps these backend
+ * servers in memory until the list shows it as well; a gateway that starts learns
+ * of them from the first peer that it exchanges heartbeats with.
  */
 import type { Backend } from '../../connection/backends/backend.js'
 import type { LeavingMessage } from '../../connection/peers/intake-message.js'
@@ -34,14 +34,14 @@
         this.leaving.delete(backend)
     }
     const reported = [...this.leaving].slice(-MAX_REPORTED_BACKENDS)
-    return reported.length > 0 ? reported.map(({ id, life }) => ({ backend: id, life })) : undefined
+    return reported.length > 0 ? reported.map(({ id, incarnation }) => ({ backend: id, life: incarnation })) : undefined
   }
 
   /** Applies the reports of a peer. */
   receive(messages: readonly LeavingMessage[], peer: string): void {
     for (const { backend: id, life } of messages) {
       const backend = this.registry.find(id)
-      if (backend?.life !== life || !backend.intake.markLeaving())
+      if (backend?.incarnation !== life || !backend.intake.markLeaving())
         continue
       this.note(backend)
       this.onLeaving(backend, peer)
--- a/packages/gateway/src/process/intake/limit-exchange.ts
+++ b/packages/gateway/src/process/intake/limit-exchange.ts
@@ -27,8 +27,8 @@
 
   /** Records a change of the limit of a backend server. */
   note(backend: Backend): void {
-    this.recentlyChanged.delete(backend.life)
-    this.recentlyChanged.set(backend.life, backend)
+    this.recentlyChanged.delete(backend.incarnation)
+    this.recentlyChanged.set(backend.incarnation, backend)
   }
 
   /** Returns the reports for peers; undefined if no limit changed recently, which is the usual case. */
@@ -41,7 +41,7 @@
   receive(messages: readonly LimitMessage[], peer: string, now: number): void {
     for (const message of messages) {
       const backend = this.registry.find(message.backend)
-      if (backend?.life !== message.life)
+      if (backend?.incarnation !== message.life)
         continue
       const previous = backend.intake.limitPerSecond
       if (!backend.intake.mergeReportedLimit(message, now))
@@ -54,8 +54,8 @@
   private toMessage(backend: Backend, now: number): LimitMessage[] {
     const reported = backend.intake.reportLimit(now)
     if (reported && reported.ageMs < REPORTED_FOR_MS)
-      return [{ backend: backend.id, life: backend.life, ...reported }]
-    this.recentlyChanged.delete(backend.life)
+      return [{ backend: backend.id, life: backend.incarnation, ...reported }]
+    this.recentlyChanged.delete(backend.incarnation)
     return []
   }
 }
--- a/packages/gateway/src/process/keyed-topic.ts
+++ b/packages/gateway/src/process/keyed-topic.ts
@@ -28,14 +28,14 @@
 }
 
 /** A read failed because the store has deleted the requested records. */
-export class HistoryGoneError extends Error {
+export class HistoryDeletedError extends Error {
   constructor(message: string) {
     super(message)
-    this.name = 'HistoryGoneError'
+    this.name = 'HistoryDeletedError'
   }
 }
 
-/** Reads topics. Calls reject if the store does not respond, and with a `HistoryGoneError` if it has deleted the records. */
+/** Reads topics. Calls reject if the store does not respond, and with a `HistoryDeletedError` if it has deleted the records. */
 export interface TopicReader {
   readLatest: (topic: string) => Promise<TopicSnapshot>
   /** Reads records from an offset; waits up to `waitMs` milliseconds for the first one. */
--- a/packages/gateway/src/process/membership/failure-detection.ts
+++ b/packages/gateway/src/process/membership/failure-detection.ts
@@ -2,7 +2,7 @@
  * Decides when this process considers a gateway failed. Peers do not report
  * failures of other gateways.
  *
- * Inputs: milliseconds since the member last answered a heartbeat (process clock,
+ * Inputs: milliseconds since the member last answered a heartbeat (monotonic clock,
  * at most one tick old), and how late this process's own tick is.
  * Rule: a member has failed if it has not answered for FAILED_AFTER_MS. Time
  * during which this process itself was paused does not count.
@@ -15,19 +15,19 @@
  * Log events: `member-failed`, `member-recovered`.
  */
 
-/** Interval of heartbeats to a member. With twice as much, one lost heartbeat takes half of FAILED_AFTER_MS. */
+/** Interval of heartbeats to a member. A small part of FAILED_AFTER_MS, so that one lost heartbeat uses up little of it. */
 export const HEARTBEAT_INTERVAL_MS = 150
 
 /**
- * With half, two lost heartbeats count as a failure; with twice as much, stage
- * work waits longer for a new coordinator.
+ * Long enough that two lost heartbeats are no failure; stage work waits this long
+ * for a new coordinator.
  */
 const FAILED_AFTER_MS = 600
 
 /**
  * Time between two ticks from which on the process counts as paused for the whole
- * interval. With half, every tick looks late; with twice as much, a pause of
- * nearly FAILED_AFTER_MS counts as silence of the peers.
+ * interval. Above the usual time between ticks, and below FAILED_AFTER_MS, so that
+ * a pause of nearly that length does not count as silence of the peers.
  */
 const LATE_TICK_MS = 2 * HEARTBEAT_INTERVAL_MS
 
--- a/packages/gateway/src/process/membership/heartbeat-targets.ts
+++ b/packages/gateway/src/process/membership/heartbeat-targets.ts
@@ -13,9 +13,9 @@
  * and none while MAX_PENDING_HEARTBEATS are unanswered.
  * Why: a gateway depends only on the coordinator and its successor, so that the
  * cost does not grow with the number of gateways. The successor is monitored
- * before it is needed: if it had last been heard from at the start, it would
- * count as failed just when it becomes coordinator. A coordinator that becomes
- * slow can also hand over at once.
+ * before it is needed: if its last reply dated from the start, it would count as
+ * failed just when it becomes coordinator. A coordinator that becomes slow can
+ * also hand over at once.
  * Log event: none; the effects are logged as `member-failed` and
  * `member-recovered`.
  */
@@ -23,9 +23,9 @@
 import { hasFailed, HEARTBEAT_INTERVAL_MS } from './failure-detection.js'
 
 /**
- * Members never heard from that are probed at a time. With two, one that does not
- * answer delays finding the successor by 0.45 s; with twice as many, a starting
- * process opens more connections.
+ * Members probed for the first time at once. Several, because a probe without an
+ * answer takes 0.45 s, by which it would delay finding the successor; few, because
+ * a starting process opens a connection for each.
  */
 const MIN_CONCURRENT_PROBES = 4
 
@@ -34,25 +34,26 @@
 
 /**
  * Interval of heartbeats to shard coordinators and their successors, of which
- * there are several with less depending on each. Half doubles the heartbeats;
- * with twice as much, a frozen one is detected only after 1.8 s.
+ * there are several with less depending on each. Longer than
+ * HEARTBEAT_INTERVAL_MS, to send fewer heartbeats; a frozen one is still detected
+ * after 0.9 s.
  */
 const SHARD_HEARTBEAT_INTERVAL_MS = 300
 
 /**
  * Unanswered heartbeats to one member at a time. A reply is awaited for at most
- * 450 ms, three intervals; with a limit of one, a single lost heartbeat takes
- * most of the time after which a member counts as failed.
+ * 450 ms, three intervals. Further heartbeats are sent meanwhile, so that a single
+ * lost one does not use up most of the time after which a member counts as failed.
  */
 const MAX_PENDING_HEARTBEATS = 4
 
-/** Interval of heartbeats to a failed member. A longer one delays the use of a recovered member by as much. */
+/** Interval of heartbeats to a failed member. Delays the use of a recovered member by at most this much. */
 const FAILED_HEARTBEAT_INTERVAL_MS = 500
 
 /**
  * Fraction of the interval after which a heartbeat is due, because timers may
- * fire early. At 1 an early tick would skip a heartbeat; at half, failed members
- * would get more of them.
+ * fire early: an early tick must not skip a heartbeat. Close to 1, so that failed
+ * members do not get more of them than intended.
  */
 const DUE_FRACTION = 0.9
 
--- a/packages/gateway/src/process/membership/member-state.ts
+++ b/packages/gateway/src/process/membership/member-state.ts
@@ -6,7 +6,7 @@
 import type { Member } from '../../connection/peers/member.js'
 import type { ListedMember } from '../platform-adapter.js'
 
-/** One gateway, with its rank criteria and contact state. Times are on the process clock, in milliseconds. */
+/** One gateway, with its rank criteria and contact state. Times are on the monotonic clock, in milliseconds. */
 export interface MemberState {
   readonly member: Member
   /**
@@ -26,9 +26,9 @@
   probed: boolean
   /** Whether it is shutting down and no longer coordinates. */
   stopping: boolean
-  /** Whether it is short of processor time and coordinates only if no other member can. */
+  /** Whether it is short of CPU time and coordinates only if no other member can. */
   slow: boolean
-  /** Whether it was alive when a tick last checked it. */
+  /** Whether it counts as alive, as of the last tick, reply or failed call. */
   alive: boolean
 }
 
--- a/packages/gateway/src/process/membership/members.ts
+++ b/packages/gateway/src/process/membership/members.ts
@@ -5,7 +5,7 @@
  * heartbeats (`peer-monitor.ts`).
  *
  * Owns the member states, in memory. After a restart the process reads the
- * directory again, and sends heartbeats before it uses any member. The election
+ * directory again, and uses no other member before it has answered a heartbeat. The election
  * rule is in `coordinator-election.ts`, the shards are in
  * `shard-coordinators.ts`.
  */
@@ -35,7 +35,7 @@
   private readonly log: GatewayLog
   private timer: NodeJS.Timeout | undefined
   /** Cached `place`; undefined after members were listed or removed. */
-  private cachedPlace: number | undefined
+  private cachedIndex: number | undefined
   /** Whether members were listed or removed since the last ranking. */
   private rankingPending = false
 
@@ -83,9 +83,9 @@
   }
 
   /** Index of this process among the members sorted by name. All processes with the same list agree on it. */
-  get place(): number {
-    this.cachedPlace ??= [...this.states.keys()].filter(name => name < this.self.name).length
-    return this.cachedPlace
+  get index(): number {
+    this.cachedIndex ??= [...this.states.keys()].filter(name => name < this.self.name).length
+    return this.cachedIndex
   }
 
   /**
@@ -128,7 +128,7 @@
     return !this.isCoordinator
   }
 
-  /** Whether this process is short of processor time and coordinates only if no other member can. */
+  /** Whether this process is short of CPU time and coordinates only if no other member can. */
   get isSelfSlow(): boolean {
     return this.states.get(this.self.name)?.slow ?? false
   }
@@ -149,7 +149,7 @@
     return this.ranked.some(state => !state.isSelf && state.alive && !state.stopping)
   }
 
-  /** Resolves when this process has heard from enough peers to know the coordinator (see `peer-discovery.ts`). */
+  /** Resolves when enough peers have answered for this process to know the coordinator (see `peer-discovery.ts`). */
   whenPeersDiscovered(): Promise<void> {
     return this.peerMonitor.whenPeersDiscovered()
   }
@@ -169,7 +169,7 @@
     state.slow = state.isSelf && existing?.slow === true
     this.log.memberListed(state.member, state.announcementOrder)
     this.states.set(listed.name, state)
-    this.cachedPlace = undefined
+    this.cachedIndex = undefined
     this.shardCoordinators.noteListed(listed.name)
     this.scheduleRanking()
   }
@@ -185,7 +185,7 @@
     if (!state || state.isSelf)
       return
     this.states.delete(name)
-    this.cachedPlace = undefined
+    this.cachedIndex = undefined
     this.shardCoordinators.noteDeparted(state.member, performance.now())
     this.log.memberRemoved(name)
     this.scheduleRanking()
@@ -238,10 +238,9 @@
 
   /**
    * Ranks the members once for all changes of one directory read, then sends the
-   * heartbeats that are due. With a ranking for each change, the first list of 68
-   * gateways takes 16 ms of processor time in a starting process, and the next
-   * list, after all restarted, 40 ms; with a single one 3 ms and 0.7 ms (three
-   * processes each).
+   * heartbeats that are due. Ranking after each change cost a starting process 16 ms
+   * of CPU time for the first list of 68 gateways, and 40 ms for the next one after
+   * all had restarted, instead of 3 ms and 0.7 ms.
    */
   private scheduleRanking(): void {
     if (this.rankingPending)
--- a/packages/gateway/src/process/membership/peer-discovery.ts
+++ b/packages/gateway/src/process/membership/peer-discovery.ts
@@ -8,7 +8,7 @@
  * Rule: discovery is complete once the directory has been read and every
  * monitored member has answered or failed to, MAX_REPLY_WAIT_MS after that read,
  * or MAX_DIRECTORY_WAIT_MS after the start.
- * Why: a gateway that has heard from no peer considers itself the coordinator.
+ * Why: a gateway without a reply from any peer considers itself the coordinator.
  * When all gateways of a large deployment started together, each of 50
  * coordinated the first requests itself, with its own pools over the same stage
  * backend servers. For 2.5 s a fifth to nearly half of the stage calls came from
@@ -19,15 +19,15 @@
 
 /**
  * Time-out from the first read of the directory; equal to the time after which a
- * silent member counts as failed. Half is too short for VMs under start-up load;
- * twice as much delays requests when peers are frozen.
+ * silent member counts as failed. Long enough for VMs under start-up load, and
+ * limits the delay of requests when peers are frozen.
  */
 const MAX_REPLY_WAIT_MS = 600
 /**
  * Time-out from the start when the store does not answer. On a VM with a quarter
  * of a core, the directory is read 0.4 to 0.8 s after the first log line when all
- * gateways start together. Half would expire before that on smaller VMs; twice as
- * much makes requests miss their targets when the store is unavailable.
+ * gateways start together, and later on smaller VMs. Requests that wait much
+ * longer miss their targets when the store is unavailable.
  */
 const MAX_DIRECTORY_WAIT_MS = 1500
 
@@ -35,11 +35,11 @@
 export interface DiscoveryProgress {
   /** For each monitored member, whether it has answered a heartbeat or failed to. */
   probed: readonly boolean[]
-  /** Process clock, in milliseconds. */
+  /** Monotonic clock, in milliseconds. */
   now: number
 }
 
-/** Tracks the first contact of this process with its peers. Complete until started, and again until restarted. */
+/** Tracks the first contact of this process with its peers. Counts as complete before the start. */
 export class PeerDiscovery {
   private complete = true
   private startedAt = 0
@@ -51,7 +51,7 @@
     return this.complete
   }
 
-  /** Starts discovery when the process begins to send heartbeats. `now` is on the process clock, in milliseconds. */
+  /** Starts discovery when the process begins to send heartbeats. `now` is on the monotonic clock, in milliseconds. */
   start(now: number): void {
     this.complete = false
     this.startedAt = now
@@ -59,7 +59,7 @@
 
   /**
    * Starts discovery again after the process may have been suspended. `now` is on
-   * the process clock, in milliseconds.
+   * the monotonic clock, in milliseconds.
    */
   restart(now: number): void {
     if (this.directoryReadAt === undefined)
@@ -68,7 +68,7 @@
     this.directoryReadAt = now
   }
 
-  /** Records the first read of the directory. `now` is on the process clock, in milliseconds. */
+  /** Records the first read of the directory. `now` is on the monotonic clock, in milliseconds. */
   noteDirectoryRead(now: number): void {
     this.directoryReadAt ??= now
   }
--- a/packages/gateway/src/process/membership/peer-monitor.ts
+++ b/packages/gateway/src/process/membership/peer-monitor.ts
@@ -62,18 +62,18 @@
 
   /**
    * Starts the discovery when the process begins to send heartbeats. `now` is on
-   * the process clock, in milliseconds.
+   * the monotonic clock, in milliseconds.
    */
   start(now: number): void {
     this.discovery.start(now)
   }
 
-  /** Records a read of the directory. `now` is on the process clock, in milliseconds. */
+  /** Records a read of the directory. `now` is on the monotonic clock, in milliseconds. */
   noteDirectoryRead(now: number): void {
     this.discovery.noteDirectoryRead(now)
   }
 
-  /** Resolves when this process has heard from enough peers to know the coordinator. */
+  /** Resolves when enough peers have answered for this process to know the coordinator. */
   whenPeersDiscovered(): Promise<void> {
     return this.discovery.whenComplete()
   }
--- a/packages/gateway/src/process/membership/shard-coordinators.ts
+++ b/packages/gateway/src/process/membership/shard-coordinators.ts
@@ -15,7 +15,7 @@
 /** A gateway that left. */
 interface Departure {
   member: Member
-  /** Process clock, in milliseconds. */
+  /** Monotonic clock, in milliseconds. */
   at: number
 }
 
--- a/packages/gateway/src/process/membership/shard-plan.ts
+++ b/packages/gateway/src/process/membership/shard-plan.ts
@@ -9,7 +9,7 @@
  * has less than REFERENCE_CORE_SHARE of a core, the limit rises in proportion. A
  * single shard if any gateway does not report its failure domain.
  * Why: one large pool gives fuller batches and more even queues, so the work is
- * divided only when one coordinator lacks the processor time for it. The plan
+ * divided only when one coordinator lacks the CPU time for it. The plan
  * does not change when a few gateways join or leave. All gateways know the
  * failure domains alike, and results stay within them.
  * Log event: `stage-division`.
--- a/packages/gateway/src/process/membership/slowness.ts
+++ b/packages/gateway/src/process/membership/slowness.ts
@@ -8,7 +8,7 @@
  * the share is below REFERENCE_CORE_SHARE; for SLOW_HOLD_MS from the last such
  * tick. The lateness of a single tick is capped at MAX_LATENESS_RATIO times the
  * threshold.
- * Why: a process that is short of processor time still answers heartbeats, so
+ * Why: a process that is short of CPU time still answers heartbeats, so
  * that no peer considers it failed while all stage work waits for it. The
  * lateness of its ticks shows this before its calls are late. A single pause,
  * however long, is over when it is noticed; only repeated lateness means that the
@@ -18,9 +18,8 @@
  */
 
 /**
- * Reached by several late ticks in a row, not by a single one. With half, two
- * late ticks cause a handover; with twice as much, a coordinator that is half as
- * slow is kept.
+ * Reached by several late ticks in a row, not by a single one: a handover costs
+ * requests, but all stage work waits for a coordinator that stays slow.
  */
 const SLOW_LATENESS_MS = 40
 /**
@@ -31,15 +30,15 @@
 const REFERENCE_CORE_SHARE = 0.5
 /** Without a cap, one long pause would count as slowness. */
 const MAX_LATENESS_RATIO = 2.5
-/** Weight of the newest tick in the moving average, such that the third of three late ticks decides. */
+/** Weight of the newest tick in the moving average. Low, so that several ticks decide together. */
 const NEWEST_TICK_WEIGHT = 0.25
 /**
- * With half, the role returns to a process that is still slow twice as often;
- * with twice as much there is no cost if another gateway is as fast.
+ * Limits how often the role returns to a process that is still slow. Holding
+ * longer costs nothing as long as another gateway is as fast.
  */
 const SLOW_HOLD_MS = 30_000
 
-/** Tracks the lateness of this process's ticks. Times are on the process clock, in milliseconds. */
+/** Tracks the lateness of this process's ticks. Times are on the monotonic clock, in milliseconds. */
 export class SlownessDetector {
   private readonly slowLatenessMs: number
   private latenessMs = 0
--- a/packages/gateway/src/process/platform-adapter.ts
+++ b/packages/gateway/src/process/platform-adapter.ts
@@ -116,7 +116,7 @@
   applyReports: (owner: string, reports: CrashReports) => void
 }
 
-/** Shared store of the gateways' reports about requests that end backend servers. */
+/** Shared store of the gateways' reports about requests that crash backend servers. */
 export interface CrashLedger {
   /** Replaces the reports of a gateway. Tried once; rejects if the ledger did not accept them. */
   publish: (owner: string, reports: CrashReports) => Promise<void>
--- a/packages/gateway/src/process/read-wait.ts
+++ b/packages/gateway/src/process/read-wait.ts
@@ -39,28 +39,27 @@
   evacuationMs: number
 }
 
-/** Time added to a read's wait before the read is aborted. With half of it, reads that a slow store still answers are aborted. */
+/** Time added to a read's wait before the read is aborted, for a slow store to answer. */
 export const READ_MARGIN_MS = 700
 
 /**
  * Time for the first retry delay after a failure (`store-backoff.ts`) and the next
- * read. With half of it a change may take effect too late.
+ * read, so that a change hidden by the failed read takes effect in time.
  */
 const RETRY_AND_READ_MS = 400
 
 /**
  * Time until peers have the changes read by this gateway: one heartbeat, the
- * delay for their own reads, and a fetch. With half of it they may get them too late.
+ * delay for their own reads, and a fetch. Reserved so that they get them in time.
  */
 const PROPAGATION_MS = 400
 
-/** With half of it a gateway makes more than three calls per second if the bounds are tight. */
+/** Limits the calls to the store if the bounds are tight; with shorter waits, a gateway makes more than three per second. */
 const MIN_READ_WAIT_MS = 1000
 
 /**
- * Time between selecting a backend server and the arrival of the request there.
- * Half may be too little on a busy VM; twice drops a backend server earlier than
- * needed.
+ * Time between selecting a backend server and the arrival of the request there, on
+ * a busy VM. A backend server is dropped this much earlier, in case it has left.
  */
 const ARRIVAL_MARGIN_MS = 200
 
@@ -73,17 +72,17 @@
  * Pause per listed gateway. Each change wakes every waiting gateway, so without
  * a pause the calls in a busy minute grow with the square of the number of
  * gateways. With it, all gateways together make about 33 calls per second however
- * often the topic changes. Half makes twice as many calls; twice has no effect on
- * large sites, where the constants below limit the pause.
+ * often the topic changes, except on large sites, where the constants below limit
+ * the pause.
  */
 const PAUSE_PER_GATEWAY_MS = 30
 /**
- * On a site of 236 backend servers and 69 gateways there were 11,400 to 21,200
- * calls to the store per minute without a pause, and 3,400 to 7,400 with this one
- * (eight benchmark runs each).
+ * Collects several changes in one read. Without a pause, a site of 236 backend
+ * servers and 69 gateways made 11,400 to 21,200 calls to the store per minute; with
+ * this one, 3,400 to 7,400.
  */
 const MIN_PAUSE_MS = 1000
-/** Fraction of the drain bound. With all of it, a gateway that gets no updates from peers would be late. */
+/** Fraction of the drain bound; the rest is for the next read, in case updates from peers fail to arrive. */
 const MAX_PAUSE_FRACTION = 0.5
 
 /** Milliseconds to pause after a read of the backend server list that returned changes, so that further changes are read in one batch. */
@@ -95,9 +94,9 @@
 }
 
 /**
- * Gateways that start together then cost each other one read in total instead of
- * one per start. With 1500, gateways did not list each other within the second
- * that the tests of two gateways allow.
+ * Gateways that start together cost each other one read in total instead of one
+ * per start. Well below the second within which two gateways must list each
+ * other; with 1500 they did not.
  */
 const MIN_DIRECTORY_PAUSE_MS = 400
 /** Time after start-up during which the pause stays minimal: gateways that start together must soon agree on a coordinator. */
--- a/packages/gateway/src/process/lapse-grace.ts
+++ b/packages/gateway/src/process/removal-grace.ts
@@ -10,11 +10,11 @@
  * source is unavailable.
  * Rule: no grace period after an outage too short for entries to expire, unless
  * the list was restored from an older snapshot, which lacks recent writes.
- * Otherwise until LAPSE_GRACE_MS after the source responded again, but no longer
+ * Otherwise until REMOVAL_GRACE_MS after the source responded again, but no longer
  * than the platform allows, counted from the earliest possible recovery. For a
  * removal reported by a peer: as long as the peer. If the peer grants none and
  * this process's own source is unavailable, the peer's may have been so too
- * without it noticing: then PEER_LAPSE_GRACE_MS.
+ * without it noticing: then PEER_REMOVAL_GRACE_MS.
  * Why: backend servers renew their entries and cannot do so while the list is
  * unavailable, so a missing entry does not imply that its backend server is gone.
  * Without a grace period all of them would be removed at once. A grace period
@@ -28,25 +28,25 @@
  * Entries are renewed within two seconds of the list's recovery, and a backend
  * server that leaves keeps serving for at least as long.
  */
-const LAPSE_GRACE_MS = 1900
+const REMOVAL_GRACE_MS = 1900
 
 /**
  * A shorter outage cannot make an entry expire: entries are renewed about once
- * per second and may miss two renewals. Twice as much would remove backend
- * servers whose entries expired in a short outage.
+ * per second and may miss two renewals. Removals after longer ones get a grace
+ * period, since entries may have expired.
  */
-const MIN_LAPSE_OUTAGE_MS = 500
+const MIN_EXPIRY_OUTAGE_MS = 500
 
 /**
  * Together with the 0.4 s that a peer's update takes to arrive, it ends within
- * the two seconds allowed to a connected gateway. Half would remove backend
- * servers whose entries expired for all gateways; twice sends requests to backend
- * servers that have left.
+ * the two seconds allowed to a connected gateway. Meanwhile backend servers whose
+ * entries expired for all gateways stay in use, but requests also go to those that
+ * have left.
  */
-const PEER_LAPSE_GRACE_MS = 1500
+const PEER_REMOVAL_GRACE_MS = 1500
 
 /** A removed entry as reported by a peer. */
-export interface PeerLapse {
+export interface PeerRemoval {
   /** Milliseconds for which the peer keeps using the backend server; undefined if it does not. */
   peerGraceMs: number | undefined
   /** This process's own source of the list does not respond. */
@@ -54,13 +54,13 @@
 }
 
 /** Grace period in milliseconds for a backend server whose removal was reported by a peer; 0 for none. */
-export function decidePeerLapseGrace({ peerGraceMs: usedByPeerMs, isSourceUnavailable: isSourceAway }: PeerLapse): number {
-  return usedByPeerMs ?? (isSourceAway ? PEER_LAPSE_GRACE_MS : 0)
+export function decidePeerRemovalGrace({ peerGraceMs, isSourceUnavailable }: PeerRemoval): number {
+  return peerGraceMs ?? (isSourceUnavailable ? PEER_REMOVAL_GRACE_MS : 0)
 }
 
 /** Grace period in milliseconds after the end of an outage for entries removed during it; 0 for none. */
-export function decideLapseGrace(outage: SourceOutage): number {
-  if (outage.lastedMs < MIN_LAPSE_OUTAGE_MS && !outage.lostWrites)
+export function decideRemovalGrace(outage: SourceOutage): number {
+  if (outage.lastedMs < MIN_EXPIRY_OUTAGE_MS && !outage.lostWrites)
     return 0
-  return Math.max(0, Math.min(LAPSE_GRACE_MS, outage.usableAfterReturnMs - outage.mayHaveReturnedMs))
+  return Math.max(0, Math.min(REMOVAL_GRACE_MS, outage.usableAfterReturnMs - outage.mayHaveReturnedMs))
 }
--- a/packages/gateway/src/process/shared-limits.ts
+++ b/packages/gateway/src/process/shared-limits.ts
@@ -14,7 +14,7 @@
 /** Inputs of the shares. */
 export interface SharedLimitsInputs {
   /** Number of listed gateways, and the index of this one among them. */
-  members: { readonly count: number, readonly place: number }
+  members: { readonly count: number, readonly index: number }
   /** Number of gateways that send heartbeats to this one. */
   heartbeatPeers: () => number
   findService: (name: string) => Service | undefined
@@ -50,7 +50,7 @@
     const { members, findService } = this.inputs
     const isCoordinated = findService(service)?.stage !== undefined
     const part = isCoordinated ? this.coordinatorShare() : 1 / this.sharingGateways()
-    return { position: members.place / this.sharingGateways(), part }
+    return { position: members.index / this.sharingGateways(), part }
   }
 
   private coordinatorShare(): number {
--- a/packages/gateway/src/process/stages/backend/stage-backend.ts
+++ b/packages/gateway/src/process/stages/backend/stage-backend.ts
@@ -53,7 +53,7 @@
     const { intake } = this.backend
     const { limitPerSecond } = intake
     const fullCallMs = this.limits.callMs + this.limits.itemMs * this.limits.batch
-    if (intake.restMs(now) > fullCallMs)
+    if (intake.backoffMs(now) > fullCallMs)
       return Number.POSITIVE_INFINITY
     if (limitPerSecond === undefined)
       return this.slowdown
--- a/packages/gateway/src/process/stale-entry-filter.ts
+++ b/packages/gateway/src/process/stale-entry-filter.ts
@@ -17,7 +17,7 @@
  * State: removed processes and withheld entries, in memory.
  */
 import type { BackendRecord, ListedBackend, ListedBackends } from '../connection/backends/backend.js'
-import { lifeOf } from '../connection/backends/backend.js'
+import { incarnationOf } from '../connection/backends/backend.js'
 import { positionOf } from '../connection/backends/revision.js'
 
 /** Limit of remembered removals. A snapshot is some seconds old, and there are a few removals per second. */
@@ -25,8 +25,8 @@
 /**
  * Time within which the entry of a backend server that has ended expires from a
  * restored snapshot: the platform drops entries after three missed heartbeats
- * (3.6 s at 1.2 s each), plus 2 s after its recovery. Half brings back backend
- * servers that have ended; twice leaves a running one without work for longer.
+ * (3.6 s at 1.2 s each), plus 2 s after its recovery. Until then a backend server
+ * that has ended must stay withheld; a running one gets no work meanwhile.
  */
 const EXPIRY_MS = 6000
 
@@ -42,7 +42,7 @@
 export class StaleEntryFilter {
   /** Processes whose entries have been removed, most recent last. */
   private readonly removedProcesses = new Set<string>()
-  /** Entries held back because their processes had been removed, by id. */
+  /** Entries withheld because their processes had been removed, by id. */
   private readonly withheld = new Map<string, ListedBackend>()
   /** Entries up to this revision may be stale; 0 if the source was never restored from a snapshot. */
   private staleUpTo = 0
@@ -61,28 +61,28 @@
   /** Records entries that are no longer listed. */
   recordRemoved(entries: readonly ListedBackend[]): void {
     for (const { record } of entries) {
-      this.removedProcesses.delete(lifeOf(record))
-      this.removedProcesses.add(lifeOf(record))
+      this.removedProcesses.delete(incarnationOf(record))
+      this.removedProcesses.add(incarnationOf(record))
     }
     const excess = [...this.removedProcesses].slice(0, Math.max(0, this.removedProcesses.size - MAX_REMOVED_PROCESSES))
-    excess.forEach(life => this.removedProcesses.delete(life))
+    excess.forEach(incarnation => this.removedProcesses.delete(incarnation))
   }
 
   /** Records that a change of this backend server's entry was written. */
   recordChange(id: string, record: BackendRecord | undefined): void {
     this.withheld.delete(id)
     if (record)
-      this.removedProcesses.delete(lifeOf(record))
+      this.removedProcesses.delete(incarnationOf(record))
   }
 
   private filterEntry(entry: ListedBackend, previous: PreviousList): ListedBackend[] {
     const { record } = entry
-    if (this.removedProcesses.has(lifeOf(record))) {
+    if (this.removedProcesses.has(incarnationOf(record))) {
       this.withhold(entry)
       return []
     }
     const before = previous.find(record.id)
-    const isLeaving = before !== undefined && before.draining && lifeOf(before) === lifeOf(record)
+    const isLeaving = before !== undefined && before.draining && incarnationOf(before) === incarnationOf(record)
     return [isLeaving ? { ...entry, record: { ...record, draining: true } } : entry]
   }
 
--- a/packages/gateway/src/process/store-backoff.ts
+++ b/packages/gateway/src/process/store-backoff.ts
@@ -10,16 +10,16 @@
  * Log events: `store-failed`, `announce-failed`.
  */
 
-/** Base of the backoff. With half of it a busy store is loaded further; twice delays changes. */
+/** Base of the backoff. Delays changes by little after a short fault, without loading a busy store further. */
 const BASE_BACKOFF_MS = 60
 
-/** Half doubles the calls to a store that is down; twice makes changes take effect later after an outage. */
+/** Limits the calls to a store that is down, and the delay of changes after an outage. */
 const MAX_BACKOFF_MS = 800
 
-/** With half of it, a store that is over its rate limit may reject the retry too. */
+/** Long enough that a store that is over its rate limit does not reject the retry too. */
 const MIN_ANNOUNCE_BACKOFF_MS = 200
 
-/** With twice as much, a gateway that starts during an outage is listed that much later. */
+/** Limits how much later a gateway that starts during an outage is listed. */
 const MAX_ANNOUNCE_BACKOFF_MS = 600
 
 /** Backoff in milliseconds after this many consecutive failures. */
--- a/packages/gateway/src/process/suspension.ts
+++ b/packages/gateway/src/process/suspension.ts
@@ -17,9 +17,9 @@
  * Log event: `woke`.
  */
 
-/** Half costs CPU time; twice detects a suspension later. */
+/** Delays the detection of a suspension by at most this much; each poll costs CPU time. */
 const POLL_INTERVAL_MS = 100
-/** Half is close to the difference between readings of both clocks on a busy machine; twice is longer than it takes to declare a peer failed. */
+/** Above the difference between readings of both clocks on a busy machine, and below the time after which a peer is declared failed. */
 const MIN_SUSPENSION_MS = 500
 
 /** Simultaneous readings of both clocks, in milliseconds. */
@@ -39,7 +39,7 @@
   private timer: NodeJS.Timeout | undefined
   private last: ClockReadings
 
-  /** `onWake` is called with the length of each suspension in milliseconds. */
+  /** `onResume` is called with the length of each suspension in milliseconds. */
   constructor(private readonly onResume: (suspendedMs: number) => void, private readonly read: () => ClockReadings = readClocks) {
     this.last = read()
   }
--- a/packages/gateway/src/process/topic-follower.ts
+++ b/packages/gateway/src/process/topic-follower.ts
@@ -16,7 +16,7 @@
 import type { PositionedRecord, TopicReader } from './keyed-topic.js'
 import type { SourceOutage } from './platform-adapter.js'
 import { formatError, wait } from '@eidermast/common'
-import { HistoryGoneError } from './keyed-topic.js'
+import { HistoryDeletedError } from './keyed-topic.js'
 import { retryBackoffMs } from './store-backoff.js'
 
 /** An outage as observed here, without the platform's bounds. */
@@ -35,7 +35,7 @@
   /** Wait of a read in milliseconds; a lost read is detected only after that time. @default the client's */
   waitMs?: number
   /** Pause after each read that returned records, in milliseconds, so that further records are read in one batch. @default 0 */
-  restMs?: number
+  pauseMs?: number
   /** Position up to which the sink already has the topic from elsewhere. @default none */
   knownPosition?: () => TopicPosition
   /** The store does not respond; called on the first failure. */
@@ -50,10 +50,10 @@
 export interface TopicLog {
   /** The first of a series of failures. */
   storeFailed: (topic: string, error: unknown) => void
-  /** Calls succeed again after `failures` consecutive failures; the store did not respond for `awayMs` milliseconds. */
-  storeRecovered: (topic: string, failures: number, awayMs: number) => void
+  /** Calls succeed again after `failures` consecutive failures; the store did not respond for `outageMs` milliseconds. */
+  storeRecovered: (topic: string, failures: number, outageMs: number) => void
   /** The store has deleted the next records; the latest ones are read again. */
-  storeHistoryGone: (topic: string, reason: string) => void
+  storeHistoryDeleted: (topic: string, reason: string) => void
 }
 
 /** Follows one topic. */
@@ -104,12 +104,12 @@
     this.calledAt = performance.now()
     const { records, era } = await this.store.read(this.topic, position.offset, signal, this.failures > 0 ? NO_WAIT_MS : this.sink.waitMs)
     if (era !== position.era)
-      throw new HistoryGoneError(`store era changed from ${position.era} to ${era}`)
+      throw new HistoryDeletedError(`store era changed from ${position.era} to ${era}`)
     this.reportResponse(era)
     for (const record of records)
       this.deliver({ ...record, era, offset: position.offset++ })
-    if (records.length > 0 && this.sink.restMs)
-      await wait(this.sink.restMs, signal)
+    if (records.length > 0 && this.sink.pauseMs)
+      await wait(this.sink.pauseMs, signal)
   }
 
   /** Skips records that the sink already has, if its position is in the same era. */
@@ -152,9 +152,9 @@
   }
 
   private handleError(error: unknown): void {
-    if (!(error instanceof HistoryGoneError))
+    if (!(error instanceof HistoryDeletedError))
       return this.handleFailure(error)
-    this.log.storeHistoryGone(this.topic, error.message)
+    this.log.storeHistoryDeleted(this.topic, error.message)
     this.position = undefined
   }
 
--- a/packages/gateway/src/request/attempts/cold-start-limiter.ts
+++ b/packages/gateway/src/request/attempts/cold-start-limiter.ts
@@ -75,7 +75,7 @@
 
   /** Milliseconds for which the current time slot has been open; undefined if none is open. */
   private slotAgeMs(backend: Backend, slotMs: number, now: number): number | undefined {
-    const firstSlotAt = backend.coldSince + slotMs * hashText(`${this.name}\n${backend.life}`) / HASH_RANGE
+    const firstSlotAt = backend.coldSince + slotMs * hashText(`${this.name}\n${backend.incarnation}`) / HASH_RANGE
     if (now < firstSlotAt)
       return undefined
     const slotAge = (now - firstSlotAt) % slotMs
--- a/packages/gateway/src/request/attempts/slotted-rate-limiter.ts
+++ b/packages/gateway/src/request/attempts/slotted-rate-limiter.ts
@@ -64,7 +64,7 @@
 
   /** Milliseconds since the current time slot of this gateway began. */
   private slotAgeMs(backend: Backend, position: number, slotMs: number): number {
-    const offset = position + hashText(backend.life) / HASH_RANGE
+    const offset = position + hashText(backend.incarnation) / HASH_RANGE
     return (this.wallClock() + slotMs * (2 - offset)) % slotMs
   }
 }
--- a/packages/gateway/src/request/request-log.ts
+++ b/packages/gateway/src/request/request-log.ts
@@ -65,7 +65,7 @@
       limitPerSecond: backend.intake.limitPerSecond,
       limitAgeMs: backend.intake.limitPerSecond === undefined ? undefined : Math.round(performance.now() - backend.intake.limitReportedAt),
       saidLeaving: backend.intake.isLeaving || undefined,
-      restMs: Math.round(backend.intake.restMs(performance.now())) || undefined,
+      restMs: Math.round(backend.intake.backoffMs(performance.now())) || undefined,
       loadAgeMs: backend.load ? Math.round(performance.now() - backend.loadAt) : undefined,
       remainingMs: Math.round(remainingMs),
       promptTokens: request.head.promptParts.length > 0 ? countTokens(request.head.promptParts) : undefined,
--- a/packages/gateway/src/version/route-table.ts
+++ b/packages/gateway/src/version/route-table.ts
@@ -16,9 +16,8 @@
 import type { ClientAccount, Configuration, Route, Service } from './configuration.js'
 
 /**
- * Number of route priorities per account priority. With twice as many, no levels
- * would be left for routes, since backend servers support ten levels in total;
- * with half as many, routes would outweigh accounts.
+ * Number of route priorities per account priority. Backend servers support ten
+ * levels in total; a higher route priority than this would outweigh the account.
  */
 const ROUTE_PRIORITY_LEVELS = 3
 
--- a/test/gateway/slotted-rate-limiter.test.ts
+++ b/test/gateway/slotted-rate-limiter.test.ts
@@ -33,7 +33,7 @@
     const skewMs = random() * SKEW_MS
     const backend = createBackend({ id: 'engine-a' })
     backend.intake.limitPerSecond = limit
-    const limits = new SharedLimits({ members: { count: gateways, place }, heartbeatPeers: () => 0, findService: () => undefined, coldAllowance: { overshoot: 1, slack: 0 } })
+    const limits = new SharedLimits({ members: { count: gateways, index: place }, heartbeatPeers: () => 0, findService: () => undefined, coldAllowance: { overshoot: 1, slack: 0 } })
     return { limiter: new SlottedRateLimiter(known => limits.rateLimitShare(known), () => clock.now, () => clock.now + skewMs), backend }
   })
 }
--- a/test/platform/backend-notice.test.ts
+++ b/test/platform/backend-notice.test.ts
@@ -29,7 +29,7 @@
   { status: 429, header: '3', restMs: undefined },
   { status: 200, header: '3', restMs: undefined },
 ])('status $status with Retry-After $header asks for a rest of $restMs ms', ({ status, header, restMs }) => {
-  expect(readNotice(status, { 'retry-after': header }).restMs).toBe(restMs)
+  expect(readNotice(status, { 'retry-after': header }).backoffMs).toBe(restMs)
 })
 
 test.each([
--- a/test/platform/store.test.ts
+++ b/test/platform/store.test.ts
@@ -15,7 +15,7 @@
 let seen: string[]
 let following: Promise<void>
 
-function follow(options: Pick<TopicSink, 'restMs'> = {}): void {
+function follow(options: Pick<TopicSink, 'pauseMs'> = {}): void {
   const record = ({ key, value }: KeyedRecord): void => void seen.push(`${key}=${value.toString()}`)
   const sink = { snapshot: (records: KeyedRecord[]) => records.forEach(record), record, ...options }
   following = new TopicFollower(client, TOPIC, sink, new PlatformLog(createLog().log)).follow(ending.signal)
@@ -92,7 +92,7 @@
   })
 
   test('rests after a read that brought records where the sink asks for it, and misses none', async () => {
-    follow({ restMs: 400 })
+    follow({ pauseMs: 400 })
     await vi.waitFor(() => expect(store.calls).toBeGreaterThan(1))
     store.put(TOPIC, 'first', '1')
     await vi.waitFor(() => expect(seen).toEqual(['first=1']))
