--- a/test/gateway/backend-run.test.ts
+++ b/test/gateway/backend-run.test.ts
@@ -4,7 +4,7 @@
 import { BackendRegistry, BackendRunner, CallFailureKind, LeastLoadPolicy, NO_INPUTS, RetryBudget, RetryDecision } from '@eidermast/gateway'
 import { Err, Ok } from 'ts-results-es'
 import { describe, expect, test, vi } from 'vitest'
-import { createLog, createRecord, createRoute, NO_CRASHES, OPEN_INTAKE, UNLIMITED_COLD_PACE } from './support/fakes.js'
+import { createLog, createRecord, createRoute, NO_CRASHES, OPEN_INTAKE, UNLIMITED_COLD_STARTS } from './support/fakes.js'
 
 const SERVICE = 'plain'
 
@@ -20,7 +20,7 @@
   return { method: 'POST', path: '/a/', body: undefined, head, route, account: undefined, service: SERVICE, priority: 0, deadlineAt: now + 5000, firstEventBy: now + 5000, isRetry: false } as unknown as RoutedRequest
 }
 
-/** Its first call fails because an input is gone; all others succeed. */
+/** Its first call fails because an input no longer exists; all others succeed. */
 class InputGoneOnceClient implements BackendClient {
   readonly called: string[] = []
 
@@ -39,7 +39,7 @@
   }
 }
 
-/** A request whose first attempt, at the server `first`, fails because its input is gone; `recreateHandles` recreates its stage results. */
+/** A request whose first attempt, at the server `first`, fails because its input no longer exists; `recreateHandles` recreates its stage results. */
 function createRun({ budgetExtra = 10, engine, recreateHandles }: { budgetExtra?: number, engine?: string, recreateHandles: (registry: BackendRegistry) => readonly string[] | undefined }) {
   const { log } = createLog()
   const registry = new BackendRegistry(log)
@@ -51,7 +51,7 @@
   const ejection = new OutlierEjection()
   const choice = new LeastLoadPolicy(ejection)
   const budget = new RetryBudget({ ratio: 0, extra: budgetExtra, windowMs: 10_000 }, () => 1)
-  const runner = new BackendRunner({ failureDomain: 'zone-a', registry, client, ejection, plainPolicy: choice, enginePolicy: choice, budget, coldStartLimiter: UNLIMITED_COLD_PACE, intake: OPEN_INTAKE, crashes: NO_CRASHES, log, isEngine: () => false })
+  const runner = new BackendRunner({ failureDomain: 'zone-a', registry, client, ejection, plainPolicy: choice, enginePolicy: choice, budget, coldStartLimiter: UNLIMITED_COLD_STARTS, intake: OPEN_INTAKE, crashes: NO_CRASHES, log, isEngine: () => false })
   const recreate = vi.fn(async () => recreateHandles(registry))
   const inputs: RunInputs = { handles: ['lost'], failureDomain: undefined, bytes: 0, engine, recreate }
   const run = () => runner.run({ request: createRequest(), inputs, answer: createAnswer(), signal: new AbortController().signal })
@@ -114,7 +114,7 @@
     const choice = new LeastLoadPolicy(ejection)
     const budget = new RetryBudget({ ratio: 0, extra: 0, windowMs: 10_000 }, () => 1)
     const crashes = { ...NO_CRASHES, noteAnswered: vi.fn(), noteBroken: vi.fn(async () => {}) }
-    const runner = new BackendRunner({ failureDomain: 'zone-a', registry, client, ejection, plainPolicy: choice, enginePolicy: choice, budget, coldStartLimiter: UNLIMITED_COLD_PACE, intake: OPEN_INTAKE, crashes, log, isEngine: () => false })
+    const runner = new BackendRunner({ failureDomain: 'zone-a', registry, client, ejection, plainPolicy: choice, enginePolicy: choice, budget, coldStartLimiter: UNLIMITED_COLD_STARTS, intake: OPEN_INTAKE, crashes, log, isEngine: () => false })
     await runner.run({ request: createRequest(), inputs: { handles: undefined, failureDomain: undefined, bytes: 0 }, answer: createAnswer(), signal: new AbortController().signal })
     expect(crashes.noteAnswered).toHaveBeenCalledTimes(times)
     expect(crashes.noteBroken).toHaveBeenCalledTimes(1 - times)
@@ -134,7 +134,7 @@
     const ejection = new OutlierEjection()
     const choice = new LeastLoadPolicy(ejection)
     const budget = new RetryBudget({ ratio: 0, extra: 10, windowMs: 10_000 }, () => 1)
-    const runner = new BackendRunner({ failureDomain: 'zone-a', registry, client, ejection, plainPolicy: choice, enginePolicy: choice, budget, coldStartLimiter: UNLIMITED_COLD_PACE, intake, crashes: NO_CRASHES, log, isEngine: () => false })
+    const runner = new BackendRunner({ failureDomain: 'zone-a', registry, client, ejection, plainPolicy: choice, enginePolicy: choice, budget, coldStartLimiter: UNLIMITED_COLD_STARTS, intake, crashes: NO_CRASHES, log, isEngine: () => false })
     return runner.run({ request: createRequest(), inputs: NO_INPUTS, answer: createAnswer(), signal: new AbortController().signal })
   }
 
--- a/test/gateway/cold-start-limiter.test.ts
+++ b/test/gateway/cold-start-limiter.test.ts
@@ -17,10 +17,10 @@
   backend: ReturnType<typeof createBackend>
 }
 
-/** A gateway that learned of the start at `heardAt`; each has its own copy of the backend server. */
-function createSender(name: string, ratePerSecond: number, heardAt: number): Sender {
+/** A gateway that learned of the start at `informedAt`; each has its own copy of the backend server. */
+function createSender(name: string, ratePerSecond: number, informedAt: number): Sender {
   const backend = createBackend({ id: 'engine-a' })
-  backend.markCold(COLD_MS, heardAt)
+  backend.markCold(COLD_MS, informedAt)
   return { limiter: new ColdStartLimiter(name, () => ratePerSecond), backend }
 }
 
@@ -43,14 +43,14 @@
   return Math.max(0, ...sent.map(from => sent.filter(at => at >= from && at < from + 1000).length))
 }
 
-/** Gateways that select by themselves, and coordinators of groups that only hear their own members. */
+/** Gateways that select by themselves, and coordinators of groups that only receive heartbeats of their own members. */
 function createSenders(gateways: number, groups: readonly number[], seed: number): Sender[] {
   const random = createRandom(seed)
-  const heardAt = (): number => random() * MAX_NOTICE_DELAY_MS
+  const informedAt = (): number => random() * MAX_NOTICE_DELAY_MS
   const own = Array.from({ length: gateways }, (_, index) =>
-    createSender(`gateway-${seed}-${index}`, LIMIT * UNCOORDINATED_SHARE / countSharingGateways(gateways), heardAt()))
+    createSender(`gateway-${seed}-${index}`, LIMIT * UNCOORDINATED_SHARE / countSharingGateways(gateways), informedAt()))
   const coordinators = groups.map((members, index) =>
-    createSender(`coordinator-${seed}-${index}`, LIMIT * COORDINATED_SHARE * coordinatorShare(members - 1, gateways), heardAt()))
+    createSender(`coordinator-${seed}-${index}`, LIMIT * COORDINATED_SHARE * coordinatorShare(members - 1, gateways), informedAt()))
   return [...own, ...coordinators]
 }
 
@@ -59,12 +59,12 @@
 describe('requests to a cold backend server', () => {
   test.each([
     ['4 gateways with one coordinator', 4, [4]],
-    ['4 gateways that do not hear each other', 4, isolated(4)],
+    ['4 gateways without heartbeats between them', 4, isolated(4)],
     ['21 gateways with one coordinator', 21, [21]],
     ['21 gateways in two partitioned groups', 21, [14, 7]],
-    ['21 gateways that do not hear each other', 21, isolated(21)],
+    ['21 gateways without heartbeats between them', 21, isolated(21)],
     ['300 gateways with one coordinator', 300, [300]],
-    ['300 gateways that do not hear each other', 300, isolated(300)],
+    ['300 gateways without heartbeats between them', 300, isolated(300)],
   ])('stay within the limit with %s at any demand', (_name, gateways, groups) => {
     const maxima = [1, 2, 3, 4, 5, 6].map(seed => maxInSecond(simulateFullDemand(createSenders(gateways, groups, seed))))
     expect(Math.max(...maxima)).toBeLessThanOrEqual(LIMIT)
--- a/test/gateway/crash-tracker.test.ts
+++ b/test/gateway/crash-tracker.test.ts
@@ -153,7 +153,7 @@
     expect(lines).toContainEqual(expect.objectContaining({ event: 'crash-reports-restored', crashes: 3 }))
   })
 
-  test('are written again by the gateway that restores those of others, if their own is gone', async () => {
+  test('are written again by the gateway that restores those of others, if their own has ended', async () => {
     ledger.records.set('gone', { crashes: ['plain-0', 'plain-1', 'plain-2'].map(backend => ({ fingerprint: 'cause', backend, at: Date.now(), gateway: 'gone' })), answers: [] })
     createTracker('a', { restoresOthers: true })
     createTracker('b')
--- a/test/gateway/members.test.ts
+++ b/test/gateway/members.test.ts
@@ -95,7 +95,7 @@
     expect(coordinators).toEqual([])
   })
 
-  // Guards against two gateways coordinating while one is short of processor time. Its ticks came
+  // Guards against two gateways coordinating while one is short of CPU time. Its ticks came
   // 285 ms apart, and it read heartbeat replies two ticks late. Its own pauses, each too short to
   // count as one, added up to 0.6 s of apparent silence of a healthy coordinator, which it dropped
   // for 47 to 140 ms. Seen with slowed gateways next to 36 busy processes, in one of six runs with
@@ -162,7 +162,7 @@
     expect(members.coordinator.name).toBe('gateway-b')
   })
 
-  describe('when it is this process and short of processor time', () => {
+  describe('when it is this process and short of CPU time', () => {
     /** Makes every tick 60 ms late for the given time. */
     async function beSlowFor(milliseconds: number): Promise<void> {
       const now = performance.now.bind(performance)
@@ -238,8 +238,8 @@
    * at once. After a power loss of all gateways, those on small VMs became ready
    * seconds later than large ones. The search for two members that can coordinate
    * counted members that had not been probed yet as failed, so a gateway probed
-   * all of 67 peers, most of which were not listening yet; most of its processor
-   * time went to connections.
+   * all of 67 peers, most of which were not listening yet; most of its CPU time
+   * went to connections.
    */
   describe('of many gateways that start together', () => {
     function createMany(replies: (number: number) => PeerBehaviour) {
@@ -266,14 +266,14 @@
     test.each<[PeerBehaviour, number]>([
       ['refused', 1000],
       ['silent', 2500],
-    ])('is found behind 48 members that are gone and %s', async (behaviour, withinMs) => {
+    ])('is found behind 48 members that have ended and %s', async (behaviour, withinMs) => {
       const { members } = createMany(number => number < 48 ? behaviour : ALIVE)
       await vi.advanceTimersByTimeAsync(withinMs)
       expect(members.coordinator.name).toBe('gateway-48')
     })
   })
 
-  test('changes at once to a successor heard from recently, never to one last heard from long ago', async () => {
+  test('changes at once to a successor that replied recently, never to one whose last reply is old', async () => {
     const { members, peers } = await createSettledMembers(undefined, 'gateway-c', 1000)
     peers.replies.set('gateway-b', 'silent')
     await vi.advanceTimersByTimeAsync(2000)
--- a/test/gateway/peer-discovery.test.ts
+++ b/test/gateway/peer-discovery.test.ts
@@ -2,7 +2,7 @@
  * Guards against gateways that coordinate stage work on their own right after a
  * start of the whole deployment. After a power loss, fifty gateways became ready
  * within a second, and each received requests before any peer had answered its
- * first heartbeat. A gateway that has heard from no peer considers itself the
+ * first heartbeat. A gateway without a reply from any peer considers itself the
  * coordinator, so each called the stage backend servers directly: in a replay, 86
  * of 184 calls in half a second, for 132 of 744 items. The shard coordinators
  * refused 250 of 300 requests; in all, two of three were refused for 2.5 s.
--- a/test/gateway/stage-coordinators.test.ts
+++ b/test/gateway/stage-coordinators.test.ts
@@ -1,6 +1,6 @@
 import { BackendRegistry, CoordinatorRole, createShard, PreparationFailureKind, RouteTable, StageCoordinators } from '@eidermast/gateway'
 import { afterEach, beforeEach, describe, expect, test, vi } from 'vitest'
-import { createConfiguration, createLog, createRecord, createStageLimits, FakeStageService, NO_CRASHES, OPEN_INTAKE, UNLIMITED_COLD_PACE } from './support/fakes.js'
+import { createConfiguration, createLog, createRecord, createStageLimits, FakeStageService, NO_CRASHES, OPEN_INTAKE, UNLIMITED_COLD_STARTS } from './support/fakes.js'
 import { createStageRequest, NEVER } from './support/stage-coordinator.js'
 
 const LIMITS = createStageLimits()
@@ -9,7 +9,7 @@
   const { log } = createLog()
   const registry = new BackendRegistry(log)
   const client = new FakeStageService(LIMITS)
-  const coordinators = new StageCoordinators({ registry, client, retryBudget: { takeRetry: () => true }, coldPace: UNLIMITED_COLD_PACE, intake: OPEN_INTAKE, crashes: NO_CRASHES, log })
+  const coordinators = new StageCoordinators({ registry, client, retryBudget: { takeRetry: () => true }, coldPace: UNLIMITED_COLD_STARTS, intake: OPEN_INTAKE, crashes: NO_CRASHES, log })
   coordinators.applyConfiguration(new RouteTable(createConfiguration({ services: [{ name: 'encode', maxConnections: 9, stage: LIMITS }] })))
   for (const domain of ['a', 'b'])
     registry.upsert(createRecord({ id: `encode-${domain}`, service: 'encode', failureDomain: domain }))
--- a/test/gateway/stage-load.test.ts
+++ b/test/gateway/stage-load.test.ts
@@ -24,7 +24,7 @@
 beforeEach(() => void vi.useFakeTimers())
 afterEach(() => void vi.useRealTimers())
 
-// Guards against refusing requests that backend servers have room for. In a burst of requests with three stages a third
+// Guards against refusing requests that backend servers have capacity for. In a burst of requests with three stages a third
 // of them was refused, and at a usual rate some of the least urgent, while calls were half empty and admitted requests
 // finished long before their target. An idle backend server took all waiting items although others became idle
 // milliseconds later, and the estimate added the wait in a later stage to the time in which that wait passes. The
--- a/test/gateway/support/fakes.ts
+++ b/test/gateway/support/fakes.ts
@@ -137,4 +137,4 @@
 export const OPEN_INTAKE: IntakeGate = { waitMs: () => 0, recordSent: () => {}, handleResponse: () => {} }
 
 /** Allows any number of requests to cold backend servers. */
-export const UNLIMITED_COLD_PACE: Pick<ColdStartLimiter, 'mayTake' | 'note'> = { mayTake: () => true, note: () => {} }
+export const UNLIMITED_COLD_STARTS: Pick<ColdStartLimiter, 'mayTake' | 'note'> = { mayTake: () => true, note: () => {} }
--- a/test/gateway/support/stage-coordinator.ts
+++ b/test/gateway/support/stage-coordinator.ts
@@ -3,7 +3,7 @@
  */
 import type { CrashMonitor, PreparationRequest } from '@eidermast/gateway'
 import { BackendRegistry, RouteTable, StageCoordinator } from '@eidermast/gateway'
-import { createConfiguration, createLog, createRecord, createStageLimits, FakeStageService, NO_CRASHES, OPEN_INTAKE, UNLIMITED_COLD_PACE } from './fakes.js'
+import { createConfiguration, createLog, createRecord, createStageLimits, FakeStageService, NO_CRASHES, OPEN_INTAKE, UNLIMITED_COLD_STARTS } from './fakes.js'
 
 const LIMITS = createStageLimits()
 
@@ -13,7 +13,7 @@
   const registry = new BackendRegistry(log)
   const service = new FakeStageService(LIMITS)
   const retries = { allowed: 10 }
-  const stageCoordinator = new StageCoordinator(registry, { client: service, retryBudget: { takeRetry: () => retries.allowed-- > 0 }, coldPace: UNLIMITED_COLD_PACE, intake: OPEN_INTAKE, crashes, log })
+  const stageCoordinator = new StageCoordinator(registry, { client: service, retryBudget: { takeRetry: () => retries.allowed-- > 0 }, coldPace: UNLIMITED_COLD_STARTS, intake: OPEN_INTAKE, crashes, log })
   stageCoordinator.applyConfiguration(new RouteTable(createConfiguration({ services: [
     { name: 'encode', maxConnections: 9, stage: LIMITS },
     { name: 'rerank', maxConnections: 9, stage: LIMITS },
--- a/test/gateway/support/stage-load.ts
+++ b/test/gateway/support/stage-load.ts
@@ -6,7 +6,7 @@
 import type { Backend, PreparationFailure, PreparationRequest, PreparationStage, StageCallResult, StageClient, StageItem, StageLimits } from '@eidermast/gateway'
 import { BackendRegistry, RouteTable, StageCallEnd, StageCoordinator } from '@eidermast/gateway'
 import { vi } from 'vitest'
-import { createConfiguration, createLog, createRecord, createStageLimits, NO_CRASHES, OPEN_INTAKE, UNLIMITED_COLD_PACE } from './fakes.js'
+import { createConfiguration, createLog, createRecord, createStageLimits, NO_CRASHES, OPEN_INTAKE, UNLIMITED_COLD_STARTS } from './fakes.js'
 import { createRandom } from './random.js'
 
 const FAILURE_DOMAINS = ['a', 'b', 'c', 'd', 'e', 'f']
@@ -127,7 +127,7 @@
 function createLoadCoordinator(backends: BackendCounts, slowdown?: Slowdown): StageCoordinator {
   const { log } = createLog()
   const registry = new BackendRegistry(log)
-  const coordinator = new StageCoordinator(registry, { client: new ExactStageClient(backends, slowdown), retryBudget: { takeRetry: () => true }, coldPace: UNLIMITED_COLD_PACE, intake: OPEN_INTAKE, crashes: NO_CRASHES, log })
+  const coordinator = new StageCoordinator(registry, { client: new ExactStageClient(backends, slowdown), retryBudget: { takeRetry: () => true }, coldPace: UNLIMITED_COLD_STARTS, intake: OPEN_INTAKE, crashes: NO_CRASHES, log })
   const services = Object.entries(LIMITS).map(([name, stage]) => ({ name, maxConnections: 9, stage }))
   coordinator.applyConfiguration(new RouteTable(createConfiguration({ services })))
   const counts = [...Object.entries(backends).map(([service, count]) => ({ service, count: count as number })), { service: 'model', count: ENGINES }]
--- a/test/platform/backend-entries.test.ts
+++ b/test/platform/backend-entries.test.ts
@@ -1,7 +1,7 @@
 /**
- * What callers would see: another writer puts something into the list of backend
- * servers that is not of the form agreed, and work goes to an address that is
- * none, or all entries read with it are lost.
+ * Guards against malformed entries, written to the list of backend servers by
+ * another program: work would be sent to an invalid address, or all entries that
+ * are read together with a malformed one would be lost.
  */
 import type { BackendRecord } from '@eidermast/gateway'
 import { Buffer } from 'node:buffer'
@@ -40,25 +40,25 @@
 
 const used = (): string[] => registry.available('plain').map(({ id }) => id).sort()
 
-/** Everything written so far is known. */
+/** Writes a valid entry, and waits until it and everything written before is known. */
 async function writeAndRead(last: string): Promise<void> {
   store.put(TOPIC, last, ENTRY)
   await vi.waitFor(() => expect(used()).toContain(last))
 }
 
-describe('an entry of another form', () => {
+describe('a malformed entry', () => {
   test.each<[string, unknown]>([
     ['an unknown state', { ...ENTRY, State: 'resting' }],
     ['no address', { ...ENTRY, Address: undefined }],
-    ['an address that is none', { ...ENTRY, Address: 'nowhere' }],
-    ['a port that is none', { ...ENTRY, Address: '127.0.0.1:99999' }],
+    ['an invalid address', { ...ENTRY, Address: 'nowhere' }],
+    ['an invalid port', { ...ENTRY, Address: '127.0.0.1:99999' }],
     ['a capacity of another type', { ...ENTRY, Capacity: '4' }],
     ['no capacity', { ...ENTRY, Capacity: undefined }],
-    ['a start that is no whole number', { ...ENTRY, born: 1.5 }],
-    ['bytes that cannot be read', Buffer.from([0xFF, 0xFE, 0x00]).toString('latin1')],
-    ['a list', [ENTRY]],
-    ['nothing', null],
-  ])('with %s names no backend server, also where one was listed before, and the others hold', async (_name, entry) => {
+    ['a start time that is not an integer', { ...ENTRY, born: 1.5 }],
+    ['bytes that are not valid text', Buffer.from([0xFF, 0xFE, 0x00]).toString('latin1')],
+    ['an array', [ENTRY]],
+    ['null', null],
+  ])('with %s lists no backend server, replaces a valid entry, and does not affect other entries', async (_name, entry) => {
     store.put(TOPIC, 'plain-a', ENTRY)
     await writeAndRead('plain-b')
     store.put(TOPIC, 'plain-a', entry)
@@ -67,7 +67,7 @@
     expect(lines.filter(({ event }) => event === 'backend-entry-rejected')).toHaveLength(1)
   })
 
-  test('in whatever way it differs is used whole or not at all', async () => {
+  test('is never used partially, whatever is wrong with it', async () => {
     const anything = fc.oneof(fc.constant(undefined), fc.jsonValue())
     const entries = fc.array(fc.record({ field: fc.constantFrom(...FIELDS), value: anything }), { minLength: 1, maxLength: 30 })
     await fc.assert(fc.asyncProperty(entries, async (changes) => {
--- a/test/platform/backend-notice.test.ts
+++ b/test/platform/backend-notice.test.ts
@@ -12,30 +12,30 @@
   { header: 'soon', limit: undefined },
   { header: '', limit: undefined },
   { header: 'Infinity', limit: undefined },
-])('a limit header $header names $limit requests a second', ({ header, limit }) => {
+])('the limit header $header means $limit requests per second', ({ header, limit }) => {
   expect(readNotice(200, { 'server-limit': header }).limitPerSecond).toBe(limit)
 })
 
-test('an answer of another backend server at the address names no limit', () => {
+test('a response of another backend server at the address contains no limit', () => {
   expect(readNotice(421, { 'server-limit': '1' }).limitPerSecond).toBeUndefined()
 })
 
 test.each([
-  { status: 503, header: '3', restMs: 3000 },
-  { status: 503, header: '0.25', restMs: 250 },
-  { status: 503, header: 'Wed, 21 Oct 2026 07:28:00 GMT', restMs: undefined },
-  { status: 503, header: '-1', restMs: undefined },
-  { status: 503, header: undefined, restMs: undefined },
-  { status: 429, header: '3', restMs: undefined },
-  { status: 200, header: '3', restMs: undefined },
-])('status $status with Retry-After $header asks for a rest of $restMs ms', ({ status, header, restMs }) => {
-  expect(readNotice(status, { 'retry-after': header }).backoffMs).toBe(restMs)
+  { status: 503, header: '3', backoffMs: 3000 },
+  { status: 503, header: '0.25', backoffMs: 250 },
+  { status: 503, header: 'Wed, 21 Oct 2026 07:28:00 GMT', backoffMs: undefined },
+  { status: 503, header: '-1', backoffMs: undefined },
+  { status: 503, header: undefined, backoffMs: undefined },
+  { status: 429, header: '3', backoffMs: undefined },
+  { status: 200, header: '3', backoffMs: undefined },
+])('status $status with Retry-After $header requests a back-off of $backoffMs ms', ({ status, header, backoffMs }) => {
+  expect(readNotice(status, { 'retry-after': header }).backoffMs).toBe(backoffMs)
 })
 
 test.each([
   { header: '1', isLeaving: true },
   { header: '0', isLeaving: false },
   { header: undefined, isLeaving: false },
-])('a leaving header $header says that it leaves: $isLeaving', ({ header, isLeaving }) => {
+])('the leaving header $header means that it is leaving: $isLeaving', ({ header, isLeaving }) => {
   expect(readNotice(200, { 'server-leaving': header }).isLeaving).toBe(isLeaving)
 })
--- a/test/platform/evacuation.test.ts
+++ b/test/platform/evacuation.test.ts
@@ -11,7 +11,7 @@
 import { hang, StandInBackend } from './support/stand-in-backend.js'
 import { makeStageResults, STAGE_LIMITS } from './support/stand-in-stages.js'
 import { StandInStore } from './support/stand-in-store.js'
-import { StoreLine } from './support/store-line.js'
+import { StoreProxy } from './support/store-proxy.js'
 
 const OPERATOR_TOPIC = 'keyed.op'
 const SERVER_TOPIC = 'keyed.servers'
@@ -32,7 +32,7 @@
 }
 
 let store: StandInStore
-let lines: StoreLine[]
+let proxies: StoreProxy[]
 let gateways: StartedGateway[]
 let backends: StandInBackend[]
 
@@ -41,8 +41,8 @@
 const inDomain = (failureDomain: string): StandInBackend[] => backends.filter(backend => backend.failureDomain === failureDomain)
 
 async function startGatewayBehindProxy(number: number): Promise<void> {
-  lines[number] = new StoreLine(storeAddress)
-  gateways[number] = await startGateway(`gateway-${number}`, await lines[number].start())
+  proxies[number] = new StoreProxy(storeAddress)
+  gateways[number] = await startGateway(`gateway-${number}`, await proxies[number].start())
 }
 
 let storeAddress: string
@@ -58,7 +58,7 @@
     store.put(SERVER_TOPIC, backend.id, backend.entry())
   }
   store.put(OPERATOR_TOPIC, 'config', CONFIGURATION)
-  lines = []
+  proxies = []
   gateways = []
   await startGatewayBehindProxy(0)
   await vi.waitFor(() => expect(store.newestOf('keyed.eidermast-gateways').has('gateway-0')).toBe(true))
@@ -73,7 +73,7 @@
 
 afterEach(async () => {
   await Promise.all(gateways.map(({ gateway }) => gateway.close()))
-  lines.forEach(line => line.stop())
+  proxies.forEach(proxy => proxy.stop())
   await Promise.all([store.stop(), ...backends.map(backend => backend.stop())])
 })
 
@@ -110,11 +110,11 @@
   test.each([
     ['the store is available', () => {}],
     ['one gateway is cut off from the store', () => {
-      lines[1].isCut = true
-      lines[1].silenceOpenConnections()
+      proxies[1].isCut = true
+      proxies[1].silenceOpenConnections()
     }],
-    ['the reads of one gateway are lost', () => lines[1].silenceOpenConnections()],
-    ['the reads of all gateways are lost', () => lines.forEach(line => line.silenceOpenConnections())],
+    ['the reads of one gateway are lost', () => proxies[1].silenceOpenConnections()],
+    ['the reads of all gateways are lost', () => proxies.forEach(proxy => proxy.silenceOpenConnections())],
   ])('get no requests after the deadline if %s', async (_name, injectFault) => {
     injectFault()
     await wait(100)
@@ -137,7 +137,7 @@
 
   test('get no requests from a gateway that starts after the order\'s records were deleted from the history', async () => {
     evacuate('zone-a')
-    store.dropHistory(OPERATOR_TOPIC)
+    store.deleteHistory(OPERATOR_TOPIC)
     await startGatewayBehindProxy(2)
     await vi.waitFor(() => expect(gateways[2].gateway.registry.size).toBe(backends.length), { timeout: 3000 })
     expect(gateways[2].gateway.registry.available('plain').map(({ id }) => id)).toEqual(['plain-zone-b'])
@@ -146,9 +146,9 @@
   test('get work again if the withdrawal is in history that the store has deleted', async () => {
     evacuate('zone-a')
     await vi.waitFor(() => gateways.forEach(({ gateway }) => expect(gateway.evacuations.evacuated.size).toBe(1)))
-    lines.forEach(line => line.silenceOpenConnections())
+    proxies.forEach(proxy => proxy.silenceOpenConnections())
     endEvacuation('zone-a')
-    store.dropHistory(OPERATOR_TOPIC)
+    store.deleteHistory(OPERATOR_TOPIC)
     await vi.waitFor(() => gateways.forEach(({ gateway }) => expect(gateway.evacuations.evacuated.size).toBe(0)), { timeout: EVACUATION_MS })
   })
 
--- a/test/platform/leaving-backends.test.ts
+++ b/test/platform/leaving-backends.test.ts
@@ -76,7 +76,7 @@
 describe('a backend server whose entry is removed', () => {
   test('gets no more work if the store deletes its history but keeps responding', async () => {
     store.put(SERVER_TOPIC, backend.id, undefined)
-    store.dropHistory(SERVER_TOPIC)
+    store.deleteHistory(SERVER_TOPIC)
     await wait(600)
     expect(isUsed()).toBe(false)
   })
--- a/test/platform/lost-read.test.ts
+++ b/test/platform/lost-read.test.ts
@@ -16,7 +16,7 @@
 import { startGateway } from './support/in-process-gateway.js'
 import { StandInBackend } from './support/stand-in-backend.js'
 import { StandInStore } from './support/stand-in-store.js'
-import { StoreLine } from './support/store-line.js'
+import { StoreProxy } from './support/store-proxy.js'
 
 const SERVER_TOPIC = 'keyed.servers'
 /** Time after the loss of its connections until a gateway must be connected again (setting `contact-ms`). */
@@ -39,7 +39,7 @@
 
 let store: StandInStore
 /** Proxies between the peer and the store, and between the gateway and the store. */
-let lines: StoreLine[]
+let proxies: StoreProxy[]
 let peer: StartedGateway
 let gateway: StartedGateway
 let backends: StandInBackend[]
@@ -47,15 +47,15 @@
 beforeEach(async () => {
   store = new StandInStore()
   const storeAddress = await store.start()
-  lines = [new StoreLine(storeAddress), new StoreLine(storeAddress)]
+  proxies = [new StoreProxy(storeAddress), new StoreProxy(storeAddress)]
   backends = [new StandInBackend('plain-a', 'plain'), new StandInBackend('plain-b', 'plain')]
   await Promise.all(backends.map(backend => backend.start()))
   store.put('keyed.op', 'config', CONFIGURATION)
   for (const backend of backends)
     store.put(SERVER_TOPIC, backend.id, backend.entry())
-  peer = await startGateway('gateway-a', await lines[0].start())
+  peer = await startGateway('gateway-a', await proxies[0].start())
   await vi.waitFor(() => expect(store.newestOf('keyed.eidermast-gateways').has('gateway-a')).toBe(true))
-  gateway = await startGateway('gateway-b', await lines[1].start())
+  gateway = await startGateway('gateway-b', await proxies[1].start())
   await vi.waitFor(() => {
     for (const started of [peer, gateway]) {
       expect(started.gateway.registry.size).toBe(backends.length)
@@ -68,7 +68,7 @@
 
 afterEach(async () => {
   await Promise.all([peer.gateway.close(), gateway.gateway.close()])
-  lines.forEach(line => line.stop())
+  proxies.forEach(proxy => proxy.stop())
   await Promise.all([store.stop(), ...backends.map(backend => backend.stop())])
 })
 
@@ -99,7 +99,7 @@
     ['is removed without draining', () => undefined],
   ])('sends no late requests to a backend server that %s, because its peer knows', async (_name, entry) => {
     const lostAt = performance.now()
-    lines[1].silenceOpenConnections()
+    proxies[1].silenceOpenConnections()
     await wait(100)
     const leftAt = performance.now()
     store.put(SERVER_TOPIC, backends[0].id, entry())
@@ -111,7 +111,7 @@
 
 describe('a gateway whose VM was suspended', () => {
   test('restarts its reads when it resumes, although by its monotonic clock they have just begun', async () => {
-    lines.forEach(line => line.silenceOpenConnections())
+    proxies.forEach(proxy => proxy.silenceOpenConnections())
     await wait(100)
     store.put(SERVER_TOPIC, backends[0].id, backends[0].entry('draining'))
     const wallClock = vi.spyOn(Date, 'now')
@@ -125,14 +125,14 @@
 })
 
 describe('gateways whose reads were all lost together', () => {
-  test('send nothing to a backend server that left without a word once they are in touch, though the coordinator takes the store for away', async () => {
+  test('send nothing to a backend server that left unannounced once they are connected, although the coordinator regards the store as unavailable', async () => {
     const lostAt = performance.now()
-    lines.forEach(line => line.silenceOpenConnections())
+    proxies.forEach(proxy => proxy.silenceOpenConnections())
     await wait(100)
     const leftAt = performance.now()
     store.put(SERVER_TOPIC, backends[0].id, undefined)
-    lines[0].isCut = true
-    setTimeout(() => (lines[0].isCut = false), CONTACT_MS)
+    proxies[0].isCut = true
+    setTimeout(() => (proxies[0].isCut = false), CONTACT_MS)
     await sendForSomeTime()
     expect(backends[1].seen.length).toBeGreaterThan(0)
     expect(arrivalsAfter(Math.max(lostAt + CONTACT_MS, leftAt + DRAIN_MS))).toEqual([])
@@ -140,7 +140,7 @@
 
   test('send nothing to a draining backend server once they are connected, because the coordinator detects the loss in time', async () => {
     const lostAt = performance.now()
-    lines.forEach(line => line.silenceOpenConnections())
+    proxies.forEach(proxy => proxy.silenceOpenConnections())
     await wait(100)
     const leftAt = performance.now()
     store.put(SERVER_TOPIC, backends[0].id, backends[0].entry('draining'))
--- a/test/platform/older-store.test.ts
+++ b/test/platform/older-store.test.ts
@@ -56,7 +56,7 @@
 
 /** Takes a snapshot of the store, then writes many records and starts a second gateway. */
 async function writeAfterSnapshot(): Promise<void> {
-  store.keepCopy()
+  store.takeSnapshot()
   for (let write = 0; write < 20; write++)
     writeEntry(backends[1])
   store.put('keyed.op', 'config', createConfiguration(4))
@@ -74,7 +74,7 @@
 async function restoreSnapshot(): Promise<void> {
   store.fault = StoreFault.Reset
   await new Promise(resolve => setTimeout(resolve, 300))
-  store.comeBackFromCopy()
+  store.restoreSnapshot()
   store.fault = StoreFault.None
 }
 
--- a/test/platform/store.test.ts
+++ b/test/platform/store.test.ts
@@ -5,7 +5,7 @@
 import { afterEach, beforeEach, describe, expect, test, vi } from 'vitest'
 import { createLog } from '../gateway/support/fakes.js'
 import { StandInStore, StoreFault } from './support/stand-in-store.js'
-import { StoreLine } from './support/store-line.js'
+import { StoreProxy } from './support/store-proxy.js'
 
 const TOPIC = 'keyed.op'
 let store: StandInStore
@@ -54,16 +54,16 @@
   })
 
   test.each([
-    ['before its offsets are given out again', 0],
-    ['when its offsets are given out again', 3],
-  ])('begins anew where the store came back from an older copy, %s', async (_when, writes) => {
+    ['before its offsets are reused', 0],
+    ['after its offsets are reused', 3],
+  ])('starts again if the store was restored from an older snapshot, %s', async (_when, writes) => {
     await followFromFirstRecord()
-    store.keepCopy()
+    store.takeSnapshot()
     for (const value of ['two', 'three', 'four'])
       store.put(TOPIC, 'config', value)
     await vi.waitFor(() => expect(seen.at(-1)).toBe('config=four'))
     seen.length = 0
-    store.comeBackFromCopy()
+    store.restoreSnapshot()
     for (let write = 0; write < writes; write++)
       store.put(TOPIC, `key-${write}`, 'again')
     await vi.waitFor(() => expect(seen).toContain('config=one'))
@@ -72,7 +72,7 @@
     await vi.waitFor(() => expect(seen.at(-1)).toBe('config=five'))
   })
 
-  test.each([StoreFault.Busy, StoreFault.Reset, StoreFault.Cut])('resumes after a store that is %s, without a lost or a repeated record', async (fault) => {
+  test.each([StoreFault.Busy, StoreFault.Reset, StoreFault.Cut])('resumes after the store was %s, without missing or duplicate records', async (fault) => {
     await followFromFirstRecord()
     store.fault = fault
     store.put(TOPIC, 'config', 'two')
@@ -82,7 +82,7 @@
     await vi.waitFor(() => expect(seen).toEqual(['config=one', 'config=two', 'config=three']), { timeout: 5000 })
   })
 
-  test('notices within some seconds that a read was lost by a store that was silent', async () => {
+  test('detects within some seconds that a read was lost while the store was silent', async () => {
     await followFromFirstRecord()
     store.fault = StoreFault.Silent
     await wait(300)
@@ -91,7 +91,7 @@
     await vi.waitFor(() => expect(seen).toEqual(['config=one', 'config=two']), { timeout: 4500 })
   })
 
-  test('rests after a read that brought records where the sink asks for it, and misses none', async () => {
+  test('pauses after a read that returned records if the sink asks for it, and misses none', async () => {
     follow({ pauseMs: 400 })
     await vi.waitFor(() => expect(store.calls).toBeGreaterThan(1))
     store.put(TOPIC, 'first', '1')
@@ -105,18 +105,18 @@
     expect(store.calls - calls).toBeLessThanOrEqual(2)
   })
 
-  test('starts again with the newest records when the history is gone', async () => {
+  test('starts again with the latest records if the history was deleted', async () => {
     await followFromFirstRecord()
     store.fault = StoreFault.Busy
     await wait(250)
     store.put(TOPIC, 'config', 'two')
     store.put(TOPIC, 'config', 'three')
-    store.dropHistory(TOPIC)
+    store.deleteHistory(TOPIC)
     store.fault = StoreFault.None
     await vi.waitFor(() => expect(seen.at(-1)).toBe('config=three'), { timeout: 5000 })
   })
 
-  test('misses nothing that changes between two pages of the newest records, and takes nothing older after newer', async () => {
+  test('misses no change between two pages of the latest records, and delivers no older record after a newer one', async () => {
     store.pageSize = 1
     store.put(TOPIC, 'first', 'one')
     store.put(TOPIC, 'second', 'one')
@@ -135,7 +135,7 @@
     expect(seen).toEqual(['first=one', 'second=three', 'first=two'])
   })
 
-  test('notices the return of a store that was silent for more than one read within a margin and a pause', async () => {
+  test('detects the recovery of a store that was silent for more than one read within one read margin and one backoff', async () => {
     await followFromFirstRecord()
     store.fault = StoreFault.Silent
     await wait(3200)
@@ -146,11 +146,11 @@
     expect(performance.now() - returnedAt).toBeLessThan(READ_MARGIN_MS + 800)
   })
 
-  test('opens connections anew after a call that ran out of time: those that were open may be silent too', async () => {
-    const line = new StoreLine(storeAddress)
+  test('opens new connections after a call timed out, because the open ones may be dead too', async () => {
+    const line = new StoreProxy(storeAddress)
     client = new StoreClient(await line.start())
     store.put(TOPIC, 'config', 'one')
-    // Reads that end together leave more than one connection open.
+    // Concurrent reads leave more than one connection open.
     await Promise.all([1, 2, 3].map(() => client.readLatest(TOPIC)))
     line.silenceOpenConnections()
     await expect(client.read(TOPIC, 0, ending.signal, 0)).rejects.toThrow('timeout')
@@ -160,7 +160,7 @@
     line.stop()
   })
 
-  test('seldom calls a store that refuses', async () => {
+  test('backs off from a store that refuses calls', async () => {
     store.fault = StoreFault.Busy
     follow()
     await wait(1500)
@@ -169,7 +169,7 @@
   })
 })
 
-describe('the wait of a read', () => {
+describe('the maximum wait of a read', () => {
   test.each([
     ['small sites', 3000, 2000, 2000],
     ['grown sites', 4000, 3000, 3000],
@@ -184,30 +184,30 @@
     expect(aloneMs + READ_MARGIN_MS + 300).toBeLessThan(Math.max(contact, Math.min(configuration, drain)))
   })
 
-  test('ends the use of entries that went before a gateway is in touch again', () => {
+  test('ends the use of removed entries before a gateway must be connected again', () => {
     expect(usableAfterReturnMs({ contactMs: 3000, configurationMs: 2000, drainMs: 2000, evacuationMs: 5000 })).toBeLessThan(3000)
   })
 })
 
-describe('the rest after changes', () => {
+describe('the pause after changes', () => {
   const BOUNDS = { contactMs: 5000, configurationMs: 4000, drainMs: 4000, evacuationMs: 5000 }
 
   test.each([
-    ['none at the coordinator, which the others hear', BOUNDS, { receivesPeerUpdates: false, count: 70 }, 0],
-    ['a second where there are few gateways', BOUNDS, { receivesPeerUpdates: true, count: 4 }, 1000],
-    ['longer the more there are', BOUNDS, { receivesPeerUpdates: true, count: 50 }, 1500],
-    ['no longer than half of the time in which a leaving must take effect', BOUNDS, { receivesPeerUpdates: true, count: 400 }, 2000],
-    ['a second where that time is short', { ...BOUNDS, drainMs: 1000 }, { receivesPeerUpdates: true, count: 400 }, 1000],
-  ])('of the list of backend servers is %s', (_name, bounds, peers, restMs) => {
-    expect(pauseAfterChangesMs(bounds, peers)).toBe(restMs)
+    ['none at the coordinator, which updates the others', BOUNDS, { receivesPeerUpdates: false, count: 70 }, 0],
+    ['a second if there are few gateways', BOUNDS, { receivesPeerUpdates: true, count: 4 }, 1000],
+    ['longer if there are more', BOUNDS, { receivesPeerUpdates: true, count: 50 }, 1500],
+    ['at most half of the drain bound', BOUNDS, { receivesPeerUpdates: true, count: 400 }, 2000],
+    ['a second if the drain bound is short', { ...BOUNDS, drainMs: 1000 }, { receivesPeerUpdates: true, count: 400 }, 1000],
+  ])('of the list of backend servers is %s', (_name, bounds, peers, pauseMs) => {
+    expect(pauseAfterChangesMs(bounds, peers)).toBe(pauseMs)
   })
 
-  test('keeps the calls of all gateways together in bounds, however many there are', () => {
+  test('limits the calls of all gateways together, regardless of their number', () => {
     const callsASecond = (gateways: number): number => gateways * 1000 / directoryPauseMs(gateways, 60_000)
     expect([10, 70, 400].map(callsASecond).every(calls => calls < 34)).toBe(true)
   })
 
-  test('of the directory is short while a gateway starts, so that those that start together know each other', () => {
+  test('of the directory is short while a gateway starts, so that gateways that start together soon know each other', () => {
     expect(directoryPauseMs(400, 0)).toBe(400)
   })
 })
@@ -222,7 +222,7 @@
     expect(readRecords(bytes).map(record => [record.key, record.value.toString()])).toEqual([[key, value]])
   })
 
-  test.each([1, 3, 6])('that are cut by %i bytes are an error, not a shorter record', (missing) => {
+  test.each([1, 3, 6])('that are truncated by %i bytes are an error, not a shorter record', (missing) => {
     const bytes = Buffer.concat([Buffer.alloc(16), encodeRecord({ key: 'key', value: Buffer.from('value') })])
     expect(() => readRecords(bytes.subarray(0, bytes.length - missing))).toThrow('cut')
   })
--- a/test/platform/support/crashing-pool.ts
+++ b/test/platform/support/crashing-pool.ts
@@ -1,27 +1,27 @@
 /**
- * A pool of stand-in backend servers, each of which ends with its process when
- * it begins to run a certain body, and is replaced after some time under a new
- * id, as the platform does it: the entry of the old one lapses later.
+ * A pool of stand-in backend servers, each of which crashes when it runs a request
+ * with a certain body. As on the platform, it is replaced after some time under a
+ * new id, and its old entry expires later.
  */
 import type { SeenRequest } from './stand-in-backend.js'
 import type { StandInStore } from './stand-in-store.js'
 import { wait } from '@eidermast/common'
 import { answerWhole, StandInBackend } from './stand-in-backend.js'
 
-/** The body that ends every backend server that runs it. */
+/** The body that crashes every backend server that runs it. */
 export const CRASHING_BODY = 'crash'
 
 const SERVER_TOPIC = 'keyed.servers'
-/** Milliseconds from the end of a backend server until another one serves in its place. */
+/** Milliseconds from the end of a backend server until its replacement serves. */
 const RESTART_MS = 2000
-/** Milliseconds until the entry of one that said nothing lapses: three heartbeats of the platform. */
-const LAPSE_MS = 3600
+/** Milliseconds until the entry of a crashed backend server expires: three heartbeats of the platform. */
+const ENTRY_EXPIRY_MS = 3600
 
 /** What differs between pools. */
 export interface CrashingPoolOptions {
   service: string
   size: number
-  /** Milliseconds of work before an answer, and before a crash. */
+  /** Milliseconds until a response or a crash. */
   workMs: number
 }
 
@@ -29,17 +29,17 @@
 export interface BackendEnd {
   /** Milliseconds of the test's clock. */
   at: number
-  /** Path of the request that ended it; absent where none did. */
+  /** Path of the request that crashed it; undefined if none did. */
   path?: string
 }
 
-/** Backend servers of one service that crash and come back. */
+/** Backend servers of one service that crash and are replaced. */
 export class CrashingPool {
   readonly ends: BackendEnd[] = []
-  /** Requests with the crashing body, as backend servers got them. */
+  /** Requests with the crashing body that reached backend servers. */
   readonly crashingSeen: SeenRequest[] = []
   private readonly alive = new Set<StandInBackend>()
-  private readonly underWay = new Set<Promise<void>>()
+  private readonly replacements = new Set<Promise<void>>()
   private started = 0
   private stopped = false
 
@@ -52,11 +52,11 @@
 
   async stop(): Promise<void> {
     this.stopped = true
-    await Promise.all(this.underWay)
+    await Promise.all(this.replacements)
     await Promise.all([...this.alive].map(backend => backend.stop()))
   }
 
-  /** Backend servers end together, without any request being the cause. */
+  /** Ends several backend servers together without a request as the cause. */
   endSome(count: number): void {
     for (const backend of [...this.alive].slice(0, count))
       this.end(backend)
@@ -78,7 +78,7 @@
     this.store.put(SERVER_TOPIC, backend.id, backend.entry())
   }
 
-  /** Requests with the crashing body and this path that came later than a time after the third end under such a request. */
+  /** Crashing requests with this path that arrived more than `afterThirdMs` after the third crash by one. */
   sentLaterThan(afterThirdMs: number, path: string): SeenRequest[] {
     const third = this.ends.filter(end => end.path === path)[2]
     return third ? this.crashingSeen.filter(seen => seen.path === path && seen.at > third.at + afterThirdMs) : []
@@ -88,8 +88,8 @@
     if (!this.alive.delete(backend))
       return
     this.ends.push({ at: performance.now(), path })
-    const replaced = this.replace(backend).finally(() => this.underWay.delete(replaced))
-    this.underWay.add(replaced)
+    const replaced = this.replace(backend).finally(() => this.replacements.delete(replaced))
+    this.replacements.add(replaced)
   }
 
   private async replace(backend: StandInBackend): Promise<void> {
@@ -99,7 +99,7 @@
     await wait(RESTART_MS)
     if (!this.stopped)
       await this.startOne()
-    await wait(LAPSE_MS - RESTART_MS)
+    await wait(ENTRY_EXPIRY_MS - RESTART_MS)
     this.store.put(SERVER_TOPIC, backend.id, undefined)
   }
 }
--- a/test/platform/support/gateway-settings.ts
+++ b/test/platform/support/gateway-settings.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of gateways under test, with ports that are free.
+ * Settings of gateways under test, with free ports.
  */
 import { createServer } from 'node:net'
 import process from 'node:process'
@@ -13,19 +13,19 @@
 }
 
 /**
- * Below the range from which systems take ports for outgoing connections
- * (32768 to 60999 on Linux): a port from there may be taken again between the
- * probe and the gateway's start. Processes that test at the same time take
- * theirs from different blocks, and each takes the next one every time, since a
- * gateway listens some tenths of a second after the probe.
+ * Below the ephemeral port range (32768 to 60999 on Linux): an ephemeral port may
+ * be assigned to an outgoing connection between the probe and the gateway's start.
+ * Test processes that run in parallel use different blocks, and each probes the
+ * next port every time, since a gateway listens only some tenths of a second after
+ * the probe.
  */
 const PORT_RANGE = { first: 10_000, blocks: 100, blockSize: 200 }
 const firstPort = PORT_RANGE.first + (process.pid % PORT_RANGE.blocks) * PORT_RANGE.blockSize
-let portsTaken = 0
+let portsProbed = 0
 
 async function freePort(): Promise<number> {
   for (;;) {
-    const port = firstPort + portsTaken++ % PORT_RANGE.blockSize
+    const port = firstPort + portsProbed++ % PORT_RANGE.blockSize
     if (await canListen(port))
       return port
   }
@@ -39,7 +39,7 @@
   })
 }
 
-/** Ports that nobody listens on. */
+/** Finds free ports for one gateway. */
 export async function freePorts(): Promise<GatewayPorts> {
   const [clients, readiness, peers, metrics] = await Promise.all([freePort(), freePort(), freePort(), freePort()])
   return { clients, readiness, peers, metrics }
--- a/test/platform/support/in-process-gateway.ts
+++ b/test/platform/support/in-process-gateway.ts
@@ -14,7 +14,7 @@
   readiness: string
 }
 
-/** Starts a gateway with ports from the system. */
+/** Starts a gateway on free ports. */
 export async function startGateway(name: string, storeAddress: string): Promise<StartedGateway> {
   const ports = await freePorts()
   const settings = parseGatewaySettings(createSettings(name, ports, storeAddress)).unwrap()
--- a/test/platform/support/notice-deployment.ts
+++ b/test/platform/support/notice-deployment.ts
@@ -1,6 +1,6 @@
 /**
  * Gateways and a pool of backend servers that send flow-control notices, and a
- * client that sends requests to the gateways in turn.
+ * client that sends requests to the gateways in round-robin order.
  */
 import type { StartedGateway } from './in-process-gateway.js'
 import type { NoticeBackend } from './notice-pool.js'
--- a/test/platform/support/notice-pool.ts
+++ b/test/platform/support/notice-pool.ts
@@ -10,7 +10,7 @@
 
 const SERVER_TOPIC = 'keyed.servers'
 const REPORT_PATH = '/-/report'
-/** Separates the gateway's name from the rest of a request id. */
+/** Separates the gateway's name from the number in a request id. */
 const NAME_SEPARATOR = '~'
 
 /** Creates a request id that contains the gateway that the client sends the request to. */
--- a/test/platform/support/stand-in-backend.ts
+++ b/test/platform/support/stand-in-backend.ts
@@ -1,6 +1,6 @@
 /**
- * A small stand-in for a backend server behind the platform's wire: plain answers
- * and streams of events, with faults that a test decides.
+ * Stand-in for a backend server that uses the platform's protocol: plain responses
+ * and event streams, with faults injected by tests.
  */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -8,26 +8,26 @@
 import { createServer } from 'node:http'
 import { wait } from '@eidermast/common'
 
-/** One request as the backend server got it. */
+/** A request as received by the backend server. */
 export interface SeenRequest {
   method: string
   path: string
   headers: IncomingMessage['headers']
   body: string
-  /** When it came: milliseconds of the test's clock. */
+  /** When it arrived, in milliseconds of the test's clock. */
   at: number
 }
 
-/** Answers one request. */
+/** Responds to one request. */
 export type Respond = (request: SeenRequest, response: ServerResponse) => void | Promise<void>
 
-/** The id that an answer echoes; probes carry none. */
+/** The header that echoes the request id; probes have no id. */
 function echoedId(request: SeenRequest): Record<string, string> {
   const id = request.headers['attempt-id']
   return typeof id === 'string' ? { 'Attempt-Id': id } : {}
 }
 
-/** Answers whole with the backend server's name. */
+/** Sends a complete response that contains the path. */
 export function answerWhole(status = 200): Respond {
   return (request, response) => {
     response.writeHead(status, { ...echoedId(request), 'Server-Signature': 'signed' })
@@ -35,7 +35,7 @@
   }
 }
 
-/** Streams events after the one that the request names, and breaks off after some. */
+/** Streams `count` events, from the one after the request's last event id; cuts the stream off within the event after `breakAfter`. */
 export function streamEvents(count: number, breakAfter = Number.POSITIVE_INFINITY): Respond {
   return async (request, response) => {
     const from = Number(request.headers['last-event-id'] ?? 0)
@@ -53,19 +53,19 @@
   }
 }
 
-/** Answers without a length; the end of the connection ends the answer. */
+/** Sends a response without a length, which ends with its connection. */
 export function answerUnframed(body: string): Respond {
   return (request, response) => {
     response.socket!.end(`HTTP/1.1 200 OK\r\nAttempt-Id: ${request.headers['attempt-id']}\r\nServer-Signature: signed\r\n\r\n${body}`)
   }
 }
 
-/** Never answers; resolves when its caller has left. */
+/** Never responds; calls `left` when the caller disconnects. */
 export function hang(left: () => void): Respond {
   return (_, response) => void response.on('close', left)
 }
 
-/** A backend server on a port of its own. */
+/** A backend server that listens on its own port. */
 export class StandInBackend {
   readonly seen: SeenRequest[] = []
   respond: Respond = answerWhole()
@@ -93,7 +93,7 @@
     await new Promise(resolve => this.server.close(resolve))
   }
 
-  /** Its entry in the store; takes the milliseconds for which it is cold. */
+  /** Its entry in the store; `coldMs` is the time for which it is cold. */
   entry(state = 'ready', coldMs = 0): object {
     return { ColdRemainingMs: coldMs, Service: this.service, Address: `127.0.0.1:${(this.server.address() as AddressInfo).port}`, Zone: this.failureDomain, Capacity: 4, State: state }
   }
--- a/test/platform/support/stand-in-stages.ts
+++ b/test/platform/support/stand-in-stages.ts
@@ -1,17 +1,17 @@
 /**
- * The stage service of tests: its limits as the operator's configuration has
- * them, and a backend server that makes a result for each item.
+ * The stage service of tests: its limits as in the operator's configuration, and
+ * the responses of a backend server that creates a result for each item.
  */
 import type { Respond } from './stand-in-backend.js'
 import { wait } from '@eidermast/common'
 
-/** Limits of the stage service, in the platform's words. */
+/** Limits of the stage service, in the platform's format. */
 export const STAGE_LIMITS = { Capacity: 1, Queue: 2, Batch: 6, CallMs: 40, ItemMs: 5, HeadroomMb: 5, HandleTtlS: 4, BandwidthMbps: 10_000 }
 
-/** Milliseconds that a call takes. */
+/** Duration of a call. */
 const CALL_MS = 60
 
-/** Makes a result for each item, with handles that no other call has; reports free memory. */
+/** Creates a result for each item, with a unique handle; reports free memory to all other requests. */
 export function makeStageResults(): Respond {
   let made = 0
   return async (seen, response) => {
--- a/test/platform/support/stand-in-store.ts
+++ b/test/platform/support/stand-in-store.ts
@@ -1,6 +1,6 @@
 /**
- * A small stand-in for the platform's store: keyed topics over HTTP, with
- * faults that a test switches on.
+ * Stand-in for the platform's store: keyed topics over HTTP, with faults injected
+ * by tests.
  */
 import type { Server, ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -19,11 +19,11 @@
   Busy = 'busy',
   Reset = 'reset',
   Cut = 'cut',
-  /** Takes calls and never answers them, also after the fault is over. */
+  /** Accepts calls and never responds to them, not even after the fault has ended. */
   Silent = 'silent',
 }
 
-/** Milliseconds for which a read is held where no record waits. */
+/** Maximum wait of a read for new records. */
 const HOLD_MS = 200
 
 /** Keyed topics in memory. */
@@ -32,16 +32,16 @@
   calls = 0
   /** Calls by topic. */
   readonly callsTo = new Map<string, number>()
-  /** Rises by one each time that the store comes back from an older copy; told in every answer. */
+  /** Incremented when the store is restored from a snapshot; sent in every response. */
   era = 1
-  /** Items of one page of the newest records. */
+  /** Maximum number of items in one page of the latest records. */
   pageSize = 500
   /** Called after each page. */
   onPage: (topic: string) => void = () => {}
   private readonly topics = new Map<string, StoredRecord[]>()
-  private readonly dropped = new Map<string, number>()
-  /** Records of each topic in the copy. */
-  private copy = new Map<string, number>()
+  private readonly deletedUpTo = new Map<string, number>()
+  /** Number of records of each topic in the snapshot. */
+  private snapshotLengths = new Map<string, number>()
   private readonly server: Server
 
   constructor() {
@@ -66,20 +66,20 @@
     this.records(topic).push({ key, value: encodeValue(value) })
   }
 
-  /** Forgets the records so far; the newest of each key stay. */
-  dropHistory(topic: string): void {
-    this.dropped.set(topic, this.records(topic).length)
+  /** Deletes the records so far from the history; the latest record of each key remains available. */
+  deleteHistory(topic: string): void {
+    this.deletedUpTo.set(topic, this.records(topic).length)
   }
 
-  /** Remembers what the store holds now. */
-  keepCopy(): void {
-    this.copy = new Map([...this.topics].map(([topic, records]) => [topic, records.length]))
+  /** Takes a snapshot of all topics. */
+  takeSnapshot(): void {
+    this.snapshotLengths = new Map([...this.topics].map(([topic, records]) => [topic, records.length]))
   }
 
-  /** Goes back to what it held when the copy was kept: offsets after that are given out again. */
-  comeBackFromCopy(): void {
+  /** Restores the snapshot: later offsets are reused, in a new era. */
+  restoreSnapshot(): void {
     for (const [topic, records] of this.topics)
-      records.length = this.copy.get(topic) ?? 0
+      records.length = this.snapshotLengths.get(topic) ?? 0
     this.era++
   }
 
@@ -131,8 +131,8 @@
     if (this.fault === StoreFault.Silent)
       return
     response.setHeader('Store-Era', this.era)
-    if (offset < (this.dropped.get(topic) ?? 0) || offset > this.records(topic).length)
-      return void response.writeHead(410).end(JSON.stringify({ first: this.dropped.get(topic) }))
+    if (offset < (this.deletedUpTo.get(topic) ?? 0) || offset > this.records(topic).length)
+      return void response.writeHead(410).end(JSON.stringify({ first: this.deletedUpTo.get(topic) }))
     const header = Buffer.alloc(16)
     const records = this.records(topic).slice(offset).map(encode)
     const bytes = Buffer.concat([header, ...records])
@@ -149,7 +149,7 @@
   }
 }
 
-/** Text as it is, all else as JSON; undefined drops the key. */
+/** Encodes text as it is and all else as JSON; undefined deletes the key. */
 function encodeValue(value: unknown): Buffer {
   if (value === undefined)
     return Buffer.alloc(0)
--- a/test/platform/support/store-line.ts
+++ b/test/platform/support/store-proxy.ts
@@ -1,14 +1,14 @@
 /**
- * The way from one gateway to the store, as a proxy of its own: it can go
- * silent without a word, for the connections that are open or for all.
+ * A TCP proxy between one gateway and the store, which can stop forwarding data
+ * without closing the connections: those that are open, or all.
  */
 import type { AddressInfo, Socket } from 'node:net'
 import { once } from 'node:events'
 import { connect, createServer } from 'node:net'
 
-/** Passes bytes between one gateway and the store. */
-export class StoreLine {
-  /** New connections are taken and bring nothing, as behind a cut. */
+/** Forwards bytes between one gateway and the store. */
+export class StoreProxy {
+  /** Whether new connections are accepted but not forwarded, as in a network partition. */
   isCut = false
   private readonly sockets = new Set<Socket>()
   private readonly silent = new Set<Socket>()
@@ -16,14 +16,14 @@
 
   constructor(private readonly store: string) {}
 
-  /** Resolves with the address that the gateway takes for the store's. */
+  /** Starts the proxy; resolves with its address, which the gateway uses as the store's. */
   async start(): Promise<string> {
     this.server.listen(0, '127.0.0.1')
     await once(this.server, 'listening')
     return `127.0.0.1:${(this.server.address() as AddressInfo).port}`
   }
 
-  /** The connections that are open now stay open and bring nothing more; new ones work. */
+  /** Stops forwarding on the connections that are open now, which stay open; new ones work. */
   silenceOpenConnections(): void {
     for (const socket of this.sockets)
       this.silent.add(socket)
@@ -46,7 +46,7 @@
 
   private join(from: Socket, to: Socket): void {
     this.sockets.add(from)
-    // A socket that ends with an error is closed with its other side.
+    // The handler of `close`, which follows, also closes the other side.
     from.on('error', () => {})
     from.on('data', chunk => this.silent.has(from) || to.write(chunk))
     from.on('close', () => {
--- a/test/soak/domains-soak.test.ts
+++ b/test/soak/domains-soak.test.ts
@@ -122,7 +122,7 @@
     store.fault = [StoreFault.Busy, StoreFault.Reset, StoreFault.Silent][this.draw(3)]
     await wait(300 + this.draw(900))
     store.fault = StoreFault.None
-    store.dropHistory(OPERATOR_TOPIC)
+    store.deleteHistory(OPERATOR_TOPIC)
     trouble.to = performance.now()
   }
 
--- a/test/soak/leaving-soak.test.ts
+++ b/test/soak/leaving-soak.test.ts
@@ -76,7 +76,7 @@
     const { store } = this.deployment
     const kind = this.draw(5)
     if (kind === 4)
-      return store.dropHistory('keyed.servers')
+      return store.deleteHistory('keyed.servers')
     const from = performance.now()
     store.fault = [StoreFault.Busy, StoreFault.Reset, StoreFault.Silent, StoreFault.Silent][kind]
     await wait(300 + this.draw(1200))
--- a/test/soak/support/soak-deployment.ts
+++ b/test/soak/support/soak-deployment.ts
@@ -12,7 +12,7 @@
 import { answerWhole, StandInBackend, streamEvents } from '../../platform/support/stand-in-backend.js'
 import { makeStageResults, STAGE_LIMITS } from '../../platform/support/stand-in-stages.js'
 import { StandInStore } from '../../platform/support/stand-in-store.js'
-import { StoreLine } from '../../platform/support/store-line.js'
+import { StoreProxy } from '../../platform/support/store-proxy.js'
 import { GatewayChild } from './gateway-child.js'
 import { RequestKind } from './soak-clients.js'
 
@@ -71,7 +71,7 @@
   readonly plainPool: CrashingPool | undefined
   gateways: GatewayChild[] = []
   /** The gateways' ways to the store, in their order, where the options ask for them. */
-  lines: StoreLine[] = []
+  lines: StoreProxy[] = []
   private version = 0
 
   constructor(private readonly options: SoakOptions = {}) {
@@ -142,7 +142,7 @@
   private async storeAddressFor(gateway: number, address: string): Promise<string> {
     if (!this.options.ownLines)
       return address
-    this.lines[gateway] = new StoreLine(address)
+    this.lines[gateway] = new StoreProxy(address)
     return this.lines[gateway].start()
   }
 
