--- a/packages/gateway/src/connection/backends/backend-client.ts
+++ b/packages/gateway/src/connection/backends/backend-client.ts
@@ -48,7 +48,7 @@
   NotSent = 'not-sent',
   /** The backend server started to leave before the first byte was sent. */
   Leaving = 'leaving',
-  /** The backend server currently accepts no request, because of its rate limit or a back-off that it requested; no byte was sent. */
+  /** The backend server currently accepts no request, because of its rate limit or a backoff that it requested; no byte was sent. */
   Withheld = 'withheld',
   /** Abandoned by this process while the call waited for a connection; no byte was sent. */
   AbandonedUnsent = 'abandoned-unsent',
--- a/packages/gateway/src/connection/backends/backend-notice.ts
+++ b/packages/gateway/src/connection/backends/backend-notice.ts
@@ -9,7 +9,7 @@
   limitPerSecond?: number
   /** The backend server is leaving and accepts no new work. */
   isLeaving?: boolean
-  /** Time in milliseconds during which this process should send no requests; undefined if no back-off is requested. */
+  /** Time in milliseconds during which this process should send no requests; undefined if no backoff is requested. */
   backoffMs?: number
 }
 
--- a/packages/gateway/src/connection/backends/backend.ts
+++ b/packages/gateway/src/connection/backends/backend.ts
@@ -9,7 +9,7 @@
 
 /** Registry entry of a backend server. */
 export interface BackendRecord {
-  /** Changes with each start of the backend server. */
+  /** A new process may reuse the id of an earlier one, see `born`. */
   id: string
   service: string
   /** `IP:PORT`; may be reused by another backend server later. */
@@ -19,7 +19,7 @@
   capacity: number
   /** It is leaving and is sent no new work. */
   draining: boolean
-  /** Start time of its process in epoch milliseconds, since a new process may reuse the id of an earlier one. Undefined if not reported. */
+  /** Start time of its process in epoch milliseconds, which distinguishes processes with the same id. Undefined if not reported. */
   born?: number
   /** Milliseconds for which the backend server was still cold, and hence slow, when the entry was written. Undefined if it was warm. */
   coldMs?: number
--- a/packages/gateway/src/connection/backends/intake-state.ts
+++ b/packages/gateway/src/connection/backends/intake-state.ts
@@ -11,7 +11,7 @@
  */
 const MAX_TRANSIT_MS = 500
 
-/** Maximum back-off. Without it, a single wrong number could take a backend server out of service for good. */
+/** Maximum backoff. Without it, a single wrong number could take a backend server out of service for good. */
 const MAX_BACKOFF_MS = 600_000
 
 /** A rate limit, or its end, as reported by a peer. */
@@ -28,7 +28,7 @@
   limitPerSecond: number | undefined
   /** It has announced that it is leaving; never reset. */
   isLeaving = false
-  /** End of the back-off that it requested from this process. */
+  /** End of the backoff that it requested from this process. */
   backoffUntil = Number.NEGATIVE_INFINITY
   /** When this process last sent a request to it. */
   lastSentAt = Number.NEGATIVE_INFINITY
@@ -37,7 +37,7 @@
   /** When its rate limit last ended. */
   private limitEndedAt = Number.NEGATIVE_INFINITY
 
-  /** Remaining back-off in milliseconds; 0 if it accepts requests. */
+  /** Remaining backoff in milliseconds; 0 if it accepts requests. */
   backoffMs(now: number): number {
     return Math.max(0, this.backoffUntil - now)
   }
@@ -49,7 +49,7 @@
     return isNew
   }
 
-  /** Starts or extends the back-off. A response to an earlier call that requests a shorter one does not shorten it. */
+  /** Starts or extends the backoff. A response to an earlier call that requests a shorter one does not shorten it. */
   startBackoff(milliseconds: number, now: number): void {
     this.backoffUntil = Math.max(this.backoffUntil, now + Math.min(milliseconds, MAX_BACKOFF_MS))
   }
--- a/packages/gateway/src/connection/backends/revision.ts
+++ b/packages/gateway/src/connection/backends/revision.ts
@@ -1,6 +1,6 @@
 /**
  * Revisions of the platform's list of backend servers. The store that holds the
- * list may be restored from an older copy: its offsets then go back and are
+ * list may be restored from an older snapshot: its offsets then go back and are
  * reused, and its era is incremented. A revision combines era and offset, so that
  * the higher of two revisions is always the newer one.
  */
@@ -10,7 +10,7 @@
 
 /** A position in a topic of the store. */
 export interface TopicPosition {
-  /** Incremented whenever the store is restored from an older copy; 0 if the store reports none. */
+  /** Incremented whenever the store is restored from an older snapshot; 0 if the store reports none. */
   era: number
   offset: number
 }
--- a/packages/gateway/src/connection/backends/work-call.ts
+++ b/packages/gateway/src/connection/backends/work-call.ts
@@ -24,7 +24,7 @@
 
   constructor(
     reason: string,
-    /** Whether the backend server accepts work in general, but no request at the moment (rate limit or back-off). */
+    /** Whether the backend server accepts work in general, but no request at the moment (rate limit or backoff). */
     readonly isWithheld = false,
   ) {
     super(reason)
--- a/packages/gateway/src/process/coordinator-outage-watch.ts
+++ b/packages/gateway/src/process/coordinator-outage-watch.ts
@@ -6,7 +6,7 @@
  * its source of backend servers does not respond (at most one heartbeat old).
  * Rule: restart the reads once each time the coordinator starts to report it.
  * Why: a read on a lost connection gives no error, and gateways that get updates
- * from peers use the longest read time-outs, so the coordinator notices first.
+ * from peers use the longest read timeouts, so the coordinator notices first.
  * It cannot tell a store outage, after which expired entries are written again,
  * from lost connections. A gateway whose restarted read succeeds can: it then
  * follows the list itself instead of the coordinator's grace periods for removed
--- a/packages/gateway/src/process/crashes/quarantine.ts
+++ b/packages/gateway/src/process/crashes/quarantine.ts
@@ -11,7 +11,7 @@
  * before.
  * Why: all requests that were running on a backend server when it crashed look
  * alike. The one that causes crashes is present in each of them; an unrelated
- * request meets one crash, two by chance, and is answered in between. Many
+ * request is present at one crash, or at two by chance, and is answered in between. Many
  * requests may share a fingerprint (queries without a body): when a failure
  * domain with its backend servers goes down, several of them are in flight there
  * at once, and others like them were answered elsewhere just before.
--- a/packages/gateway/src/process/evacuation/evacuation-list.ts
+++ b/packages/gateway/src/process/evacuation/evacuation-list.ts
@@ -7,13 +7,14 @@
  * one heartbeat old), in any order and possibly repeated.
  * Rule: for each failure domain, the order with the highest revision applies. A
  * full read of the records revokes orders that it does not contain and that are
- * older than the read. If the records were restored from an older copy, orders
+ * older than the read. If the records were restored from an older snapshot, orders
  * missing from it stay in force until they appear again.
  * Why: a revoked order is remembered as such, so that a gateway that learns of
  * the revocation before the order does not evacuate afterwards. Orders are few
  * and small; every heartbeat carries all of them, and no gateway depends on its
- * own reads. An older copy lacks orders that operators were told are in force:
- * sending requests there violates them, whereas a pause only costs capacity.
+ * own reads. An older snapshot lacks orders that were acknowledged to operators:
+ * sending requests there violates them, whereas evacuating a failure domain for
+ * longer only costs capacity.
  * Log event: `evacuation`.
  *
  * State: the newest order for each failure domain, in memory. A starting process
--- a/packages/gateway/src/process/gateway.ts
+++ b/packages/gateway/src/process/gateway.ts
@@ -117,7 +117,7 @@
     this.gatewayLog.listening()
   }
 
-  /** Keeps serving until the load balancer sends no more requests and all are answered, or the grace period is over. */
+  /** Shuts down gracefully: serves until the drain plan allows the process to end, shortly before the end of the grace period at the latest. */
   async drain(): Promise<void> {
     const startedAt = performance.now()
     const gracePeriodMs = this.settings.process['grace-period-ms']
--- a/packages/gateway/src/process/membership/members.ts
+++ b/packages/gateway/src/process/membership/members.ts
@@ -123,7 +123,7 @@
     return this.coordinator.name === this.self.name
   }
 
-  /** Whether the coordinator passes on what it has read from the store: all other members send it heartbeats. */
+  /** Whether this process gets what the coordinator has read from the store, in replies to its heartbeats. */
   get receivesPeerUpdates(): boolean {
     return !this.isCoordinator
   }
--- a/packages/gateway/src/process/membership/peer-discovery.ts
+++ b/packages/gateway/src/process/membership/peer-discovery.ts
@@ -18,13 +18,13 @@
  */
 
 /**
- * Time-out from the first read of the directory; equal to the time after which a
+ * Timeout from the first read of the directory; equal to the time after which a
  * silent member counts as failed. Long enough for VMs under start-up load, and
  * limits the delay of requests when peers are frozen.
  */
 const MAX_REPLY_WAIT_MS = 600
 /**
- * Time-out from the start when the store does not answer. On a VM with a quarter
+ * Timeout from the start when the store does not answer. On a VM with a quarter
  * of a core, the directory is read 0.4 to 0.8 s after the first log line when all
  * gateways start together, and later on smaller VMs. Requests that wait much
  * longer miss their targets when the store is unavailable.
--- a/packages/gateway/src/process/read-wait.ts
+++ b/packages/gateway/src/process/read-wait.ts
@@ -11,14 +11,14 @@
  * listed gateways (as of now).
  * Rule: the bounds do not add up: a change hidden by a lost read must take effect
  * by the later of the two. A gateway that gets no updates from peers uses a
- * time-out short enough to detect the loss, read again and pass the change on
+ * timeout short enough to detect the loss, read again and pass the change on
  * within the longer bound. A gateway that does get them may wait for the sum of
  * both bounds, because the change does not depend on its own read; after a read
  * that returned changes it pauses, for longer the more gateways there are. Waits
  * are at least MIN_READ_WAIT_MS. After a failure, reads return at once
  * (`topic-follower.ts`), so only the first one can be lost for that long.
  * Why: a read that a hanging store has accepted never returns, and is detected
- * only by its time-out. With 16.5 s, changes took effect 7 to 10 s late on all
+ * only by its timeout. With 16.5 s, changes took effect 7 to 10 s late on all
  * gateways. Short waits cost calls to the store: 2 s on all gateways cost 0.02 to
  * 0.03 of the score on large sites, so only the gateway that updates the others
  * reads often.
--- a/packages/gateway/src/process/removal-grace.ts
+++ b/packages/gateway/src/process/removal-grace.ts
@@ -16,7 +16,7 @@
  * this process's own source is unavailable, the peer's may have been so too
  * without it noticing: then PEER_REMOVAL_GRACE_MS.
  * Why: backend servers renew their entries and cannot do so while the list is
- * unavailable, so a missing entry does not imply that its backend server is gone.
+ * unavailable, so a missing entry does not imply that its backend server has ended.
  * Without a grace period all of them would be removed at once. A grace period
  * after every failure, or one counted from the moment at which the recovery is
  * detected, sends work to backend servers that have left.
--- a/packages/gateway/src/process/topic-follower.ts
+++ b/packages/gateway/src/process/topic-follower.ts
@@ -2,7 +2,7 @@
  * Follows a compacted topic of the store: reads the latest record of each key,
  * then all further records. After a failure it resumes at its offset, with reads
  * that return at once until one succeeds, because a long-poll read of a hanging
- * store fails only at its time-out. If the store has deleted the history, which
+ * store fails only at its timeout. If the store has deleted the history, which
  * does not count as a failure, it starts again from the latest records. These are
  * read in pages that do not form a consistent snapshot, so reading resumes where
  * the first page ended and skips records that later pages already superseded. If
--- a/test/gateway/crash-tracker.test.ts
+++ b/test/gateway/crash-tracker.test.ts
@@ -26,7 +26,7 @@
     this.trackers.forEach(tracker => tracker.applyReports(owner, reports))
   }
 
-  /** Restores an older copy of the records. */
+  /** Restores an older snapshot of the records. */
   lose(records = new Map<string, CrashReports>()): void {
     this.records = records
     this.trackers.forEach(tracker => tracker.replaceAll(this.records))
--- a/test/gateway/evacuation-list.test.ts
+++ b/test/gateway/evacuation-list.test.ts
@@ -45,7 +45,7 @@
     expect([...list.evacuated]).toEqual(['a'])
   })
 
-  test('stay in force if missing from an older copy, until they appear again', () => {
+  test('stay in force if missing from an older snapshot, until they appear again', () => {
     list.apply(evacuate('a', revisionAt({ era: 1, offset: 40 })))
     list.replaceAll({ revision: revisionAt({ era: 2, offset: 30 }), orders: [] })
     expect([...list.evacuated]).toEqual(['a'])
--- a/test/gateway/stage-load.test.ts
+++ b/test/gateway/stage-load.test.ts
@@ -3,7 +3,7 @@
 import { createChain, createLargeResultStage, simulateStageLoad } from './support/stage-load.js'
 
 const SEEDS = [1, 2]
-/** Time-out of the longest simulations, which take 7 to 16 s. */
+/** Timeout of the longest simulations, which take 7 to 16 s. */
 const LONG_LOAD_MS = 180_000
 const URGENT: RequestClass = { rate: 55, priority: 3, targetMs: 2000, tokens: 800, stages: createChain(0) }
 const LARGE: RequestClass = { rate: 45, priority: 4, targetMs: 1400, tokens: 8000, stages: createLargeResultStage(2) }
--- a/test/platform/backend-backoff.test.ts
+++ b/test/platform/backend-backoff.test.ts
@@ -4,22 +4,22 @@
 import { NoticeDeployment } from './support/notice-deployment.js'
 import { maxWithin } from './support/notice-pool.js'
 
-/** Back-off that a backend server requests (`Retry-After`). */
+/** Backoff that a backend server requests (`Retry-After`). */
 const BACKOFF_S = 3
-/** Time after the response after which the back-off is enforced. */
+/** Time after the response after which the backoff is enforced. */
 const ENFORCED_AFTER_MS = 500
-/** Maximum number of requests from one gateway to a backend server during a back-off. */
+/** Maximum number of requests from one gateway to a backend server during a backoff. */
 const MAX_REQUESTS = 2
 /** Duration for which requests are sent. */
 const TRAFFIC_MS = 8000
-/** Less than a back-off even with the time until all gateways are informed. */
+/** Less than a backoff even with the time until all gateways are informed. */
 const MEASURED_MS = 400
 const POOL_SIZE = 10
 const REQUESTS_PER_SECOND = 40
-/** Higher than the measured rate, so that all gateways are informed well within one back-off. */
+/** Higher than the measured rate, so that all gateways are informed well within one backoff. */
 const SET_UP_REQUESTS_PER_SECOND = 120
 const SET_UP_ROUND_MS = 50
-/** Together with MEASURED_MS less than a back-off. */
+/** Together with MEASURED_MS less than a backoff. */
 const SET_UP_TIMEOUT_MS = 2500
 const REPORT_PATH = '/-/report'
 /** Far below the deadline of the requests. */
@@ -33,7 +33,7 @@
 })
 afterEach(() => deployment.stop())
 
-/** The maximum number of requests that a backend server received from one gateway during a back-off requested from that gateway. */
+/** The maximum number of requests that a backend server received from one gateway during a backoff requested from that gateway. */
 function maxDuringBackoff({ arrivals, rejections }: NoticeBackend): number {
   const duringBackoff = ({ gateway, at }: Arrival): Arrival[] => arrivals.filter(later =>
     later.gateway === gateway && later.at > at + ENFORCED_AFTER_MS && later.at < at + BACKOFF_S * 1000)
@@ -68,8 +68,8 @@
   }
 }
 
-describe('a backend server that rejects a gateway\'s request and requests a back-off', () => {
-  test.each([1, 8])('receives at most two more requests from it until the back-off ends: %i of ten', async (count) => {
+describe('a backend server that rejects a gateway\'s request and requests a backoff', () => {
+  test.each([1, 8])('receives at most two more requests from it until the backoff ends: %i of ten', async (count) => {
     const backingOff = deployment.pool.slice(0, count)
     for (const backend of backingOff)
       backend.notice = { headers: { 'Retry-After': String(BACKOFF_S) }, rejects: true }
@@ -89,7 +89,7 @@
     }
   })
 
-  test('receives requests again when the back-off has ended', async () => {
+  test('receives requests again when the backoff has ended', async () => {
     const [backend] = deployment.pool
     backend.notice = { headers: { 'Retry-After': String(BACKOFF_S) }, rejects: true }
     await deployment.sendFor(1000, REQUESTS_PER_SECOND)
@@ -111,8 +111,8 @@
   })
 })
 
-describe('requests to a service whose backend servers all request a back-off', () => {
-  test.each(['/plain/x', '/staged/x'])('are rejected immediately, with the time until the first back-off ends as retry delay: %s', async (path) => {
+describe('requests to a service whose backend servers all request a backoff', () => {
+  test.each(['/plain/x', '/staged/x'])('are rejected immediately, with the time until the first backoff ends as retry delay: %s', async (path) => {
     for (const backend of deployment.pool)
       backend.notice = { headers: { 'Retry-After': String(BACKOFF_S) }, rejects: true }
     await sendUntilAllInformed(deployment.pool)
--- a/test/platform/backend-notice.test.ts
+++ b/test/platform/backend-notice.test.ts
@@ -28,7 +28,7 @@
   { status: 503, header: undefined, backoffMs: undefined },
   { status: 429, header: '3', backoffMs: undefined },
   { status: 200, header: '3', backoffMs: undefined },
-])('status $status with Retry-After $header requests a back-off of $backoffMs ms', ({ status, header, backoffMs }) => {
+])('status $status with Retry-After $header requests a backoff of $backoffMs ms', ({ status, header, backoffMs }) => {
   expect(readNotice(status, { 'retry-after': header }).backoffMs).toBe(backoffMs)
 })
 
--- a/test/platform/lost-read.test.ts
+++ b/test/platform/lost-read.test.ts
@@ -1,7 +1,7 @@
 /**
  * Guards against requests to backend servers that left while a gateway's read of
  * the backend server list was lost: the connection is dead without an error, and
- * the read is aborted only at its time-out, 4.6 s after it was sent. When gateways
+ * the read is aborted only at its timeout, 4.6 s after it was sent. When gateways
  * learned of backend servers only from their own reads, requests reached a model
  * engine 2.7 and 2.8 s after the store had acknowledged that it was leaving, where
  * the bound is two seconds; the peers had known within milliseconds. Such a gateway
