--- a/packages/gateway/src/connection/backends/backend-connections.ts
+++ b/packages/gateway/src/connection/backends/backend-connections.ts
@@ -62,8 +62,8 @@
 export type ConnectionShare = (service: string) => number
 
 /**
- * Pools by incarnation of a backend server, since a later process with the same id
- * may have another address.
+ * Pools by incarnation of a backend server, since a later process with the same
+ * id may have another address.
  */
 export class BackendConnections {
   private readonly pools = new Map<string, Pool>()
--- a/packages/gateway/src/connection/backends/presence-check.ts
+++ b/packages/gateway/src/connection/backends/presence-check.ts
@@ -7,7 +7,7 @@
 import { connect } from 'node:net'
 import { isConnectionRefused } from '../error-codes.js'
 
-/** Timeout for establishing a connection. Long enough for a busy VM, where 400 ms fails; delays the decisions that depend on the result. */
+/** Timeout for establishing a connection. Long enough for a busy VM; delays the decisions that depend on the result. */
 const CONNECT_TIMEOUT_MS = 800
 
 /** Result of a presence check. */
--- a/packages/gateway/src/connection/peers/intake-message.ts
+++ b/packages/gateway/src/connection/peers/intake-message.ts
@@ -9,7 +9,7 @@
 export interface LimitMessage extends ReportedLimit {
   /** Id of the backend server. */
   backend: string
-  /** Its incarnation, see `incarnationOf`; named so since the first release that sends it. */
+  /** Incarnation of the backend server, see `incarnationOf`. The field keeps its name, as releases run side by side. */
   life: string
 }
 
@@ -24,7 +24,7 @@
 export interface LeavingMessage {
   /** Id of the backend server. */
   backend: string
-  /** Its incarnation, see `incarnationOf`; named so since the first release that sends it. */
+  /** Incarnation of the backend server, see `incarnationOf`. The field keeps its name, as releases run side by side. */
   life: string
 }
 
--- a/packages/gateway/src/connection/peers/peer-clients.ts
+++ b/packages/gateway/src/connection/peers/peer-clients.ts
@@ -1,7 +1,7 @@
 /**
  * Calls to other gateways over a shared connection pool, which is closed when the
- * process ends; peers detect that calls in flight break. Every call rejects if the
- * peer does not respond in time.
+ * process ends; peers detect that calls in flight break. Every call rejects if
+ * the peer does not respond in time.
  */
 import type { TRPCClient } from '@trpc/client'
 import type { Result } from 'ts-results-es'
@@ -23,8 +23,8 @@
  */
 const IDLE_TIMEOUT_MS = 10_000
 /**
- * Timeout of a heartbeat. Long enough for a busy gateway; delays the detection of a
- * frozen one.
+ * Timeout of a heartbeat. Long enough for a busy gateway; delays the detection of
+ * a frozen one.
  */
 const HEARTBEAT_TIMEOUT_MS = 450
 /**
--- a/packages/gateway/src/process/backend-list.ts
+++ b/packages/gateway/src/process/backend-list.ts
@@ -21,7 +21,8 @@
 
 /**
  * Number of recent changes kept for peers. A site of 236 backend servers has
- * several changes per second; a peer that is further behind fetches the whole list.
+ * several changes per second; a peer that is further behind fetches the whole
+ * list.
  */
 const MAX_CHANGES = 200
 
--- a/packages/gateway/src/process/crashes/quarantine.ts
+++ b/packages/gateway/src/process/crashes/quarantine.ts
@@ -11,19 +11,19 @@
  * before.
  * Why: all requests that were running on a backend server when it crashed look
  * alike. The one that causes crashes is present in each of them; an unrelated
- * request is present at one crash, or at two by chance, and is answered in between. Many
- * requests may share a fingerprint (queries without a body): when a failure
- * domain with its backend servers goes down, several of them are in flight there
- * at once, and others like them were answered elsewhere just before.
+ * request is present at one crash, or at two by chance, and is answered in
+ * between. Many requests may share a fingerprint (queries without a body): when a
+ * failure domain with its backend servers goes down, several of them are in
+ * flight there at once, and others like them were answered elsewhere just before.
  * Log events: `quarantine`, `quarantine-ended`, `request-ended` (`outcome`,
  * `reason`).
  */
 import type { CrashReport } from './crash-report.js'
 
 /**
- * Crashes for a quarantine. A request may be present at two crashes by chance, and
- * its client's retry must not be refused; each crash costs a backend server, with
- * all its requests, for some seconds.
+ * Crashes for a quarantine. A request may be present at two crashes by chance,
+ * and its client's retry must not be refused; each crash costs a backend server,
+ * with all its requests, for some seconds.
  */
 const MIN_QUARANTINE_CRASHES = 3
 /**
--- a/packages/gateway/src/process/drain/drain-plan.ts
+++ b/packages/gateway/src/process/drain/drain-plan.ts
@@ -22,8 +22,8 @@
 /**
  * Time from SIGTERM during which new requests are served: two missed checks of
  * the load balancer, one a second (the platform's protocol, section on ingress),
- * and 300 ms for the signal (up to 126 ms late) and a new connection. Requests that
- * were just sent here are not refused, and most of the grace period is left.
+ * and 300 ms for the signal (up to 126 ms late) and a new connection. Requests
+ * that were just sent here are not refused, and most of the grace period is left.
  */
 export const DRAIN_SERVE_MS = 2300
 
--- a/packages/gateway/src/process/evacuation/evacuation-list.ts
+++ b/packages/gateway/src/process/evacuation/evacuation-list.ts
@@ -7,8 +7,8 @@
  * one heartbeat old), in any order and possibly repeated.
  * Rule: for each failure domain, the order with the highest revision applies. A
  * full read of the records revokes orders that it does not contain and that are
- * older than the read. If the records were restored from an older snapshot, orders
- * missing from it stay in force until they appear again.
+ * older than the read. If the records were restored from an older snapshot,
+ * orders missing from it stay in force until they appear again.
  * Why: a revoked order is remembered as such, so that a gateway that learns of
  * the revocation before the order does not evacuate afterwards. Orders are few
  * and small; every heartbeat carries all of them, and no gateway depends on its
--- a/packages/gateway/src/process/intake/backend-intakes.ts
+++ b/packages/gateway/src/process/intake/backend-intakes.ts
@@ -4,11 +4,11 @@
  *
  * Inputs: the headers of its responses to this process, and what peers report of
  * them (rate limit, leaving), as of now; the slots of `slotted-rate-limiter.ts`.
- * Rule: none during a backoff, nor before this gateway's next slot if there is a rate
- * limit; none at all once the backend server has announced that it is leaving, from
- * when on the registry no longer counts it as available. A backoff applies only to the
- * gateway that it was requested from. Probes and reports are always allowed,
- * since they show whether streams in flight are still alive.
+ * Rule: none during a backoff, nor before this gateway's next slot if there is a
+ * rate limit; none at all once the backend server has announced that it is
+ * leaving, from when on the registry no longer counts it as available. A backoff
+ * applies only to the gateway that it was requested from. Probes and reports are
+ * always allowed, since they show whether streams in flight are still alive.
  * Why: the gate is checked when a backend server is chosen and again just before
  * the first byte is sent, since requests wait in between.
  * Log events: `backend-limit`, `backend-rest`, `backend-leaving`,
--- a/packages/gateway/src/process/membership/failure-detection.ts
+++ b/packages/gateway/src/process/membership/failure-detection.ts
@@ -2,8 +2,8 @@
  * Decides when this process considers a gateway failed. Peers do not report
  * failures of other gateways.
  *
- * Inputs: milliseconds since the member last answered a heartbeat (monotonic clock,
- * at most one tick old), and how late this process's own tick is.
+ * Inputs: milliseconds since the member last answered a heartbeat (monotonic
+ * clock, at most one tick old), and how late this process's own tick is.
  * Rule: a member has failed if it has not answered for FAILED_AFTER_MS. Time
  * during which this process itself was paused does not count.
  * Why: several heartbeats may be lost within that time, so that no single one
@@ -26,8 +26,8 @@
 
 /**
  * Time between two ticks from which on the process counts as paused for the whole
- * interval. Above the usual time between ticks, and below FAILED_AFTER_MS, so that
- * a pause of nearly that length does not count as silence of the peers.
+ * interval. Above the usual time between ticks, and below FAILED_AFTER_MS, so
+ * that a pause of nearly that length does not count as silence of the peers.
  */
 const LATE_TICK_MS = 2 * HEARTBEAT_INTERVAL_MS
 
--- a/packages/gateway/src/process/membership/heartbeat-targets.ts
+++ b/packages/gateway/src/process/membership/heartbeat-targets.ts
@@ -24,8 +24,8 @@
 
 /**
  * Members probed for the first time at once. Several, because a probe without an
- * answer takes 0.45 s, by which it would delay finding the successor; few, because
- * a starting process opens a connection for each.
+ * answer takes 0.45 s, by which it would delay finding the successor; few,
+ * because a starting process opens a connection for each.
  */
 const MIN_CONCURRENT_PROBES = 4
 
@@ -42,8 +42,9 @@
 
 /**
  * Unanswered heartbeats to one member at a time. A reply is awaited for at most
- * 450 ms, three intervals. Further heartbeats are sent meanwhile, so that a single
- * lost one does not use up most of the time after which a member counts as failed.
+ * 450 ms, three intervals. Further heartbeats are sent meanwhile, so that a
+ * single lost one does not use up most of the time after which a member counts as
+ * failed.
  */
 const MAX_PENDING_HEARTBEATS = 4
 
--- a/packages/gateway/src/process/membership/members.ts
+++ b/packages/gateway/src/process/membership/members.ts
@@ -5,8 +5,8 @@
  * heartbeats (`peer-monitor.ts`).
  *
  * Owns the member states, in memory. After a restart the process reads the
- * directory again, and uses no other member before it has answered a heartbeat. The election
- * rule is in `coordinator-election.ts`, the shards are in
+ * directory again, and uses no other member before it has answered a heartbeat.
+ * The election rule is in `coordinator-election.ts`, the shards are in
  * `shard-coordinators.ts`.
  */
 import type { EventLog } from '@eidermast/common'
@@ -238,9 +238,9 @@
 
   /**
    * Ranks the members once for all changes of one directory read, then sends the
-   * heartbeats that are due. Ranking after each change cost a starting process 16 ms
-   * of CPU time for the first list of 68 gateways, and 40 ms for the next one after
-   * all had restarted, instead of 3 ms and 0.7 ms.
+   * heartbeats that are due. Ranking after each change cost a starting process 16
+   * ms of CPU time for the first list of 68 gateways, and 40 ms for the next one
+   * after all had restarted, instead of 3 ms and 0.7 ms.
    */
   private scheduleRanking(): void {
     if (this.rankingPending)
--- a/packages/gateway/src/process/peer-service.ts
+++ b/packages/gateway/src/process/peer-service.ts
@@ -28,8 +28,8 @@
 /** Configurations are fetched without delay: they change rarely and must be in force everywhere within seconds. */
 const CONFIGURATION_FETCH_DELAY_MS = 0
 /**
- * Long enough for slow processes to get changes by their own reads; taken from the
- * two seconds during which a leaving backend server may get work.
+ * Long enough for slow processes to get changes by their own reads; taken from
+ * the two seconds during which a leaving backend server may get work.
  */
 const BACKENDS_FETCH_DELAY_MS = 200
 
--- a/packages/gateway/src/process/read-wait.ts
+++ b/packages/gateway/src/process/read-wait.ts
@@ -43,8 +43,8 @@
 export const READ_MARGIN_MS = 700
 
 /**
- * Time for the first retry delay after a failure (`store-backoff.ts`) and the next
- * read, so that a change hidden by the failed read takes effect in time.
+ * Time for the first retry delay after a failure (`store-backoff.ts`) and the
+ * next read, so that a change hidden by the failed read takes effect in time.
  */
 const RETRY_AND_READ_MS = 400
 
@@ -58,8 +58,9 @@
 const MIN_READ_WAIT_MS = 1000
 
 /**
- * Time between selecting a backend server and the arrival of the request there, on
- * a busy VM. A backend server is dropped this much earlier, in case it has left.
+ * Time between selecting a backend server and the arrival of the request there,
+ * on a busy VM. A backend server is dropped this much earlier, in case it has
+ * left.
  */
 const ARRIVAL_MARGIN_MS = 200
 
@@ -78,8 +79,8 @@
 const PAUSE_PER_GATEWAY_MS = 30
 /**
  * Collects several changes in one read. Without a pause, a site of 236 backend
- * servers and 69 gateways made 11,400 to 21,200 calls to the store per minute; with
- * this one, 3,400 to 7,400.
+ * servers and 69 gateways made 11,400 to 21,200 calls to the store per minute;
+ * with this one, 3,400 to 7,400.
  */
 const MIN_PAUSE_MS = 1000
 /** Fraction of the drain bound; the rest is for the next read, in case updates from peers fail to arrive. */
--- a/packages/gateway/src/process/removal-grace.ts
+++ b/packages/gateway/src/process/removal-grace.ts
@@ -10,16 +10,16 @@
  * source is unavailable.
  * Rule: no grace period after an outage too short for entries to expire, unless
  * the list was restored from an older snapshot, which lacks recent writes.
- * Otherwise until REMOVAL_GRACE_MS after the source responded again, but no longer
- * than the platform allows, counted from the earliest possible recovery. For a
- * removal reported by a peer: as long as the peer. If the peer grants none and
- * this process's own source is unavailable, the peer's may have been so too
+ * Otherwise until REMOVAL_GRACE_MS after the source responded again, but no
+ * longer than the platform allows, counted from the earliest possible recovery.
+ * For a removal reported by a peer: as long as the peer. If the peer grants none
+ * and this process's own source is unavailable, the peer's may have been so too
  * without it noticing: then PEER_REMOVAL_GRACE_MS.
  * Why: backend servers renew their entries and cannot do so while the list is
- * unavailable, so a missing entry does not imply that its backend server has ended.
- * Without a grace period all of them would be removed at once. A grace period
- * after every failure, or one counted from the moment at which the recovery is
- * detected, sends work to backend servers that have left.
+ * unavailable, so a missing entry does not imply that its backend server has
+ * ended. Without a grace period all of them would be removed at once. A grace
+ * period after every failure, or one counted from the moment at which the
+ * recovery is detected, sends work to backend servers that have left.
  * Log events: `backend-lapsed`, `backend-removed`.
  */
 import type { SourceOutage } from './platform-adapter.js'
@@ -40,8 +40,8 @@
 /**
  * Together with the 0.4 s that a peer's update takes to arrive, it ends within
  * the two seconds allowed to a connected gateway. Meanwhile backend servers whose
- * entries expired for all gateways stay in use, but requests also go to those that
- * have left.
+ * entries expired for all gateways stay in use, but requests also go to those
+ * that have left.
  */
 const PEER_REMOVAL_GRACE_MS = 1500
 
--- a/test/platform/backend-backoff.test.ts
+++ b/test/platform/backend-backoff.test.ts
@@ -41,8 +41,8 @@
 }
 
 /**
- * Sends requests until each of the given backend servers has rejected a request of
- * each gateway. The other backend servers hold back their responses meanwhile:
+ * Sends requests until each of the given backend servers has rejected a request
+ * of each gateway. The other backend servers hold back their responses meanwhile:
  * since a gateway chooses the backend server with the fewest of its own calls in
  * flight, each request goes to one that has not rejected it yet, and the set-up
  * does not depend on chance.
--- a/test/platform/lost-read.test.ts
+++ b/test/platform/lost-read.test.ts
@@ -3,9 +3,9 @@
  * the backend server list was lost: the connection is dead without an error, and
  * the read is aborted only at its timeout, 4.6 s after it was sent. When gateways
  * learned of backend servers only from their own reads, requests reached a model
- * engine 2.7 and 2.8 s after the store had acknowledged that it was leaving, where
- * the bound is two seconds; the peers had known within milliseconds. Such a gateway
- * logged the change 0.3 to 6.5 s after its peers (`backend-state` with a
+ * engine 2.7 and 2.8 s after the store had acknowledged that it was leaving,
+ * where the bound is two seconds; the peers had known within milliseconds. Such a
+ * gateway logged the change 0.3 to 6.5 s after its peers (`backend-state` with a
  * `noticedWithinMs` of 9 to 12 s). Without updates from peers the tests below
  * count requests until 4.4 s after the read was lost.
  */
--- a/test/platform/support/crashing-pool.ts
+++ b/test/platform/support/crashing-pool.ts
@@ -1,7 +1,7 @@
 /**
- * A pool of stand-in backend servers, each of which crashes when it runs a request
- * with a certain body. As on the platform, it is replaced after some time under a
- * new id, and its old entry expires later.
+ * A pool of stand-in backend servers, each of which crashes when it runs a
+ * request with a certain body. As on the platform, it is replaced after some time
+ * under a new id, and its old entry expires later.
  */
 import type { SeenRequest } from './stand-in-backend.js'
 import type { StandInStore } from './stand-in-store.js'
--- a/test/platform/support/gateway-settings.ts
+++ b/test/platform/support/gateway-settings.ts
@@ -14,10 +14,10 @@
 
 /**
  * Below the ephemeral port range (32768 to 60999 on Linux): an ephemeral port may
- * be assigned to an outgoing connection between the probe and the gateway's start.
- * Test processes that run in parallel use different blocks, and each probes the
- * next port every time, since a gateway listens only some tenths of a second after
- * the probe.
+ * be assigned to an outgoing connection between the probe and the gateway's
+ * start. Test processes that run in parallel use different blocks, and each
+ * probes the next port every time, since a gateway listens only some tenths of a
+ * second after the probe.
  */
 const PORT_RANGE = { first: 10_000, blocks: 100, blockSize: 200 }
 const firstPort = PORT_RANGE.first + (process.pid % PORT_RANGE.blocks) * PORT_RANGE.blockSize
--- a/test/platform/support/notice-pool.ts
+++ b/test/platform/support/notice-pool.ts
@@ -1,7 +1,7 @@
 /**
- * A pool of stand-in backend servers whose responses contain flow-control notices:
- * each adds the headers that the test sets, and may reject requests. Every request
- * is recorded with the gateway that sent it.
+ * A pool of stand-in backend servers whose responses contain flow-control
+ * notices: each adds the headers that the test sets, and may reject requests.
+ * Every request is recorded with the gateway that sent it.
  */
 import type { Respond, SeenRequest } from './stand-in-backend.js'
 import type { StandInStore } from './stand-in-store.js'
--- a/test/platform/support/stand-in-backend.ts
+++ b/test/platform/support/stand-in-backend.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in for a backend server that uses the platform's protocol: plain responses
- * and event streams, with faults injected by tests.
+ * Stand-in for a backend server that uses the platform's protocol: plain
+ * responses and event streams, with faults injected by tests.
  */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
