--- a/packages/gateway/src/process/coordinator-outage-watch.ts
+++ b/packages/gateway/src/process/coordinator-outage-watch.ts
@@ -2,11 +2,11 @@
  * Decides when this gateway restarts its pending reads of the platform's store
  * because the coordinator's reads have failed.
  *
- * Inputs: whether the first coordinator reports, in its heartbeat replies, that
+ * Inputs: whether the overall coordinator reports, in its heartbeat replies, that
  * its source of backend servers does not respond (at most one heartbeat old).
  * Rule: restart the reads once each time the coordinator starts to report it.
  * Why: a read on a lost connection gives no error, and gateways that get updates
- * from peers use the longest read time-outs, so the coordinator notices first.
+ * from peers use the longest read timeouts, so the coordinator notices first.
  * It cannot tell a store outage, after which expired entries are written again,
  * from lost connections. A gateway whose restarted read succeeds can: it then
  * follows the list itself instead of the coordinator's grace periods for removed
@@ -22,7 +22,7 @@
   /** `restartReads` restarts the pending reads. */
   constructor(private readonly restartReads: () => void) {}
 
-  /** Handles a heartbeat reply of the first coordinator. */
+  /** Handles a heartbeat reply of the overall coordinator. */
   handleReply(coordinator: string, isSourceUnavailable: boolean): void {
     const isNew = isSourceUnavailable && this.reportedBy !== coordinator
     this.reportedBy = isSourceUnavailable ? coordinator : undefined
--- a/test/platform/evacuation.test.ts
+++ b/test/platform/evacuation.test.ts
@@ -32,7 +32,7 @@
 }
 
 let store: StandInStore
-let lines: StoreProxy[]
+let proxies: StoreProxy[]
 let gateways: StartedGateway[]
 let backends: StandInBackend[]
 
@@ -41,8 +41,8 @@
 const inDomain = (failureDomain: string): StandInBackend[] => backends.filter(backend => backend.failureDomain === failureDomain)
 
 async function startGatewayBehindProxy(number: number): Promise<void> {
-  lines[number] = new StoreProxy(storeAddress)
-  gateways[number] = await startGateway(`gateway-${number}`, await lines[number].start())
+  proxies[number] = new StoreProxy(storeAddress)
+  gateways[number] = await startGateway(`gateway-${number}`, await proxies[number].start())
 }
 
 let storeAddress: string
@@ -58,7 +58,7 @@
     store.put(SERVER_TOPIC, backend.id, backend.entry())
   }
   store.put(OPERATOR_TOPIC, 'config', CONFIGURATION)
-  lines = []
+  proxies = []
   gateways = []
   await startGatewayBehindProxy(0)
   await vi.waitFor(() => expect(store.newestOf('keyed.eidermast-gateways').has('gateway-0')).toBe(true))
@@ -73,7 +73,7 @@
 
 afterEach(async () => {
   await Promise.all(gateways.map(({ gateway }) => gateway.close()))
-  lines.forEach(line => line.stop())
+  proxies.forEach(proxy => proxy.stop())
   await Promise.all([store.stop(), ...backends.map(backend => backend.stop())])
 })
 
@@ -110,11 +110,11 @@
   test.each([
     ['the store is available', () => {}],
     ['one gateway is cut off from the store', () => {
-      lines[1].isPartitioned = true
-      lines[1].stallOpenConnections()
+      proxies[1].isPartitioned = true
+      proxies[1].stallOpenConnections()
     }],
-    ['the reads of one gateway are lost', () => lines[1].stallOpenConnections()],
-    ['the reads of all gateways are lost', () => lines.forEach(line => line.stallOpenConnections())],
+    ['the reads of one gateway are lost', () => proxies[1].stallOpenConnections()],
+    ['the reads of all gateways are lost', () => proxies.forEach(proxy => proxy.stallOpenConnections())],
   ])('get no requests after the deadline if %s', async (_name, injectFault) => {
     injectFault()
     await wait(100)
@@ -146,7 +146,7 @@
   test('get work again if the withdrawal is in history that the store has deleted', async () => {
     evacuate('zone-a')
     await vi.waitFor(() => gateways.forEach(({ gateway }) => expect(gateway.evacuations.evacuated.size).toBe(1)))
-    lines.forEach(line => line.stallOpenConnections())
+    proxies.forEach(proxy => proxy.stallOpenConnections())
     endEvacuation('zone-a')
     store.deleteHistory(OPERATOR_TOPIC)
     await vi.waitFor(() => gateways.forEach(({ gateway }) => expect(gateway.evacuations.evacuated.size).toBe(0)), { timeout: EVACUATION_MS })
--- a/test/platform/store.test.ts
+++ b/test/platform/store.test.ts
@@ -15,7 +15,7 @@
 let received: string[]
 let following: Promise<void>
 
-function follow(options: Pick<TopicSink, 'restMs'> = {}): void {
+function follow(options: Pick<TopicSink, 'pauseMs'> = {}): void {
   const record = ({ key, value }: KeyedRecord): void => void received.push(`${key}=${value.toString()}`)
   const sink = { snapshot: (records: KeyedRecord[]) => records.forEach(record), record, ...options }
   following = new TopicFollower(client, TOPIC, sink, new PlatformLog(createLog().log)).follow(abortController.signal)
--- a/test/platform/support/notice-pool.ts
+++ b/test/platform/support/notice-pool.ts
@@ -1,7 +1,7 @@
 /**
- * A pool of stand-in backend servers whose responses contain flow-control notices:
- * each adds the headers that the test sets, and may reject requests. Every request
- * is recorded with the gateway that sent it.
+ * A pool of stand-in backend servers whose responses contain flow-control
+ * notices: each adds the headers that the test sets, and may reject requests.
+ * Every request is recorded with the gateway that sent it.
  */
 import type { ReceivedRequest, RequestHandler } from './stand-in-backend.js'
 import type { StandInStore } from './stand-in-store.js'
@@ -10,7 +10,7 @@
 
 const SERVER_TOPIC = 'keyed.servers'
 const REPORT_PATH = '/-/report'
-/** Separates the gateway's name from the rest of a request id. */
+/** Separates the gateway's name from the number in a request id. */
 const NAME_SEPARATOR = '~'
 
 /** Creates a request id that contains the gateway that the client sends the request to. */
