--- a/packages/command-line/src/commands/backend-commands.ts
+++ b/packages/command-line/src/commands/backend-commands.ts
@@ -1,6 +1,6 @@
 /**
- * The command group `backend`: orders backend servers in and out, shows and
- * lists them.
+ * The command group `backend`: orders backend servers into and out of service,
+ * and shows and lists them.
  */
 import type { Backend } from '@eidermast/daemon'
 import type { Command } from 'commander'
@@ -86,7 +86,7 @@
   })
 }
 
-/** The fields that were given, so that the others stay as they were. */
+/** Returns only the fields given on the command line; the others keep their published values. */
 function createOrder(given: BackendOptions): Partial<Backend> {
   const order: Partial<Backend> = {
     order: BackendOrder.In,
--- a/packages/command-line/src/commands/config-commands.ts
+++ b/packages/command-line/src/commands/config-commands.ts
@@ -1,6 +1,6 @@
 /**
- * The command group `config`: check files, show the configuration and its
- * history.
+ * The command group `config`: validates files and shows the configuration and
+ * its history.
  */
 import type { SettingsFault } from '@eidermast/common'
 import type { Command } from 'commander'
@@ -21,10 +21,10 @@
   withOperator,
 } from './command-context.js'
 
-/** Records that `history` shows where no limit is given: a screen of them. */
+/** Records that `history` shows by default: about one screen. */
 const DEFAULT_HISTORY_LIMIT = 50
 
-/** What a file to check may hold. */
+/** Kinds of files that `config check` validates. */
 enum CheckedFile {
   Template = 'template',
   Account = 'account',
@@ -65,7 +65,7 @@
   const faults = findFaults(file, kind)
   if (faults.length > 0)
     failWithFaults(faults)
-  print(globalOptions(command), { file, faults }, [`${file} is good`])
+  print(globalOptions(command), { file, faults }, [`${file} is valid`])
 }
 
 function findFaults(file: string, kind: CheckedFile): SettingsFault[] {
--- a/packages/command-line/src/commands/explain-command.ts
+++ b/packages/command-line/src/commands/explain-command.ts
@@ -1,6 +1,6 @@
 /**
- * The command `explain`: the decisions about one request, from the memory of
- * entries and sides or from the log lines of gateways.
+ * The command `explain`: shows the decisions about one request, from the
+ * decisions that entries and sides keep in memory or from gateway logs.
  */
 import type { Decision } from '@eidermast/daemon'
 import type { Command } from 'commander'
@@ -55,8 +55,8 @@
 }
 
 function describeNothingFound(requestId: string, { read, skipped }: RequestStory): string {
-  const found = `none of the ${read} lines speaks of ${requestId} (${skipped} are no log lines of a gateway)`
-  return `${found}; give the logs of all gateways`
+  const found = `none of the ${read} lines mentions ${requestId} (${skipped} are not gateway log lines)`
+  return `${found}; pass the logs of all gateways`
 }
 
 function formatDecision({ at, by, event, fields }: Decision): string {
--- a/packages/command-line/src/commands/load-command.ts
+++ b/packages/command-line/src/commands/load-command.ts
@@ -1,6 +1,6 @@
 /**
- * The command `load`: sends requests to the entries of the settings and
- * reports how they ended.
+ * The command `load`: sends requests to the configured entries and reports
+ * their outcomes.
  */
 import type { Command } from 'commander'
 import type { GroupReport, LoadKind, LoadReport } from '../load/index.js'
@@ -16,19 +16,18 @@
 const HEADINGS = ['group', 'sent', 'attained', 'attainment', 'late', 'refused', 'wrong', 'lost', 'p50 ms', 'p95 ms', 'p99 ms']
 
 interface LoadOptions {
-  /** Requests a second. */
+  /** Requests per second. */
   rate: number
   seconds: number
   seed: number
 }
 
-/** Requests a second, far below what the smallest deployment serves. */
+/** Requests per second; far below the capacity of the smallest deployment. */
 const DEFAULT_RATE = 50
 
-/** Seconds; a first look. */
 const DEFAULT_SECONDS = 10
 
-/** Any number serves; a fixed one makes two runs send the same. */
+/** A fixed default, so that two runs send the same requests. */
 const DEFAULT_SEED = 1
 
 /** Adds the command `load`. */
@@ -66,7 +65,7 @@
   return value
 }
 
-/** Progress goes to the terminal alone, never into piped output. */
+/** Writes progress to standard error, and only if it is a terminal. */
 function showProgress(sent: number, ended: number): void {
   if (process.stderr.isTTY)
     process.stderr.write(`\rsent ${sent}, answered ${ended} `)
--- a/packages/command-line/src/commands/object-commands.ts
+++ b/packages/command-line/src/commands/object-commands.ts
@@ -1,5 +1,6 @@
 /**
- * The command groups `template` and `account`: publish, delete, show and list.
+ * The command groups `template` and `account`: publish, delete, show and list
+ * objects.
  */
 import type { Command } from 'commander'
 import type { FileKind } from '../object-file.js'
@@ -22,10 +23,10 @@
   base?: number
 }
 
-/** How the help text speaks of one kind of object. */
+/** Help texts for one kind of object. */
 interface GroupText {
   description: string
-  /** Name of an object, for the examples. */
+  /** Object name used in the examples. */
   name: string
 }
 
--- a/packages/command-line/src/commands/status-command.ts
+++ b/packages/command-line/src/commands/status-command.ts
@@ -1,6 +1,6 @@
 /**
- * The command `status`: every process, its configuration offset and what it
- * sees of the others.
+ * The command `status`: shows every process, its configuration offset and its
+ * view of the other processes.
  */
 import type { Command } from 'commander'
 import type { AskedProcess } from '../operator.js'
--- a/packages/command-line/src/configuration-history.ts
+++ b/packages/command-line/src/configuration-history.ts
@@ -1,25 +1,25 @@
 /**
- * The history of the configuration: what folding made of each record that the
- * log still holds. It keeps no state.
+ * The history of the configuration: the outcome of applying each record that
+ * the log still retains. Stateless.
  */
 import type { LogPage } from '@eidermast/daemon'
 import { Configuration, hasGap, parseRecord, RecordKind } from '@eidermast/daemon'
 
-/** One record of the configuration's history. */
+/** A record in the configuration history. */
 export interface HistoryLine {
   offset: number
   /** Epoch milliseconds. */
   time: number
-  /** Kind of the changed object, or of the record; `-` where it cannot be read. */
+  /** Kind of the changed object, or of the record; `-` if the record cannot be parsed. */
   kind: string
   /** Name of the changed object; `-` for other records. */
   name: string
   author: string
-  /** What folding made of the record. */
+  /** Outcome of applying the record. */
   outcome: string
 }
 
-/** Folds the records of a page from the log's first record that is still there. */
+/** Applies the records of a page, starting from the oldest one that the log retains. */
 export function foldHistory(page: LogPage): HistoryLine[] {
   const replay = new Configuration()
   if (hasGap(replay, page))
@@ -35,7 +35,7 @@
   return { offset, time, kind: parsed.kind, name: parsed.name, author: parsed.author, outcome }
 }
 
-/** Begins a replay at the oldest checkpoint; records that it covers count as repeated. */
+/** Starts the replay at the oldest checkpoint; records that the checkpoint covers are reported as repeated. */
 function adoptOldestCheckpoint(configuration: Configuration, page: LogPage): void {
   for (const record of page.records) {
     const parsed = parseRecord(record.value)
--- a/packages/command-line/src/eidermast.ts
+++ b/packages/command-line/src/eidermast.ts
@@ -1,6 +1,6 @@
 /**
- * The operators' command line: one command, then the process ends. It changes
- * the configuration through the platform's log alone and keeps no state.
+ * Entry point of the operators' command line. Each invocation runs one command.
+ * It is stateless and changes the configuration only through the platform's log.
  */
 import { formatError } from '@eidermast/common'
 import { Command } from 'commander'
--- a/packages/command-line/src/exit-codes.ts
+++ b/packages/command-line/src/exit-codes.ts
@@ -1,25 +1,25 @@
 /**
- * The exit codes of the command line: what each one means, which outcome of a
- * publication has which, and the failure that carries one to the program's
- * end. Scripts of operators rely on the numbers.
+ * Exit codes of the command line, their mapping from publication outcomes, and
+ * the error class that carries an exit code. The numbers are a stable interface
+ * for operators' scripts.
  */
 import { PublishOutcome } from '@eidermast/daemon'
 
-/** Exit codes, one for each end that operators must tell apart in scripts. */
+/** Exit codes, one for each result that scripts need to distinguish. */
 export enum ExitCode {
-  /** Done; a change is accepted and in force. */
+  /** Success; a change was accepted and is in force. */
   Accepted = 0,
-  /** The tool itself failed. */
+  /** Internal error. */
   Failed = 1,
-  /** Arguments, settings or an object file are faulty; nothing was sent. */
+  /** Arguments, settings or an object file are invalid; nothing was sent. */
   BadInput = 2,
-  /** Another change of the same object came first; look at it and decide again. */
+  /** The object was changed concurrently; review the newer version before retrying. */
   Conflict = 3,
-  /** The change may have been accepted; look at `eidermast config history`. */
+  /** The change may have been accepted; check `eidermast config history`. */
   Unknown = 4,
-  /** Nobody answered; nothing was changed. */
+  /** No answer; nothing was changed. */
   Unreachable = 5,
-  /** What was asked for does not exist. */
+  /** The requested object does not exist. */
   NotFound = 6,
 }
 
@@ -33,7 +33,7 @@
   [ExitCode.NotFound]: 'not found',
 }
 
-/** The exit code of each outcome of a publication. */
+/** Exit code for each publication outcome. */
 export const PUBLISH_EXIT_CODES: Readonly<Record<PublishOutcome, ExitCode>> = {
   [PublishOutcome.Accepted]: ExitCode.Accepted,
   [PublishOutcome.Conflict]: ExitCode.Conflict,
@@ -41,24 +41,24 @@
   [PublishOutcome.Unreachable]: ExitCode.Unreachable,
 }
 
-/** Ends a command with an exit code; the message says what to do. */
+/** An error that terminates a command with an exit code; the message tells the user what to do. */
 export class CommandFailure extends Error {
   constructor(readonly exitCode: ExitCode, message: string) {
     super(message)
   }
 }
 
-/** The exit code of a command that threw. */
+/** Returns the exit code for an error that a command threw. */
 export function exitCodeOfError(error: unknown): ExitCode {
   return error instanceof CommandFailure ? error.exitCode : ExitCode.Failed
 }
 
-/** The exit code of arguments that were parsed: those that only ask for help are good, all others faulty. */
+/** Maps the exit code of the argument parser: 0 is a request for help, anything else is a usage error. */
 export function exitCodeOfParsing(parserCode: number): ExitCode {
   return parserCode === 0 ? ExitCode.Accepted : ExitCode.BadInput
 }
 
-/** Help text that lists the exit codes. */
+/** Formats the list of exit codes for the help text. */
 export function formatExitCodes(): string {
   const lines = Object.entries(MEANINGS).map(([code, meaning]) => `  ${code}  ${meaning}`)
   return ['Exit codes:', ...lines].join('\n')
--- a/packages/command-line/src/index.ts
+++ b/packages/command-line/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * What the tests may use of the command line; operators run its program.
+ * Exports for the tests. Operators run the `eidermast` program instead.
  */
 export { ExitCode, PUBLISH_EXIT_CODES } from './exit-codes.js'
 export { formatStory, parseLogLine, readStory } from './request-story.js'
--- a/packages/command-line/src/load/load-kind.ts
+++ b/packages/command-line/src/load/load-kind.ts
@@ -1,6 +1,6 @@
 /**
- * Kinds of requests that a load run sends: every published pipeline by every
- * client account, and every plain service.
+ * Kinds of requests that a load run sends: one for each pair of a published
+ * pipeline and a client account, and one for each plain service.
  */
 import type { Account, Configuration, Priority, Template } from '@eidermast/daemon'
 import { BackendRole, ObjectKind } from '@eidermast/daemon'
@@ -9,34 +9,34 @@
 export interface LoadKind {
   name: string
   account: string
-  /** How often it is sent, relative to the others. */
+  /** Relative frequency. */
   weight: number
   priority: Priority | 'service'
   /** Milliseconds. */
   deadlineMs: number
   method: 'GET' | 'POST'
-  /** Path at an entry, for the number of the request. */
+  /** URL path for the request with the given index. */
   path: (index: number) => string
-  /** Text of the input, for the number of the request; undefined for plain services. */
+  /** Input text for the request with the given index; undefined for plain services. */
   input?: (index: number) => string
 }
 
-/** An object of the configuration. */
+/** A configuration object with its name. */
 interface Named<Value> {
   name: string
   value: Value
 }
 
-/** Share of the requests that go to plain services, where there are some. */
+/** Fraction of requests sent to plain services, if any are published. */
 const SERVICE_SHARE = 0.2
 
-/** Milliseconds; plain services have no deadline of their own. It only parts late from attained in the report. */
+/** Plain services have no deadline; this one only separates late from attained requests in the report. */
 const SERVICE_DEADLINE_MS = 1000
 
-/** Inputs begin in this many ways, so that prefixes are shared as in real traffic. */
+/** Number of distinct input prefixes; inputs share prefixes as in production traffic. */
 const TOPICS = 20
 
-/** Kinds from the published configuration, pipelines weighted by the accounts' shares. */
+/** Creates the request kinds from the published configuration; pipelines are weighted by account share. */
 export function createLoadKinds(configuration: Configuration): LoadKind[] {
   const templates = configuration.list(ObjectKind.Template)
   const accounts = configuration.list(ObjectKind.Account)
--- a/packages/command-line/src/load/load-report.ts
+++ b/packages/command-line/src/load/load-report.ts
@@ -1,79 +1,79 @@
 /**
- * The figures of a load run: the form that `eidermast load` prints, and the
- * tally that counts results into it. The tally lives as long as its run.
+ * The report of a load run, which `eidermast load` prints, and the tally that
+ * aggregates results into it. A tally exists for the duration of one run.
  */
 import type { Histogram } from 'hdr-histogram-js'
 import { build } from 'hdr-histogram-js'
 
-/** How a request ended for its caller. */
+/** Outcome of a request as seen by its caller. */
 export enum LoadEnd {
   /** Answered within its deadline. */
   Attained = 'attained',
   /** Answered after its deadline. */
   Late = 'late',
-  /** The entry answered with an error. */
+  /** The entry returned an error. */
   Refused = 'refused',
-  /** An answer of status 200 without an output. */
+  /** Status 200 without an output. */
   Wrong = 'wrong',
-  /** No answer, or one that is no JSON; the reason is in the log `eidermast:load`. */
+  /** No answer, or an answer that is not valid JSON; the reason is logged under `eidermast:load`. */
   Lost = 'lost',
 }
 
-/** Figures of one group of requests. */
+/** Statistics for one group of requests. */
 export interface GroupReport {
   group: string
   sent: number
   attained: number
-  /** Attained by sent; 1 where nothing was sent. */
+  /** Ratio of attained to sent; 1 if nothing was sent. */
   attainment: number
   late: number
   refused: number
   wrong: number
   lost: number
-  /** Milliseconds from the planned arrival, of whole answers. */
+  /** Latency of complete answers in milliseconds, measured from the planned arrival. */
   p50: number
   p95: number
   p99: number
 }
 
-/** Figures of a load run. */
+/** Statistics for a load run. */
 export interface LoadReport {
   seconds: number
   ratePerSecond: number
-  /** Attained requests a second. */
+  /** Attained requests per second. */
   goodputPerSecond: number
   overall: GroupReport
   groups: GroupReport[]
   refusals: Record<string, number>
-  /** Milliseconds from the planned arrival, of refusals. */
+  /** Latency of refusals in milliseconds, measured from the planned arrival. */
   refusalP99: number
-  /** Cost by stage of answered requests, in the operators' own unit. */
+  /** Cost of answered requests by stage, in the unit that operators use in templates. */
   costByStage: Record<string, number>
 }
 
-/** What one stage of a request cost. */
+/** Cost of one stage of a request. */
 export interface StageCost {
   stage: string
-  /** In the operators' own unit. */
+  /** In the unit that operators use in templates. */
   cost: number
 }
 
-/** One finished request. */
+/** Result of a finished request. */
 export interface LoadResult {
   name: string
   account: string
   priority: string
   end: LoadEnd
-  /** Milliseconds from the planned arrival. */
+  /** Latency, measured from the planned arrival. */
   milliseconds: number
   errorKind?: string
   costs: StageCost[]
 }
 
-/** Milliseconds; the longest latency that a histogram tells apart. Far above any deadline, so never reached. */
+/** Upper bound of the latency histograms; far above any deadline. */
 const MAX_LATENCY_MS = 600_000
 
-/** Latencies are kept to 0.1%, in whole milliseconds; finer than any figure printed. */
+/** A precision of 0.1%, which is finer than any printed value. */
 const SIGNIFICANT_DIGITS = 3
 
 function createHistogram(): Histogram {
@@ -84,7 +84,7 @@
   histogram.recordValue(Math.max(1, Math.round(milliseconds)))
 }
 
-/** Counts of one group. */
+/** Aggregates the results of one group. */
 class GroupTally {
   private readonly ends = new Map<LoadEnd, number>()
   private readonly latencies = createHistogram()
@@ -121,7 +121,7 @@
   }
 }
 
-/** Gathers results into a report. */
+/** Aggregates results into a report. */
 export class LoadTally {
   private readonly overall = new GroupTally('all')
   private readonly groups = new Map<string, GroupTally>()
@@ -130,7 +130,7 @@
   private readonly costs: Record<string, number> = {}
   private attained = 0
 
-  /** Number of results so far. */
+  /** Number of results recorded so far. */
   count = 0
 
   add(result: LoadResult): void {
--- a/packages/command-line/src/load/load-request.ts
+++ b/packages/command-line/src/load/load-request.ts
@@ -1,5 +1,5 @@
 /**
- * One request of a load run: sends it and judges what its caller received.
+ * Sends one request of a load run and classifies its answer.
  */
 import type { Dispatcher } from 'undici'
 import type { LoadKind } from './load-kind.js'
@@ -11,34 +11,34 @@
 /** A request to send. */
 export interface LoadRequest {
   kind: LoadKind
-  /** Number of the request in its run. */
+  /** Index of the request within its run. */
   index: number
   entryUrl: string
-  /** When the request was planned, by `performance.now()`. */
+  /** Planned send time, by `performance.now()`. */
   plannedAt: number
   dispatcher: Dispatcher
 }
 
-/** The fields of an entry's answer that a load run reads. */
+/** Fields of an entry's answer that a load run reads. */
 interface Answer {
   output?: string
   kind?: string
   stages?: StageCost[]
 }
 
-/** How a request ended, apart from its time. */
+/** Result of a request without its latency. */
 type Verdict = Pick<LoadResult, 'end' | 'errorKind' | 'costs'>
 
 /**
- * Milliseconds after its deadline for which a caller still listens, so that a
- * late answer is counted as late and not as lost. Half as long counts some late
- * answers as lost; twice as long only delays the run's end.
+ * How long the client keeps waiting after a request's deadline, so that late
+ * answers are counted as late and not as lost. At half this value some late
+ * answers are counted as lost; doubling it only delays the end of the run.
  */
 const PATIENCE_MS = 3000
 
 const log = createLogger('load')
 
-/** Sends a request; every failure to get an answer is a result, `Lost`. */
+/** Sends a request. Never rejects: a request without an answer yields the result `Lost`. */
 export async function sendLoadRequest(load: LoadRequest): Promise<LoadResult> {
   const { name, account, priority } = load.kind
   const verdict = await exchange(load)
--- a/packages/command-line/src/load/load-run.ts
+++ b/packages/command-line/src/load/load-run.ts
@@ -1,8 +1,8 @@
 /**
- * An open-loop load run: requests are sent at their planned times whether or
- * not earlier ones were answered, and latency counts from the planned time.
- * It owns the connections and the count of results until the run ends; if the
- * process dies, the results are lost.
+ * An open-loop load generator: requests are sent at their planned times,
+ * whether or not earlier ones were answered, and latency is measured from the
+ * planned time. It owns the connections and the results until the run ends; if
+ * the process crashes, the results are lost.
  */
 import type { LoadKind } from './load-kind.js'
 import type { LoadReport } from './load-report.js'
@@ -16,32 +16,31 @@
 export interface LoadRunOptions {
   entryUrls: string[]
   kinds: LoadKind[]
-  /** Requests a second, of all kinds together. */
+  /** Total requests per second, over all kinds. */
   ratePerSecond: number
-  /** How long requests are sent; the run ends when the last one has ended. */
+  /** How long requests are sent; the run ends when the last request has completed. */
   seconds: number
-  /** Seed of the arrivals and of the mix of kinds and entries. */
+  /** Seed for arrival times and for the choice of kinds and entries. */
   seed: number
-  /** Called once a second with the number of requests sent and ended. */
+  /** Called once a second with the number of requests sent and completed. */
   onProgress?: (sent: number, ended: number) => void
 }
 
-/** Turns seconds into milliseconds. */
 const MILLISECONDS_PER_SECOND = 1000
 
-/** Milliseconds between two reports of progress; for the eye only. */
 const PROGRESS_INTERVAL_MS = 1000
 
 /**
- * Connections to one entry, one request each. With fewer than the requests in
- * flight the tool itself would delay requests; more costs only sockets.
+ * Connections to one entry, each of which carries one request at a time. With
+ * fewer connections than requests in flight the load generator itself would
+ * delay requests; more only cost sockets.
  */
 const MAX_CONNECTIONS_PER_ENTRY = 2000
 
-/** Values that a draw can take, evenly spread from 0 to 1; fine enough for any mix of kinds. */
+/** Resolution of random fractions; fine enough for any mix of kinds. */
 const RANDOM_STEPS = 1_000_000
 
-/** Runs a load and returns its figures. A request that fails is counted, never thrown. */
+/** Runs a load and returns its report. Failed requests are counted and do not reject the promise. */
 export function runLoad(options: LoadRunOptions): Promise<LoadReport> {
   return new LoadRun(options).run()
 }
@@ -67,7 +66,7 @@
     return this.tally.report(seconds, ratePerSecond)
   }
 
-  /** Sends every request at its planned time; the promises end with the requests. */
+  /** Sends every request at its planned time; each returned promise resolves when its request completes. */
   private async sendAll(): Promise<Promise<void>[]> {
     const pending: Promise<void>[] = []
     const startedAt = performance.now()
@@ -90,7 +89,7 @@
     this.tally.add(await sendLoadRequest({ kind, index, entryUrl, plannedAt, dispatcher: this.agent }))
   }
 
-  /** Milliseconds to the next arrival of a Poisson process. */
+  /** Returns the time in milliseconds until the next arrival of a Poisson process. */
   private drawGap(): number {
     return -Math.log(1 - this.draw()) * (MILLISECONDS_PER_SECOND / this.options.ratePerSecond)
   }
@@ -100,7 +99,7 @@
     return entryUrls[Math.floor(this.draw() * entryUrls.length)]
   }
 
-  /** A kind, each as often as its weight says. */
+  /** Picks a kind at random, in proportion to the weights. */
   private drawKind(): LoadKind {
     const { kinds } = this.options
     let left = this.draw() * this.totalWeight
@@ -112,7 +111,7 @@
     return kinds.at(-1)!
   }
 
-  /** A number from 0 up to, but not including, 1. */
+  /** Returns a random number in the range [0, 1). */
   private draw(): number {
     return unsafeUniformIntDistribution(0, RANDOM_STEPS - 1, this.random) / RANDOM_STEPS
   }
--- a/packages/command-line/src/object-file.ts
+++ b/packages/command-line/src/object-file.ts
@@ -1,6 +1,6 @@
 /**
- * Templates and client accounts as operators write them: INI files with the
- * same keys as the settings style, or JSON in the form that `show` prints.
+ * Parses template and client account files: INI files with kebab-case keys, as
+ * in the settings, or JSON as printed by `show`.
  */
 import type { SettingsFault } from '@eidermast/common'
 import type { ObjectValues } from '@eidermast/daemon'
@@ -66,7 +66,7 @@
   adapters: file.adapters,
 }))
 
-/** Kinds of objects that operators write as files. */
+/** Object kinds that operators maintain as files. */
 export type FileKind = ObjectKind.Template | ObjectKind.Account
 
 const fileSchemas: Record<FileKind, z.ZodType> = {
@@ -74,7 +74,7 @@
   [ObjectKind.Account]: accountFileSchema,
 }
 
-/** Reads and checks an object file; names every fault. */
+/** Reads and validates an object file; reports all errors. */
 export function loadObjectFile<Kind extends FileKind>(kind: Kind, file: string): Result<ObjectValues[Kind], SettingsFault[]> {
   const isJson = file.endsWith('.json')
   return loadSettingsFile(file, (text) => {
--- a/packages/command-line/src/operator.ts
+++ b/packages/command-line/src/operator.ts
@@ -1,8 +1,8 @@
 /**
- * What operators do with a running system, apart from the command line's
- * arguments and output: they change and read the configuration on the
- * platform's log, and ask the daemon's processes. It owns one connection to
- * the log until `close`; connections to processes live for one call.
+ * Operations on a running system, independent of command-line parsing and
+ * output: changes and reads the configuration on the platform's log and queries
+ * the daemon processes. Owns one connection to the log until `close`;
+ * connections to processes are opened for each call.
  */
 import type {
   Configuration,
@@ -35,7 +35,7 @@
 } from '@eidermast/daemon'
 import { foldHistory } from './configuration-history.js'
 
-/** A process that was asked, and its status if it answered. */
+/** A queried process and its status, if it answered. */
 export interface AskedProcess {
   name: string
   /** Host and port. */
@@ -43,11 +43,11 @@
   status?: ProcessStatus
 }
 
-/** Where the processes of a system listen, as host and port. */
+/** Addresses of the processes of a system, as host and port. */
 interface SystemAddresses {
-  /** Undefined where the VM list does not answer. */
+  /** Undefined if the VM list does not answer. */
   entries?: string[]
-  /** Undefined where the log does not answer. */
+  /** Undefined if the log does not answer. */
   sides?: NamedAddress[]
 }
 
@@ -57,15 +57,15 @@
 }
 
 /**
- * Milliseconds for an answer of the log, the VM list or a process. Half as long
- * calls a busy process silent; twice as long makes an operator wait longer for
- * one that is frozen.
+ * Timeout for an answer of the log, the VM list or a process. At half this value
+ * a busy process is reported as silent; doubling it makes operators wait longer
+ * for a process that hangs.
  */
 const ASK_TIMEOUT_MS = 2000
 
 const log = createLogger('operator')
 
-/** Talks to the platform's log and to the system's processes for operators. */
+/** Client for the platform's log and the processes of a system. */
 export class Operator {
   private readonly log: HttpLogClient
 
@@ -73,23 +73,23 @@
     this.log = new HttpLogClient({ url: settings.platform.log, timeoutMs: ASK_TIMEOUT_MS })
   }
 
-  /** Publishes a change of one object, in the name of the user. */
+  /** Publishes a change of one object with the current user as its author. */
   publish(options: PublishOptions): Promise<Publication> {
     return publishChange(this.log, { ...options, author: process.env.USER ?? '' })
   }
 
-  /** The configuration on the log; undefined where the log does not answer. */
+  /** Reads the configuration from the log; undefined if the log does not answer. */
   configuration(): Promise<Configuration | undefined> {
     return readConfiguration(this.log)
   }
 
-  /** Records of the configuration that the log still holds; undefined where it does not answer. */
+  /** Reads the configuration records that the log still retains; undefined if the log does not answer. */
   async history(): Promise<HistoryLine[] | undefined> {
     const page = await this.log.read({ stream: CONFIGURATION_STREAM, from: 0, limit: Number.MAX_SAFE_INTEGER, waitMs: 0 })
     return page.isOk() ? foldHistory(page.value) : undefined
   }
 
-  /** Status of every entry and side that is listed or configured; undefined where neither the VM list nor the log answers. */
+  /** Queries the status of every listed entry and configured side; undefined if neither the VM list nor the log answers. */
   async status(): Promise<AskedProcess[] | undefined> {
     const { entries, sides } = await this.addresses()
     if (!entries && !sides)
@@ -100,7 +100,7 @@
     ])
   }
 
-  /** Decisions about a request, from every process that kept some, oldest first; undefined as for `status`. */
+  /** Collects the decisions about a request from all processes, oldest first; undefined if neither the VM list nor the log answers. */
   async explain(requestId: string): Promise<Decision[] | undefined> {
     const { entries, sides } = await this.addresses()
     if (!entries && !sides)
@@ -147,7 +147,7 @@
 
 type Connect<Client> = (options: PeerConnectionOptions) => Promise<Result<PeerConnection<Client>, ConnectFailure>>
 
-/** Makes one call over a connection that is closed after it; undefined, with the reason in the log, where nobody answers. */
+/** Opens a connection, makes one call and closes the connection; logs the reason and returns undefined if there is no answer. */
 async function callOnce<Client, Value>(
   connect: Connect<Client>,
   peer: PeerConnectionOptions,
--- a/packages/command-line/src/request-story.ts
+++ b/packages/command-line/src/request-story.ts
@@ -1,11 +1,11 @@
 /**
- * The story of one request, from the structured log lines of gateways: JSON
- * objects, one a line, whatever a collector has put before them. Of the lines
- * it relies on `time`, `event` and `process`, and on `request` or `requests`
- * (ids separated by commas) to find those of the request. Every other field is
- * printed as it is, but the failure domain (`failureDomain`; `zone` in lines of
- * older releases), which is the same in all lines of a process. It keeps the
- * lines of one request in memory, no others.
+ * Reconstructs the timeline of one request from structured gateway logs: one
+ * JSON object per line, after an optional prefix that a log collector added.
+ * Every line must have the fields `time`, `event` and `process`; `request` or
+ * `requests` (comma-separated ids) identify the requests that it is about. All
+ * other fields are printed unchanged, except the failure domain
+ * (`failureDomain`; `zone` in logs of older releases), which is the same in all
+ * lines of a process. Only the lines of the request are kept in memory.
  */
 import type { LogFields } from '@eidermast/common'
 import { createReadStream } from 'node:fs'
@@ -13,7 +13,7 @@
 import { formatLine } from '@eidermast/common'
 import * as z from 'zod'
 
-/** Stands for standard input among the names of files. */
+/** File name that denotes standard input. */
 const STANDARD_INPUT = '-'
 
 const valueSchema = z.union([z.string(), z.number(), z.boolean(), z.undefined()])
@@ -23,26 +23,26 @@
   process: z.string(),
 }).catchall(valueSchema)
 
-/** One log line that speaks of the request. */
+/** A parsed log line. */
 export interface StoryLine {
-  /** Milliseconds since the epoch, by the clock of the process. */
+  /** Milliseconds since the epoch, by the clock of the process that logged the line. */
   at: number
   process: string
   event: string
   fields: LogFields
 }
 
-/** What was found about a request. */
+/** The log lines about a request. */
 export interface RequestStory {
-  /** In order of time. */
+  /** Sorted by time. */
   lines: StoryLine[]
-  /** Lines that were read. */
+  /** Number of non-empty lines that were read. */
   read: number
-  /** Lines that are no log lines of a gateway. */
+  /** Number of lines that are not gateway log lines. */
   skipped: number
 }
 
-/** Reads one log line; undefined where it is none. */
+/** Parses a log line; undefined if it is not a gateway log line. */
 export function parseLogLine(text: string): StoryLine | undefined {
   const start = text.indexOf('{')
   if (start < 0)
@@ -52,18 +52,18 @@
     return { at: Date.parse(time), process, event, fields }
   }
   catch {
-    // Nothing is lost: collectors mix in lines of other programs, and the caller counts each as skipped.
+    // Log collectors mix in lines of other programs; the caller counts them as skipped.
     return undefined
   }
 }
 
-/** Whether a line speaks of a request, alone or among others of one call. */
+/** Whether a line is about a request, either alone or as part of a batched call. */
 function concerns(line: StoryLine, requestId: string): boolean {
   const { request, requests } = line.fields
   return request === requestId || (typeof requests === 'string' && requests.split(',').includes(requestId))
 }
 
-/** Collects the lines about a request. */
+/** Collects the log lines about a request. */
 export async function readStory(requestId: string, texts: AsyncIterable<string>): Promise<RequestStory> {
   const story: RequestStory = { lines: [], read: 0, skipped: 0 }
   for await (const text of texts) {
@@ -80,7 +80,7 @@
   return story
 }
 
-/** The lines of files, one file after the other; throws where one cannot be read. */
+/** Yields the lines of the files in order; throws if a file cannot be read. */
 export async function* readLines(files: readonly string[]): AsyncGenerator<string> {
   for (const file of files) {
     const input = file === STANDARD_INPUT ? process.stdin : createReadStream(file)
@@ -88,7 +88,7 @@
   }
 }
 
-/** Formats a story, with times in milliseconds since its first line. */
+/** Formats a timeline with times in milliseconds since its first line. */
 export function formatStory({ lines }: RequestStory): string[] {
   const beginAt = lines[0]?.at ?? 0
   const lastAt = lines.at(-1)?.at ?? 0
--- a/packages/command-line/src/settings.ts
+++ b/packages/command-line/src/settings.ts
@@ -1,13 +1,13 @@
 /**
- * Settings of the command line: an INI file that names the platform, the key
- * and, for load runs, the entries.
+ * Settings of the command line: an INI file with the platform's URLs, the shared
+ * key and, for load runs, the entries.
  */
 import type { SettingsFault } from '@eidermast/common'
 import type { Result } from 'ts-results-es'
 import { loadSettingsFile, optionalSection, parseSettingsText, textSetting } from '@eidermast/common'
 import * as z from 'zod'
 
-/** Values of one key, separated by commas. */
+/** Schema for a comma-separated list. */
 export function commaSeparated(rule: string): z.ZodType<string[]> {
   return z.string({ error: rule })
     .transform(value => value.split(',').map(part => part.trim()).filter(part => part !== ''))
@@ -23,10 +23,10 @@
   callers: optionalSection(z.strictObject({ entries: urls.default([]) })),
 })
 
-/** Checked settings of the command line. */
+/** Validated settings of the command line. */
 export type CommandLineSettings = z.infer<typeof settingsSchema>
 
-/** Reads and checks a settings file; names every fault. */
+/** Reads and validates a settings file; reports all errors. */
 export function loadCommandLineSettings(file: string): Result<CommandLineSettings, SettingsFault[]> {
   return loadSettingsFile(file, text => parseSettingsText(text, settingsSchema))
 }
--- a/packages/stand-ins/src/backend-calls.ts
+++ b/packages/stand-ins/src/backend-calls.ts
@@ -1,7 +1,7 @@
 /**
- * The calls that a side makes to its backend server, as the stand-in reads
- * them. They are spelled out here and not taken from the daemon, so that a
- * change of the daemon's own messages shows as a refused call.
+ * Schemas of the calls that a side makes to its backend server. They are defined
+ * here and not imported from the daemon, so that an incompatible change of the
+ * daemon's messages shows up as a rejected call.
  */
 import { Priority } from '@eidermast/daemon'
 import * as z from 'zod'
@@ -19,16 +19,16 @@
   stream: z.boolean(),
 })
 
-/** A run of a stage that a side asks for. */
+/** A side's request to run a stage. */
 export type Run = z.infer<typeof runSchema>
 
 export const orderSchema = z.object({
-  /** Grows with each order; an engine that checks fences refuses an older one. */
+  /** Fencing token; increases with each order. An engine that checks fences rejects an order with a lower one. */
   fence: z.int(),
   model: z.string().optional(),
   version: z.string().optional(),
   adapters: z.array(z.string()),
 })
 
-/** An order to hold a model, its version and adapters. */
+/** An order to load a model with its version and adapters. */
 export type Order = z.infer<typeof orderSchema>
--- a/packages/stand-ins/src/backend-service.ts
+++ b/packages/stand-ins/src/backend-service.ts
@@ -1,8 +1,8 @@
 /**
- * Stand-in of a backend server: a model engine, a pool member (encoder,
- * retriever, reranker) or a plain service. What it puts out is a function of
- * its input alone (see outputs.ts). Orders and running work live in memory and
- * end with the process; started runs are appended to a file, which outlives it.
+ * Stand-in for a backend server: a model engine, a pool member (encoder,
+ * retriever, reranker) or a plain service. Its output depends only on its input
+ * (see outputs.ts). Orders and running work are held in memory and lost with the
+ * process; started runs are appended to a file, which survives it.
  */
 import type { ServerResponse } from 'node:http'
 import type { Order, Run } from './backend-calls.js'
@@ -17,37 +17,37 @@
 import { appendRun } from './run-counts.js'
 import { Slots } from './slots.js'
 
-/** What a backend server is. */
+/** Kinds of backend servers. */
 export enum BackendKind {
   Engine = 'engine',
   Pool = 'pool',
   Plain = 'plain',
 }
 
-/** Options of a backend server. */
+/** Options for a backend server. */
 export interface BackendServiceOptions {
   kind: BackendKind
-  /** Runs at once; more wait inside. */
+  /** Maximum number of concurrent runs; further runs are queued. */
   slots: number
-  /** Milliseconds of every run. */
+  /** Duration of a run in milliseconds, without its tokens. */
   baseMs: number
-  /** Milliseconds of every generated token. */
+  /** Duration of each generated token in milliseconds. */
   tokenMs: number
-  /** Whether orders with an old fence are refused. */
+  /** Whether orders with an outdated fence are rejected. */
   checksFences: boolean
-  /** File to which every run is appended, so that counts outlive a kill. */
+  /** File to which every run is appended, so that counts survive a kill. */
   runsFile?: string
 }
 
-/** Name under which a call of a plain service is counted. */
+/** Stage name under which calls to a plain service are counted. */
 const PLAIN_CALL_STAGE = 'call'
 
-/** A backend server's state and its HTTP interface. */
+/** State and HTTP interface of a backend server. */
 export class BackendService {
   private faults: BackendFaults = backendFaultsSchema.parse({})
   private readonly slots: Slots
   private readonly orders: Order[] = []
-  /** Changes with every start, so that a side notices a restart. */
+  /** Differs for every start, so that a side can detect a restart. */
   private readonly instance = randomUUID()
   private startedRuns = 0
   private draining = false
@@ -56,17 +56,17 @@
     this.slots = new Slots(options.slots)
   }
 
-  /** Starts listening; port 0 takes one from the system. */
+  /** Starts listening; port 0 lets the operating system choose a port. */
   start(port: number): Promise<StandInService> {
     return startService(call => this.handle(call), port)
   }
 
-  /** Refuses new runs and says so in the load from now on; running work goes on. */
+  /** Rejects new runs from now on and reports `draining` in the load; running work continues. */
   beginDrain(): void {
     this.draining = true
   }
 
-  /** Whether nothing runs and nothing waits. */
+  /** Whether no run is active or queued. */
   get idle(): boolean {
     return this.slots.idle
   }
@@ -96,7 +96,7 @@
   private takeOrder(call: StandInCall): void {
     const order = orderSchema.parse(JSON.parse(call.body))
     if (this.options.checksFences && this.currentOrder && order.fence < this.currentOrder.fence)
-      return sendJson(call.response, 409, { message: 'the fence is old' })
+      return sendJson(call.response, 409, { message: 'the fence is outdated' })
     this.orders.push(order)
     sendJson(call.response, 200, {})
   }
@@ -154,13 +154,13 @@
     response.end()
   }
 
-  /** Generates without streaming; stops when the caller goes. */
+  /** Generates without streaming; stops when the caller disconnects. */
   private async generate(count: number, response: ServerResponse): Promise<void> {
     for (let index = 0; index < count && !response.destroyed; index++)
       await this.work(this.options.tokenMs)
   }
 
-  /** A call of a plain service: answers with what it was asked. */
+  /** Handles a call to a plain service: echoes the request. */
   private async serveCall({ method, path, body, request, response }: StandInCall): Promise<void> {
     if (this.options.kind !== BackendKind.Plain)
       return sendJson(response, 404, { message: 'no such path' })
@@ -172,7 +172,7 @@
     this.reply(response, { method, path: path + request.url!.slice(path.length), received: body, requestId })
   }
 
-  /** Counts a run that starts, ends the process where that fault is set, and says whether the run is to fail. */
+  /** Records the start of a run, exits if the fault `die` is set, and returns whether the run is to fail. */
   private begin(account: string, requestId: string, stage: string): boolean {
     if (this.options.runsFile !== undefined)
       appendRun(this.options.runsFile, `${account}/${requestId}/${stage}`)
@@ -181,7 +181,7 @@
     return this.drawFailure()
   }
 
-  /** Fails a fixed share of runs, evenly spread. */
+  /** Fails a fixed share of the runs, evenly spaced. */
   private drawFailure(): boolean {
     const failedBefore = Math.floor(this.startedRuns * this.faults.failShare)
     this.startedRuns++
--- a/packages/stand-ins/src/daemon-status.ts
+++ b/packages/stand-ins/src/daemon-status.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the status of a deployment's daemon processes, as operators get it,
- * and waits until all of them serve. It keeps no state.
+ * Reads the status of a deployment's daemon processes over the operators'
+ * interface and waits until all of them are ready. Stateless.
  */
 import type { PeerConnection, ProcessStatus } from '@eidermast/daemon'
 import type { ProcessGroup } from './process-group.js'
@@ -10,54 +10,53 @@
 import { ProcessKind } from './process-group.js'
 
 /**
- * Milliseconds for every process to serve. A busy machine starts the small
- * deployment in several seconds; half as long fails tests there, twice as long
- * only delays the report of a process that never serves.
+ * Timeout for all processes to become ready. On a busy machine the small
+ * deployment takes several seconds to start; half this value fails tests there,
+ * and doubling it only delays the report of a process that never becomes ready.
  */
 const READY_TIMEOUT_MS = 15_000
 
-/** Milliseconds for one status call; a frozen process costs a caller this much. */
+/** Timeout for one status call; a call to a frozen process takes this long. */
 const STATUS_TIMEOUT_MS = 2000
 
-/** Milliseconds between two looks at a process that is not ready. */
 const POLL_INTERVAL_MS = 50
 
-/** Status of entries and sides. */
+/** Queries the status of entries and sides. */
 export class DaemonStatus {
   constructor(private readonly group: ProcessGroup, private readonly key: string) {}
 
-  /** Status of an entry; undefined where it does not answer in time. */
+  /** Returns the status of an entry; undefined if it does not answer in time. */
   async entryStatus(name: string): Promise<ProcessStatus | undefined> {
     const opened = await connectEntry(this.peerOf(name))
     return opened.isOk() ? readStatus(opened.value, client => client.status.query()) : undefined
   }
 
-  /** Status of a side; undefined where it does not answer in time. */
+  /** Returns the status of a side; undefined if it does not answer in time. */
   async sideStatus(name: string): Promise<ProcessStatus | undefined> {
     const opened = await connectSide(this.peerOf(name))
     return opened.isOk() ? readStatus(opened.value, client => client.status.query()) : undefined
   }
 
-  /** Waits until every side takes work, and then until every entry sees that; throws after 15 s. */
+  /** Waits until every side accepts work and every entry uses all backend servers; throws after READY_TIMEOUT_MS. */
   async waitUntilReady(): Promise<void> {
     const sides = this.group.list(ProcessKind.Side)
     const latest = Date.now() + READY_TIMEOUT_MS
     for (const { name } of sides)
-      await waitUntil(() => this.takesWork(name), latest, `${name} takes no work`)
+      await waitUntil(() => this.takesWork(name), latest, `${name} did not accept work`)
     for (const { name } of this.group.list(ProcessKind.Entry)) {
       const seesAll = async (): Promise<boolean> => await this.countInForce(name) >= sides.length
-      await waitUntil(seesAll, latest, `${name} does not see every backend server in force`)
+      await waitUntil(seesAll, latest, `${name} did not have every backend server in force`)
     }
   }
 
-  /** Whether a side takes work and has seen that its backend server is the one that runs now. */
+  /** Whether a side accepts work and has detected the current instance of its backend server. */
   private async takesWork(sideName: string): Promise<boolean> {
     const status = await this.sideStatus(sideName)
     const seen = status?.detail.find(line => line.subject === 'backend-instance')?.text
     return status?.ready === true && seen === await readInstance(this.group.find(`${sideName}.backend`).url!)
   }
 
-  /** Number of backend servers that an entry uses. */
+  /** Counts the backend servers that an entry uses. */
   private async countInForce(entryName: string): Promise<number> {
     const status = await this.entryStatus(entryName)
     return status?.detail.filter(line => line.text === MemberState.InForce).length ?? 0
@@ -86,7 +85,7 @@
 async function waitUntil(holds: () => Promise<boolean>, latest: number, message: string): Promise<void> {
   while (!await holds()) {
     if (Date.now() > latest)
-      throw new Error(`${message} within ${READY_TIMEOUT_MS} ms; see its log in the deployment's directory`)
+      throw new Error(`${message} within ${READY_TIMEOUT_MS} ms; see its log in the deployment directory`)
     await wait(POLL_INTERVAL_MS)
   }
 }
--- a/packages/stand-ins/src/demo.ts
+++ b/packages/stand-ins/src/demo.ts
@@ -1,7 +1,7 @@
 /**
- * The demonstration: starts a small deployment, serves requests of both users'
- * kinds and checks that none is lost or doubled. Exits with 1 where one is, or
- * where an answer is not whole.
+ * The demo: starts a small deployment, sends it requests of both users' pipelines
+ * and checks that none is lost or executed twice. Exits with 1 if one is, or if an
+ * answer is incomplete.
  */
 import type { Deployment } from './deployment.js'
 import { request } from 'undici'
@@ -10,7 +10,7 @@
 import { expectedAnswer } from './outputs.js'
 import { RunningSystem } from './running-system.js'
 
-/** A request of the demonstration. */
+/** A request that the demo sends `count` times. */
 interface DemoRequest {
   title: string
   account: string
@@ -19,7 +19,7 @@
   count: number
 }
 
-/** What came of a request. */
+/** Result of a request. */
 interface DemoResult {
   requestId: string
   account: string
@@ -30,7 +30,7 @@
   text: string
 }
 
-/** Characters of an answer that are shown. */
+/** Number of characters of an answer that are printed. */
 const SHORT_LENGTH = 60
 
 const REQUESTS: DemoRequest[] = [
@@ -77,12 +77,12 @@
     count: 5,
   },
 ]
-/** Calls of the plain service. */
+/** Number of calls to the plain service. */
 const STOP_LOOKUPS = 10
 
 const deployment = resolveDeployment(DeploymentName.Small)
 const system = await RunningSystem.launch({ deployment })
-console.log(`${system.processes.size} processes run, each with its own id`)
+console.log(`${system.processes.size} processes are running, each with its own process id`)
 try {
   process.exitCode = await demonstrate(system)
 }
@@ -152,7 +152,7 @@
   return running.entryUrls[index % running.entryUrls.length]
 }
 
-/** The stages of a pipeline as its expected answer needs them. */
+/** Returns the stages of a pipeline in the form that `expectedAnswer` takes. */
 function expectedStages({ templates }: Deployment, pipeline: string) {
   const { stages } = templates.find(candidate => candidate.name === pipeline)!.value
   return stages.map(stage => ({ name: stage.name, tokens: stage.model ? stage.maxTokens : 0 }))
--- a/packages/stand-ins/src/deployment.ts
+++ b/packages/stand-ins/src/deployment.ts
@@ -1,28 +1,28 @@
 /**
  * The users' deployments: failure domains, backend servers, templates and
- * client accounts at the sizes that they run today.
+ * client accounts, in the sizes that are in production.
  */
 import type { Account, Template } from '@eidermast/daemon'
 import { accountSchema, Priority, templateSchema } from '@eidermast/daemon'
 import { BackendKind } from './backend-service.js'
 
-/** The users' deployments, and a small one for tests. */
+/** Names of the users' deployments, and of a small one for tests. */
 export enum DeploymentName {
   Coventry = 'coventry',
   Montevideo = 'montevideo',
   Small = 'small',
 }
 
-/** Backend servers of one service. */
+/** The backend servers of one service. */
 export interface PoolDeployment {
   service: string
   kind: BackendKind
   replicas: number
-  /** Runs at once in one backend server. */
+  /** Maximum number of concurrent runs per backend server. */
   slots: number
-  /** Milliseconds of a run, without its tokens. */
+  /** Duration of a run in milliseconds, without its tokens. */
   baseMs: number
-  /** Milliseconds of a token. */
+  /** Duration of each generated token in milliseconds. */
   tokenMs: number
   model?: string
   version?: string
@@ -35,7 +35,6 @@
   value: Value
 }
 
-/** A whole deployment. */
 export interface Deployment {
   name: DeploymentName
   failureDomains: string[]
@@ -175,22 +174,21 @@
   },
 }
 
-/** Resolves a deployment by its name. */
 export function resolveDeployment(name: DeploymentName): Deployment {
   return DEPLOYMENTS[name]
 }
 
-/** Name of a backend server, of its side and of its VM. */
+/** Returns the name shared by a backend server, its side and its VM. */
 export function backendName(pool: PoolDeployment, index: number): string {
   return `${pool.service}-${index + 1}`
 }
 
-/** Every second backend server refuses orders with an old fence, so that a deployment has both sorts. */
+/** Every other backend server rejects orders with an outdated fence, so that a deployment contains both variants. */
 export function checksFences(index: number): boolean {
   return index % 2 === 0
 }
 
-/** The failure domain of a process, by its place among those of its kind. */
+/** Assigns failure domains round-robin, by the index of a process among those of its kind. */
 export function failureDomain({ failureDomains }: Deployment, index: number): string {
   return failureDomains[index % failureDomains.length]
 }
--- a/packages/stand-ins/src/faults.ts
+++ b/packages/stand-ins/src/faults.ts
@@ -1,50 +1,50 @@
 /**
- * The fault switches of every stand-in. A switch is set by `POST /faults` and
- * stays until the next such call, which turns off what it does not name.
+ * Fault injection for the stand-ins. `POST /faults` sets the faults of a stand-in
+ * until the next such call; faults that a call does not name are turned off.
  */
 import * as z from 'zod'
 
-/** How the log fails while it is out. */
+/** Ways in which the log can be unavailable. */
 export enum LogOutage {
   None = 'none',
-  /** Answers 503 to everything. */
+  /** Answers every call with 503. */
   Refuse = 'refuse',
-  /** Answers nothing. */
+  /** Leaves calls unanswered. */
   Hang = 'hang',
 }
 
 export const logFaultsSchema = z.strictObject({
   outage: z.enum(LogOutage).default(LogOutage.None),
-  /** Milliseconds added to every answer. */
+  /** Delay added to every answer. */
   delayMs: z.number().min(0).default(0),
-  /** Number of appends whose acknowledgement is lost after the append. */
+  /** Number of appends that are stored but not acknowledged. */
   dropAcknowledgements: z.int().min(0).default(0),
-  /** Number of appends that are stored a second time, a while later. */
+  /** Number of appends that are stored again after a delay. */
   repeatAppends: z.int().min(0).default(0),
-  /** Whether every append is refused for its rate. */
+  /** Whether every append is rejected as exceeding the rate limit. */
   refuseAppends: z.boolean().default(false),
 })
 
 export const virtualMachineListFaultsSchema = z.strictObject({
-  /** Whether every call is answered 503. */
+  /** Whether every call is answered with 503. */
   out: z.boolean().default(false),
 })
 
 export const weightStoreFaultsSchema = z.strictObject({
-  /** Milliseconds added to every answer. */
+  /** Delay added to every answer. */
   delayMs: z.number().min(0).default(0),
 })
 
 export const backendFaultsSchema = z.strictObject({
-  /** Service times are multiplied by this. */
+  /** Factor by which service times are multiplied. */
   slowFactor: z.number().min(0).default(1),
-  /** Share of runs that fail after they started, from 0 to 1. */
+  /** Fraction of runs that fail after they have started. */
   failShare: z.number().min(0).max(1).default(0),
-  /** Number of runs that finish but whose reply is dropped. */
+  /** Number of runs that complete but whose reply is dropped. */
   dropReplies: z.int().min(0).default(0),
-  /** Number of streams that are cut in the middle. */
+  /** Number of streams that are truncated halfway. */
   cutStreams: z.int().min(0).default(0),
-  /** Whether the process ends at the next run, after it has started. */
+  /** Whether the process exits at the next run, after recording its start. */
   die: z.boolean().default(false),
 })
 
@@ -60,5 +60,5 @@
 /** Faults of a backend server. */
 export type BackendFaults = z.infer<typeof backendFaultsSchema>
 
-/** What can be set at a stand-in; what is not named is off. */
+/** Faults that can be set on a stand-in; omitted ones are off. */
 export type StandInFaults = Partial<LogFaults> | Partial<VirtualMachineListFaults> | Partial<WeightStoreFaults> | Partial<BackendFaults>
--- a/packages/stand-ins/src/first-configuration.ts
+++ b/packages/stand-ins/src/first-configuration.ts
@@ -1,6 +1,6 @@
 /**
- * The configuration with which a launched deployment begins: its templates,
- * client accounts and backend servers, each as a record for the log.
+ * The initial configuration of a launched deployment: its templates, client
+ * accounts and backend servers, each as a change record for the log.
  */
 import type { ChangeRecord } from '@eidermast/daemon'
 import type { Deployment, PoolDeployment } from './deployment.js'
@@ -10,9 +10,9 @@
 import { backendName, checksFences, failureDomain } from './deployment.js'
 
 /**
- * Creates the records.
- * @param deployment What is published.
- * @param addressOf Host and port of the side beside a backend server, by its name.
+ * Creates the change records of the initial configuration.
+ * @param deployment The deployment to publish.
+ * @param addressOf Returns host and port of the side of a backend server, by name.
  */
 export function createFirstConfiguration(deployment: Deployment, addressOf: (name: string) => string): ChangeRecord[] {
   const { templates, accounts, pools } = deployment
--- a/packages/stand-ins/src/http-service.ts
+++ b/packages/stand-ins/src/http-service.ts
@@ -1,5 +1,5 @@
 /**
- * A small HTTP service for stand-ins: JSON in, JSON out.
+ * A minimal HTTP server with JSON bodies, on which the stand-ins are built.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -15,7 +15,7 @@
   response: ServerResponse
 }
 
-/** Answers a call by writing to its response. */
+/** Handles a call and writes its response. */
 export type StandInHandler = (call: StandInCall) => Promise<void> | void
 
 /** A listening stand-in. */
@@ -26,12 +26,12 @@
 }
 
 /**
- * Milliseconds for which an idle connection stays open: longer than any test,
- * so that no caller meets a connection that closes as it sends.
+ * Longer than any test, so that the server never closes an idle connection while
+ * a caller is sending a request on it.
  */
 const KEEP_ALIVE_MS = 600_000
 
-/** Starts a stand-in on loopback with a port from the system. */
+/** Starts a server on loopback; port 0 lets the operating system choose a port. */
 export async function startService(handler: StandInHandler, port = 0): Promise<StandInService> {
   const server = createServer({ keepAliveTimeout: KEEP_ALIVE_MS }, (request, response) => {
     void serve(handler, request, response)
@@ -66,7 +66,7 @@
   }
 }
 
-/** Sends a JSON answer. */
+/** Sends a JSON response, unless the caller has disconnected. */
 export function sendJson(response: ServerResponse, status: number, body: unknown): void {
   if (response.destroyed)
     return
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -1,6 +1,5 @@
 /**
- * What the tests may use of the stand-ins. Nothing of the product relies on
- * this package.
+ * Exports for the tests. No production code depends on this package.
  */
 export { DeploymentName, resolveDeployment } from './deployment.js'
 export { LogOutage } from './faults.js'
--- a/packages/stand-ins/src/launcher.ts
+++ b/packages/stand-ins/src/launcher.ts
@@ -1,9 +1,9 @@
 /**
- * Launches a whole deployment on loopback, each part as a process of its own
- * with a port from the system: the platform's stand-ins, backend servers with
- * their sides, entries; then publishes the first configuration. For the demo
- * and the tests. What it started belongs to the process group of its caller,
- * also where it fails half-way.
+ * Launches a deployment on loopback for the demo and the tests: the platform's
+ * stand-ins, backend servers with their sides, and entries, each as a separate
+ * process on a port that the operating system chooses; then publishes the initial
+ * configuration. Started processes belong to the caller's process group, even if
+ * the launch fails partway.
  */
 import type { Deployment, PoolDeployment } from './deployment.js'
 import type { LaunchedProcess, ProcessGroup } from './process-group.js'
@@ -19,29 +19,29 @@
 import { runsFile } from './run-counts.js'
 import { writeCommandLineSettings, writeDaemonSettings } from './settings-files.js'
 
-/** Options of a launch. */
+/** Options for launching a deployment. */
 export interface LaunchOptions {
   deployment: Deployment
   /**
-   * Settings to put into every entry's section `entry`.
+   * Additional settings for the section `entry` of every entry.
    * @default {}
    */
   entrySettings?: SectionSettings
   /**
-   * Settings to put into every section `platform`.
+   * Additional settings for the section `platform` of every daemon process.
    * @default {}
    */
   platformSettings?: SectionSettings
   /**
-   * Milliseconds for which the log keeps records.
+   * Retention period of the log in milliseconds.
    * @default 86400000
    */
   retentionMs?: number
 }
 
-/** Where a deployment is launched. */
+/** Resources that the caller provides for a launch. */
 export interface LaunchPlace {
-  /** Holds the settings, logs and run counts of the processes. */
+  /** Directory for the settings, logs and run counts of the processes. */
   directory: string
   /** Shared key of the system's processes. */
   key: string
@@ -58,13 +58,13 @@
 const DAEMON_PROGRAM = path.join(path.dirname(require.resolve('@eidermast/daemon')), '..', 'bin', 'eidermastd.js')
 
 /**
- * Backend servers that are started at once. Half as many makes a launch slower,
- * twice as many makes starts compete for the processor until one is not
- * listening in time.
+ * Maximum number of backend servers that start concurrently. Half as many makes
+ * a launch slower; with twice as many, processes compete for the CPU until one
+ * does not listen before its timeout.
  */
 const MAX_CONCURRENT_STARTS = 8
 
-/** Starts every process and publishes the configuration; the VMs are not listed yet. Throws where a process does not listen. */
+/** Starts all processes and publishes the configuration, but does not list the VMs. Throws if a process does not start listening. */
 export async function launchProcesses(options: LaunchOptions, place: LaunchPlace): Promise<PlatformUrls> {
   const platform = await startPlatform(place.group, options.retentionMs ?? DAY_MS)
   const launch: Launch = { ...place, options, platform }
@@ -91,7 +91,7 @@
   await runLimited(starts, MAX_CONCURRENT_STARTS)
 }
 
-/** Starts a backend server and the side beside it. */
+/** Starts a backend server and its side. */
 async function startBackend(launch: Launch, pool: PoolDeployment, index: number): Promise<void> {
   const name = backendName(pool, index)
   const backend = await startStandIn(launch.group, ProcessKind.Backend, `${name}.backend`, [
@@ -111,7 +111,7 @@
     await startDaemon(launch, ProcessKind.Entry, `entry-${index + 1}`, index, launch.options.entrySettings ?? {})
 }
 
-/** Publishes templates, accounts and backend servers in one append. */
+/** Publishes the initial configuration in a single append. */
 async function publish({ options, platform, group }: Launch): Promise<void> {
   const changes = createFirstConfiguration(options.deployment, name => group.find(name).peer!)
   const client = new HttpLogClient({ url: platform.log })
@@ -145,7 +145,7 @@
   await launch.group.start(kind, name, [DAEMON_PROGRAM, '--settings', file])
 }
 
-/** Runs starts, at most so many at once. */
+/** Runs async functions with limited concurrency. */
 async function runLimited(starts: (() => Promise<void>)[], limit: number): Promise<void> {
   const left = [...starts]
   const work = async (): Promise<void> => {
--- a/packages/stand-ins/src/log-service.ts
+++ b/packages/stand-ins/src/log-service.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in of the platform's append-only log: offsets, a limit on the rate of
- * appends and limited retention. Records live in memory and end with the
+ * Stand-in for the platform's append-only log, with offsets, a rate limit on
+ * appends and a retention period. Records are held in memory and lost with the
  * process.
  */
 import type { LogFaults } from './faults.js'
@@ -10,15 +10,15 @@
 import { logFaultsSchema, LogOutage } from './faults.js'
 import { sendJson, startService } from './http-service.js'
 
-/** Options of the log. */
+/** Options for the log. */
 export interface LogServiceOptions {
   /**
-   * Milliseconds for which records are kept.
+   * Retention period in milliseconds.
    * @default 86400000
    */
   retentionMs?: number
   /**
-   * Clock of records and retention, in epoch milliseconds.
+   * Clock for record timestamps and retention, in epoch milliseconds.
    * @default Date.now
    */
   now?: () => number
@@ -37,34 +37,33 @@
   waiters: Set<() => void>
 }
 
-/** Milliseconds of a day, the retention that the users' platform gives. */
+/** Retention period of the users' platform. */
 export const DAY_MS = 86_400_000
 
-/** Turns milliseconds into seconds. */
 const MILLISECONDS_PER_SECOND = 1000
 
-/** Appends a second, from the users' brief; more are refused with 429. */
+/** Rate limit, as the users' platform specifies it; appends above it are rejected with 429. */
 const APPENDS_PER_SECOND = 100
 
-/** Appends that may come at once: what the rate gives in 0.2 s. One would refuse any two concurrent appends. */
+/** Bucket size of the rate limit: 0.2 s at the full rate. A size of 1 would reject any two concurrent appends. */
 const APPEND_BURST = 20
 
-/** Milliseconds until a repeated append is stored again. Long enough for other records to come between. */
+/** Delay before a repeated append is stored again; long enough for other records to be stored in between. */
 const REPEAT_AFTER_MS = 300
 
-/** Records in one answer where the reader names no limit. */
+/** Maximum number of records per read, unless the reader sets a limit. */
 const DEFAULT_READ_LIMIT = 1000
 
 const RECORDS_PATH = /^\/streams\/([^/]+)\/records$/
 const appendSchema = z.object({ records: z.array(z.unknown()).min(1) })
 
-/** The log's state and its HTTP interface. */
+/** State and HTTP interface of the log. */
 export class LogService {
   private readonly streams = new Map<string, Stream>()
   private faults: LogFaults = logFaultsSchema.parse({})
   private readonly retentionMs: number
   private readonly now: () => number
-  /** Appends that may still come at once. */
+  /** Tokens left in the bucket of the rate limit. */
   private tokens = APPEND_BURST
   private refilledAt = performance.now()
 
@@ -73,12 +72,11 @@
     this.now = options.now ?? Date.now
   }
 
-  /** Starts listening. */
   start(): Promise<StandInService> {
     return startService(call => this.handle(call))
   }
 
-  /** Sets the faults; those not named are off. */
+  /** Sets the faults; omitted ones are turned off. */
   setFaults(faults: Partial<LogFaults>): void {
     this.faults = logFaultsSchema.parse(faults)
     for (const stream of this.streams.values())
@@ -103,12 +101,12 @@
     return this.read(stream, call)
   }
 
-  /** Answers for a log that is out, if it is; while it hangs, no answer is sent. */
+  /** Returns whether the log is unavailable; in that case the call is answered with 503, or not at all if the log hangs. */
   private isOut(call: StandInCall): boolean {
     if (this.faults.outage === LogOutage.None)
       return false
     if (this.faults.outage === LogOutage.Refuse)
-      sendJson(call.response, 503, { message: 'the log is out' })
+      sendJson(call.response, 503, { message: 'the log is unavailable' })
     return true
   }
 
--- a/packages/stand-ins/src/process-group.ts
+++ b/packages/stand-ins/src/process-group.ts
@@ -1,7 +1,7 @@
 /**
- * The processes of one deployment, by name: starts, signals, ends and restarts
- * them by their ids. It owns their handles until `stop`; a child outlives a
- * launcher that is killed, and must then be ended by hand.
+ * Manages the child processes of a deployment by name: starts, signals,
+ * terminates and restarts them. It owns their handles until `stop`. If the parent
+ * process is killed, its children keep running and must be terminated manually.
  */
 import type { ChildProcess } from 'node:child_process'
 import { spawn } from 'node:child_process'
@@ -10,7 +10,7 @@
 import path from 'node:path'
 import { createInterface } from 'node:readline'
 
-/** What a launched process is. */
+/** Roles of launched processes. */
 export enum ProcessKind {
   Platform = 'platform',
   Backend = 'backend',
@@ -18,45 +18,45 @@
   Entry = 'entry',
 }
 
-/** One launched process. */
+/** A launched process. */
 export interface LaunchedProcess {
   kind: ProcessKind
   name: string
   pid: number
-  /** URL of a stand-in, or the callers' URL of an entry. */
+  /** URL of a stand-in, or the URL of an entry for its callers. */
   url?: string
-  /** Host and port for calls between processes, of entries and sides. */
+  /** Host and port for calls between processes; set for entries and sides. */
   peer?: string
   child: ChildProcess
 }
 
-/** The line that every process prints once it listens. */
+/** The JSON line that every process prints once it is listening. */
 interface ListeningLine {
   pid: number
-  /** Of stand-ins. */
+  /** Set for stand-ins. */
   url?: string
-  /** Host and port between processes, of entries and sides. */
+  /** Host and port for calls between processes; set for entries and sides. */
   peer?: string
-  /** Host and port for callers, of entries. */
+  /** Host and port for callers; set for entries. */
   caller?: string
 }
 
 /**
- * Milliseconds for a child to listen. Half as long fails starts on a busy
- * machine, twice as long only delays the report of a child that hangs.
+ * Timeout for a child to start listening. At half this value starts fail on a
+ * busy machine; doubling it only delays the report of a child that hangs.
  */
 const START_TIMEOUT_MS = 30_000
 
-/** Processes by name. */
+/** A named set of child processes. */
 export class ProcessGroup {
   readonly processes = new Map<string, LaunchedProcess>()
-  /** Parameters that each process was started with. */
+  /** Command-line arguments of each process, for restarts. */
   private readonly parameters = new Map<string, string[]>()
 
-  /** @param directory Where the processes' standard error goes, one file each. */
+  /** @param directory Directory for the processes' standard error, one file per process. */
   constructor(readonly directory: string) {}
 
-  /** Starts a process and waits until it listens; throws where it ends before. */
+  /** Starts a process and waits until it is listening; throws if it exits before. */
   async start(kind: ProcessKind, name: string, parameters: string[]): Promise<LaunchedProcess> {
     this.parameters.set(name, parameters)
     const logFile = openSync(path.join(this.directory, `${name}.log`), 'a')
@@ -67,12 +67,12 @@
     return launched
   }
 
-  /** Processes of one kind. */
+  /** Returns the processes of one kind. */
   list(kind: ProcessKind): LaunchedProcess[] {
     return [...this.processes.values()].filter(launched => launched.kind === kind)
   }
 
-  /** Throws where no process has the name. */
+  /** Returns the process with the given name; throws if there is none. */
   find(name: string): LaunchedProcess {
     const launched = this.processes.get(name)
     if (!launched)
@@ -80,12 +80,12 @@
     return launched
   }
 
-  /** Sends a signal to a process by its id. */
+  /** Sends a signal to a process. */
   signal(name: string, signal: NodeJS.Signals): void {
     process.kill(this.find(name).pid, signal)
   }
 
-  /** Sends a signal and waits for the process's end; returns its exit code. */
+  /** Sends a signal and waits for the process to exit; returns its exit code. */
   async end(name: string, signal: NodeJS.Signals): Promise<number | null> {
     const { child } = this.find(name)
     if (!isRunning(child))
@@ -96,26 +96,26 @@
     return child.exitCode
   }
 
-  /** Starts an ended process as it was started first; a backend server on its old port, others on a new one. */
+  /** Starts an exited process again with its original arguments. A backend server reuses its port; others get a new one. */
   async restart(name: string): Promise<void> {
     const { kind, url } = this.find(name)
     const port = kind === ProcessKind.Backend ? ['--port', new URL(url!).port] : []
     await this.start(kind, name, [...this.parameters.get(name)!, ...port])
   }
 
-  /** Ends every process at once. */
+  /** Kills all processes. */
   async stop(): Promise<void> {
     await Promise.all([...this.processes.keys()].map(name => this.end(name, 'SIGKILL')))
     this.processes.clear()
   }
 }
 
-/** Whether a child has not ended. */
+/** Whether a child process has not exited. */
 export function isRunning(child: ChildProcess): boolean {
   return child.exitCode === null && child.signalCode === null
 }
 
-/** The first line that a child prints; throws if it ends before. */
+/** Reads the first line that a child prints; throws if it exits before. */
 async function readFirstLine(child: ChildProcess, name: string): Promise<string> {
   const lines = createInterface({ input: child.stdout! })
   const timeout = AbortSignal.timeout(START_TIMEOUT_MS)
@@ -124,6 +124,6 @@
     once(child, 'exit', { signal: timeout }).then(() => undefined),
   ])
   if (line === undefined)
-    throw new Error(`${name} ended before it listened`)
+    throw new Error(`${name} exited before it was listening`)
   return line
 }
--- a/packages/stand-ins/src/running-system.ts
+++ b/packages/stand-ins/src/running-system.ts
@@ -1,6 +1,6 @@
 /**
- * A running deployment as the demo and the tests use it: its processes and
- * addresses, the faults of its stand-ins, its VM list, its status. It owns the
+ * A running deployment for the demo and the tests: manages its processes, the
+ * faults of its stand-ins and its VM list, and reads its status. It owns the
  * processes and their directory until `stop`.
  */
 import type { ProcessStatus } from '@eidermast/daemon'
@@ -23,16 +23,15 @@
 import { countRuns, runTimes } from './run-counts.js'
 import { commandLineSettingsFile } from './settings-files.js'
 
-/** Bytes of the random key that a deployment's processes share. */
 const KEY_BYTES = 24
 
 /**
- * Milliseconds that the log has for an operator's call. On a machine with six
- * times more to do than processors (load average 59 on 10) it answered after
- * more than the clients' default of a second.
+ * Timeout for operator calls to the log. On an overloaded machine (load average
+ * 59 on 10 processors) the log took longer to answer than the clients' default
+ * timeout of 1 s.
  */
 export const OPERATOR_TIMEOUT_MS = 10_000
-/** Milliseconds before a backend server that did not answer is asked again. It only has to be short beside a recovery. */
+/** Interval between probes of a backend server that does not answer; short compared with the duration of a recovery. */
 const ANSWER_RETRY_MS = 50
 
 /** A running deployment. */
@@ -48,7 +47,7 @@
     super(mkdtempSync(path.join(tmpdir(), 'eidermast-')))
   }
 
-  /** Starts every process, publishes the configuration and waits until it is in force; throws, with all ended, where that fails. */
+  /** Starts all processes, publishes the configuration and waits until it is in force. On failure, stops all processes and throws. */
   static async launch(options: LaunchOptions): Promise<RunningSystem> {
     const system = new RunningSystem(options)
     try {
@@ -63,12 +62,12 @@
     }
   }
 
-  /** URLs of the entries for callers. */
+  /** URLs of the entries for their callers. */
   get entryUrls(): string[] {
     return this.list(ProcessKind.Entry).map(entry => entry.url!)
   }
 
-  /** The settings file for the operators' command line. */
+  /** Path of the settings file for the operators' command line. */
   get commandLineSettings(): string {
     return commandLineSettingsFile(this.directory)
   }
@@ -85,7 +84,7 @@
     return this.platform.virtualMachines
   }
 
-  /** Starts an ended process again and lists its VM under its new address. */
+  /** Starts an exited process again and updates its address in the VM list. */
   override async restart(name: string): Promise<void> {
     await super.restart(name)
     const { kind, peer } = this.find(name)
@@ -93,7 +92,7 @@
       await this.setVirtualMachines(this.virtualMachines.map(listed => listed.name === name ? { ...listed, address: peer! } : listed))
   }
 
-  /** Publishes the new addresses of restarted sides, as operators do for replaced VMs. */
+  /** Publishes the new addresses of restarted sides, as operators do when a VM is replaced. */
   async publishNewAddresses(): Promise<void> {
     const client = new HttpLogClient({ url: this.platform.log, timeoutMs: OPERATOR_TIMEOUT_MS })
     const configuration = await readConfiguration(client)
@@ -121,45 +120,46 @@
     await Promise.all(backends.map(({ url }) => this.setFaults(url!, faults)))
   }
 
-  /** Sets the VMs that the platform lists; without effect while the list is out, as the platform's own updates are then. */
+  /** Sets the platform's VM list. Has no effect while the list is unavailable; the platform's own updates are lost then as well. */
   async setVirtualMachines(virtualMachines: ListedVirtualMachine[]): Promise<void> {
     this.virtualMachines = virtualMachines
     await post(this.platform.virtualMachines, { virtualMachines })
   }
 
-  /** The VMs that were last set to be listed. */
+  /** The VM list as it was last set. */
   get listedVirtualMachines(): ListedVirtualMachine[] {
     return this.virtualMachines
   }
 
-  /** Runs counted by the backend servers, killed ones included, by account, request and stage. */
+  /** Counts the runs on all backend servers, including killed ones, by account, request and stage. */
   countRuns(): Map<string, number> {
     return countRuns(this.directory)
   }
 
-  /** When each run of one backend server began, in epoch milliseconds. */
+  /** Returns the start times of the runs of one backend server, in epoch milliseconds. */
   runTimes(sideName: string): number[] {
     return runTimes(this.directory, sideName)
   }
 
-  /** Status of an entry, as operators get it; undefined where it does not answer. */
+  /** Returns the status of an entry over the operators' interface; undefined if it does not answer. */
   entryStatus(name: string): Promise<ProcessStatus | undefined> {
     return this.status.entryStatus(name)
   }
 
-  /** Status of a side, as operators get it; undefined where it does not answer. */
+  /** Returns the status of a side over the operators' interface; undefined if it does not answer. */
   sideStatus(name: string): Promise<ProcessStatus | undefined> {
     return this.status.sideStatus(name)
   }
 
-  /** Waits until every side takes work, and then until every entry sees that. */
+  /** Waits until every side accepts work and every entry uses all backend servers. */
   waitUntilReady(): Promise<void> {
     return this.status.waitUntilReady()
   }
 
   /**
-   * Wakes and restarts what was frozen or ended, and turns every fault off.
-   * @param restore What else to put right before everything can be ready.
+   * Resumes frozen processes, restarts exited ones, turns off all faults and waits
+   * until the system is ready.
+   * @param restore Further repairs that are needed before the system can be ready.
    */
   async recover(restore: () => Promise<void> = async () => {}): Promise<void> {
     for (const launched of [...this.processes.values()])
@@ -171,7 +171,7 @@
     await this.waitUntilReady()
   }
 
-  /** Ends every process by its id, at once; for a planned stop see `end`. */
+  /** Kills all processes and removes their directory; use `end` for a graceful stop. */
   override async stop(): Promise<void> {
     await super.stop()
     rmSync(this.directory, { recursive: true, force: true })
@@ -180,7 +180,7 @@
   private async revive({ name, kind, url, child, pid }: LaunchedProcess): Promise<void> {
     if (isRunning(child))
       process.kill(pid, 'SIGCONT')
-    // A backend server may have died so shortly before that its end is not known yet; one that is busy answers later.
+    // A backend server may have died without its exit having been reported yet; a busy one answers later.
     while (kind === ProcessKind.Backend && isRunning(child) && !await answers(url!))
       await wait(ANSWER_RETRY_MS)
     if (!isRunning(child))
@@ -198,13 +198,13 @@
   }
 }
 
-/** Posts a value to a stand-in. */
+/** Posts a JSON value to a stand-in. */
 async function post(url: string, value: object) {
   const response = await request(url, { method: 'POST', body: JSON.stringify(value) })
   return { status: response.statusCode, text: await response.body.text() }
 }
 
-/** Whether a backend server answers; one that has just ended does not, and that is all the caller asks. */
+/** Whether a backend server answers. The error is discarded: the caller only needs to know that there was no answer. */
 async function answers(url: string): Promise<boolean> {
   return request(`${url}/v1/load`).then(response => response.body.dump()).then(() => true, () => false)
 }
--- a/packages/stand-ins/src/settings-files.ts
+++ b/packages/stand-ins/src/settings-files.ts
@@ -1,23 +1,23 @@
 /**
- * The settings files of a launched deployment: one for each daemon process and
- * one for the operators' command line. They are written once, at the launch.
+ * Writes the settings files of a launched deployment: one for each daemon process
+ * and one for the operators' command line. They are written once, during launch.
  */
 import { writeFileSync } from 'node:fs'
 import path from 'node:path'
 
-/** Where the platform's stand-ins listen. */
+/** URLs of the platform's stand-ins. */
 export interface PlatformUrls {
   log: string
   virtualMachines: string
   weightStore: string
 }
 
-/** Settings of a section, by key. */
+/** Settings of one section, by key. */
 export interface SectionSettings {
   [key: string]: string
 }
 
-/** What the file of one daemon process says. */
+/** Settings of a daemon process. */
 export interface DaemonSettings {
   name: string
   role: 'entry' | 'side'
@@ -25,9 +25,9 @@
   /** Shared key of the system's processes. */
   key: string
   platform: PlatformUrls
-  /** Further keys of the section `platform`. */
+  /** Additional settings for the section `platform`. */
   platformSettings?: SectionSettings
-  /** The section named as the role. */
+  /** Settings for the section named after the role. */
   roleSettings: SectionSettings
 }
 
@@ -35,7 +35,7 @@
   [section: string]: SectionSettings
 }
 
-/** Writes the settings of a daemon process; returns the file's name. */
+/** Writes the settings file of a daemon process; returns its path. */
 export function writeDaemonSettings(directory: string, settings: DaemonSettings): string {
   const { name, role, platform } = settings
   const file = path.join(directory, `${name}.ini`)
@@ -59,12 +59,12 @@
   return file
 }
 
-/** The settings file of the command line in a deployment's directory. */
+/** Returns the path of the command line's settings file in a deployment's directory. */
 export function commandLineSettingsFile(directory: string): string {
   return path.join(directory, 'eidermast.ini')
 }
 
-/** Writes the settings of the command line. */
+/** Writes the settings file of the command line. */
 export function writeCommandLineSettings(directory: string, platform: PlatformUrls, key: string, entryUrls: string[]): void {
   writeFileSync(commandLineSettingsFile(directory), formatIni({
     platform: { 'log': platform.log, 'virtual-machines': platform.virtualMachines },
--- a/packages/stand-ins/src/slots.ts
+++ b/packages/stand-ins/src/slots.ts
@@ -1,6 +1,6 @@
 /**
- * The slots of a stand-in backend server: so many runs at once, more wait by
- * priority and then in order of arrival.
+ * Limits the concurrent runs of a stand-in backend server. Further runs are queued
+ * by priority and then in order of arrival.
  */
 import type { ServerResponse } from 'node:http'
 import { Priority } from '@eidermast/daemon'
@@ -12,24 +12,24 @@
   start: () => void
 }
 
-/** Slots and who waits for one. */
+/** A counting semaphore with a priority queue. */
 export class Slots {
   private readonly waiting: Waiter[] = []
   private taken = 0
 
   constructor(private readonly count: number) {}
 
-  /** Number of runs under way. */
+  /** Number of active runs. */
   get running(): number {
     return this.taken
   }
 
-  /** Whether nothing runs and nothing waits. */
+  /** Whether no run is active or queued. */
   get idle(): boolean {
     return this.taken === 0 && this.waiting.length === 0
   }
 
-  /** Waits for a slot; false where the caller left before, and then no slot is taken. */
+  /** Waits for a slot; resolves to false, without taking one, if the caller has disconnected. */
   async take(priority: Priority, response: ServerResponse): Promise<boolean> {
     if (this.taken >= this.count)
       await this.waitForTurn(PRIORITY_ORDER.indexOf(priority))
@@ -41,7 +41,7 @@
     return true
   }
 
-  /** Ends a run that took a slot. */
+  /** Releases a slot and starts the next queued run. */
   release(): void {
     this.taken--
     this.startNext()
--- a/packages/stand-ins/src/stand-in.ts
+++ b/packages/stand-ins/src/stand-in.ts
@@ -1,6 +1,6 @@
 /**
- * Runs one stand-in as a process of its own; prints its URL as one JSON line
- * once it listens. The launcher starts it.
+ * Entry point of a stand-in process, which the launcher starts. Prints its URL as
+ * a JSON line once it is listening.
  */
 import type { BackendKind } from './backend-service.js'
 import type { StandInService } from './http-service.js'
@@ -11,10 +11,9 @@
 import { VirtualMachineListService } from './virtual-machine-list-service.js'
 import { WeightStoreService } from './weight-store-service.js'
 
-/** Milliseconds for the side to read that its backend server drains; it asks four times a second (`load-interval-ms`). */
+/** Time for the side to notice that its backend server is draining; it polls the load four times a second (`load-interval-ms`). */
 const DRAIN_NOTICE_MS = 1000
 
-/** Milliseconds between two looks at whether a draining backend server is idle. */
 const IDLE_POLL_MS = 20
 
 interface LogOptions {
@@ -31,10 +30,10 @@
   runsFile?: string
 }
 
-const program = new Command('stand-in').description('Run one stand-in of the platform, or of a backend server')
+const program = new Command('stand-in').description('Run a stand-in for a platform service or a backend server')
 
 program.command('log')
-  .option('--retention-ms <n>', 'milliseconds for which records are kept', String(DAY_MS))
+  .option('--retention-ms <n>', 'retention period in milliseconds', String(DAY_MS))
   .action(({ retentionMs }: LogOptions) => announce(new LogService({ retentionMs: Number(retentionMs) }).start()))
 
 program.command('virtual-machines')
@@ -45,12 +44,12 @@
 
 program.command('backend')
   .requiredOption('--kind <kind>', 'engine, pool or plain')
-  .requiredOption('--slots <n>', 'runs at once')
-  .requiredOption('--base-ms <n>', 'milliseconds of a run')
-  .requiredOption('--token-ms <n>', 'milliseconds of a token')
-  .option('--port <n>', 'port to listen on; 0 takes one from the system', '0')
+  .requiredOption('--slots <n>', 'maximum number of concurrent runs')
+  .requiredOption('--base-ms <n>', 'duration of a run in milliseconds')
+  .requiredOption('--token-ms <n>', 'duration of a token in milliseconds')
+  .option('--port <n>', 'port to listen on; 0 lets the operating system choose one', '0')
   .option('--runs-file <file>', 'file to which every run is appended')
-  .option('--checks-fences', 'refuse orders with an old fence', false)
+  .option('--checks-fences', 'reject orders with an outdated fence', false)
   .action((options: BackendOptions) => announce(startBackend(options)))
 
 await program.parseAsync()
@@ -73,7 +72,7 @@
   return backend.start(Number(options.port))
 }
 
-/** A planned stop: takes nothing new, says so in its load, finishes what runs. */
+/** Graceful shutdown: rejects new runs, reports draining in the load, and exits when all runs have finished. */
 async function drain(backend: BackendService): Promise<void> {
   backend.beginDrain()
   await wait(DRAIN_NOTICE_MS)
--- a/packages/stand-ins/src/system.ts
+++ b/packages/stand-ins/src/system.ts
@@ -1,13 +1,13 @@
 /**
- * Runs a whole deployment until SIGTERM; prints one JSON line with every
- * address and process id once it serves.
+ * Runs a deployment until SIGTERM or SIGINT; prints a JSON line with all addresses
+ * and process ids once it is ready.
  */
 import { Command, Option } from 'commander'
 import { DeploymentName, resolveDeployment } from './deployment.js'
 import { RunningSystem } from './running-system.js'
 
 const program = new Command('system')
-  .addOption(new Option('--deployment <name>', 'which deployment to run')
+  .addOption(new Option('--deployment <name>', 'deployment to run')
     .choices(Object.values(DeploymentName))
     .default(DeploymentName.Coventry))
 program.parse()
--- a/packages/stand-ins/src/virtual-machine-list-service.ts
+++ b/packages/stand-ins/src/virtual-machine-list-service.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in of the platform's VM list: shows what was last posted to it. The
- * list lives in memory only and ends with the process.
+ * Stand-in for the platform's VM list: returns the list that was last posted to
+ * it. The list is held in memory and lost with the process.
  */
 import type { VirtualMachineListFaults } from './faults.js'
 import type { StandInCall, StandInService } from './http-service.js'
@@ -14,15 +14,15 @@
   role: z.enum(VirtualMachineRole),
   state: z.enum(['live', 'leaving']),
   failureDomain: z.string(),
-  /** Host and port of the daemon's process, for calls between processes. */
+  /** Host and port of the daemon process, for calls between processes. */
   address: z.string(),
 })
 const listSchema = z.object({ virtualMachines: z.array(virtualMachineSchema) })
 
-/** A VM as it is listed. */
+/** An entry of the VM list. */
 export type ListedVirtualMachine = z.infer<typeof virtualMachineSchema>
 
-/** The VM list and its HTTP interface. */
+/** State and HTTP interface of the VM list. */
 export class VirtualMachineListService {
   private shown: ListedVirtualMachine[] = []
   private faults: VirtualMachineListFaults = virtualMachineListFaultsSchema.parse({})
@@ -37,7 +37,7 @@
       return sendJson(call.response, 200, this.faults)
     }
     if (this.faults.out)
-      return sendJson(call.response, 503, { message: 'the list is out' })
+      return sendJson(call.response, 503, { message: 'the VM list is unavailable' })
     if (call.method === 'POST') {
       this.shown = listSchema.parse(JSON.parse(call.body)).virtualMachines
       return sendJson(call.response, 200, {})
--- a/packages/stand-ins/src/weight-store-service.ts
+++ b/packages/stand-ins/src/weight-store-service.ts
@@ -1,6 +1,7 @@
 /**
- * Stand-in of the platform's weight store: holds every model and version but
- * the versions whose name contains "absent". It keeps no state but its faults.
+ * Stand-in for the platform's weight store: has the weights of every model and
+ * version, except versions whose name contains "absent". Its only state is its
+ * faults.
  */
 import type { WeightStoreFaults } from './faults.js'
 import type { StandInCall, StandInService } from './http-service.js'
@@ -10,10 +11,10 @@
 
 const WEIGHTS_PATH = /^\/weights\/[^/]+\/([^/]+)$/
 
-/** Size in bytes that every version has. Nothing is loaded, so any positive size serves. */
+/** Reported size of every version. No weights are loaded, so any positive value works. */
 const WEIGHTS_BYTES = 1_000_000
 
-/** The weight store's HTTP interface. */
+/** HTTP interface of the weight store. */
 export class WeightStoreService {
   private faults: WeightStoreFaults = weightStoreFaultsSchema.parse({})
 
--- a/test/command-line/request-story.test.ts
+++ b/test/command-line/request-story.test.ts
@@ -75,7 +75,7 @@
   })
 
   test.each([
-    ['no line names the request', ['id-404', '--logs', '-'], ExitCode.NotFound, 'none of the 1 lines speaks of id-404'],
+    ['no line names the request', ['id-404', '--logs', '-'], ExitCode.NotFound, 'none of the 1 lines mentions id-404'],
     ['a file cannot be read', ['id-1', '--logs', 'no-such.log'], ExitCode.BadInput, 'no-such.log'],
   ])('says what to do where %s', async (_name, parameters, exitCode, message) => {
     const result = await explain(['explain', ...parameters], `${OTHER}\n`)
