--- a/test/pages/commands.test.ts
+++ b/test/pages/commands.test.ts
@@ -13,10 +13,10 @@
 
 const shellLines = currentPages().flatMap(codeBlocks).filter(block => block.language === 'sh').flatMap(block => block.text.split('\n'))
 const iniBlocks = currentPages().flatMap(codeBlocks).filter(block => block.language === 'ini')
-/** Everything that a page spells as a command, without its comment. */
+/** All code on the pages that may be a command, without trailing comments. */
 const commands = [...currentPages().flatMap(codeSpans).map(span => span.text), ...shellLines].map(text => text.replace(/\s+#.*$/, ''))
 
-/** Words of the operators' commands that pages spell, such as `['template', 'publish', 'NAME', 'FILE']`. */
+/** Words of the `eidermast` commands on the pages, such as `['template', 'publish', 'NAME', 'FILE']`. */
 const operatorCommands = commands
   .map(text => /^(?:npx )?eidermast ((?:\[?--|[a-z]).*)$/.exec(text)?.[1])
   .filter(text => text !== undefined)
@@ -25,7 +25,7 @@
 const settingsFolder = mkdtempSync(path.join(tmpdir(), 'eidermast-pages-'))
 afterAll(() => rmSync(settingsFolder, { recursive: true }))
 
-/** Runs the operators' tool; throws where it exits with another code than 0. */
+/** Runs the operators' tool; throws if its exit code is not 0. */
 function runOperatorTool(...words: string[]): void {
   execFileSync(process.execPath, [path.join(ROOT, OPERATOR_TOOL), ...words], { stdio: 'pipe' })
 }
@@ -112,7 +112,7 @@
   })
 })
 
-/** A command's words after the options that stand before it. */
+/** Removes the global options in front of a command. */
 function skipGlobalOptions(words: readonly string[]): string[] {
   const rest = [...words]
   while (rest[0]?.startsWith('--'))
--- a/test/pages/decisions-page.test.ts
+++ b/test/pages/decisions-page.test.ts
@@ -4,17 +4,17 @@
 
 const PAGE = 'docs/DECISIONS.md'
 
-/** The doc comment with which a module begins, after its imports; empty where there is none. */
+/** Returns the first doc comment of a module; empty if there is none. */
 function headComment(module: string): string {
   return /\/\*\*[\s\S]*?\*\//.exec(readFromRoot(module))?.[0] ?? ''
 }
 
-/** Whether a module says in its head that it decides. */
+/** Whether the first doc comment of a module has a line that starts with "Decides". */
 function decides(module: string): boolean {
   return /^ \* Decides\b/m.test(headComment(module))
 }
 
-/** The second column of the page's tables. */
+/** Returns the cells of the module column of the page's tables. */
 function moduleColumn(): string[] {
   const rows = readFromRoot(PAGE).split('\n').filter(line => line.startsWith('|') && !/^\|[-| ]+\|$/.test(line))
   return rows.map(row => row.split('|')[2].trim()).filter(cell => cell !== 'module')
@@ -34,7 +34,7 @@
   expect(moduleColumn().filter(cell => findModules(cell).length === 0)).toEqual([])
 })
 
-/** Modules that a cell names by their path from the root. */
+/** Returns the modules that a cell names by their path relative to the root. */
 function findModules(cell: string): string[] {
   return cell.match(/(?:packages\/[\w-]+|platform)\/src\/[\w/.-]+\.ts/g) ?? []
 }
--- a/test/pages/journal.test.ts
+++ b/test/pages/journal.test.ts
@@ -3,16 +3,16 @@
 import { describe, expect, test } from 'vitest'
 import { currentPages } from './support/pages.js'
 
-/** Page that lists the entries without a result. */
+/** Page that lists the journal entries without a result. */
 const LIST = 'docs/JOURNAL.md'
 const FOLDER = 'journal'
-/** An entry's id, between code marks or at the head of a row of the list. */
+/** Id of an entry, as inline code or in the first column of the list. */
 const NAMED_ENTRY = /`([0-9a-f]{8})`/g
 const LISTED_ENTRY = /^\| ([0-9a-f]{8}) \|/gm
 
 interface JournalEntry {
   id: string
-  /** When the run began and ended; the end is empty until it is written. */
+  /** Start and end of the run; the end is empty until the result is written. */
   at: [string, string]
 }
 
--- a/test/pages/operations-page.test.ts
+++ b/test/pages/operations-page.test.ts
@@ -5,13 +5,13 @@
 const PAGE = 'docs/OPERATIONS.md'
 const sources = readSources()
 
-/** Rows of the tables whose header begins with a word. */
+/** Returns the rows of the tables whose first column has the given header. */
 function rowsUnder(header: string): string[] {
   const tables = readFromRoot(PAGE).split('\n\n').filter(block => block.startsWith(`| ${header} |`))
   return tables.flatMap(table => table.split('\n').slice(2))
 }
 
-/** Names between backticks in one column of a row, from 1. */
+/** Returns the inline code in a column of a row; columns are numbered from 1. */
 function namesIn(row: string, column: number): string[] {
   return [...row.split('|')[column].matchAll(/`([^`]+)`/g)].map(match => match[1])
 }
@@ -49,7 +49,7 @@
   return row.split('|')[2].split(',').map(text => text.trim())
 }
 
-/** The status of a kind by the one table of errors. */
+/** Looks up the status of an error kind in the error table of the sources. */
 function statusOf(kind: string): string | undefined {
   const errors = readFromRoot('packages/common/src/errors.ts')
   const member = new RegExp(`(\\w+) = '${kind}'`).exec(errors)?.[1]
--- a/test/pages/pages.test.ts
+++ b/test/pages/pages.test.ts
@@ -6,18 +6,18 @@
 const spans = currentPages().flatMap(codeSpans)
 const sources = readSources()
 
-/** Folders at the root in which a path may begin. */
+/** Top-level directories of the repository that pages refer to. */
 const ROOT_FOLDERS = ['.ci', 'deploy', 'docs', 'journal', 'packages', 'platform', 'test']
 const FILE_PATH = new RegExp(`^(?:${ROOT_FOLDERS.map(name => name.replace('.', '\\.')).join('|')})/[\\w./-]*$`)
 const BARE_FILE = /^[a-z][\w-]*(?:\.\w+)*\.(?:ts|mjs|md|toml|ini)$/
-/** An event, error kind, settings key or other name between quotes in the sources. */
+/** An event, error kind, settings key or other name that is a string literal in the sources. */
 const QUOTED_NAME = /^[a-z]+(?:-[a-z]+)+$/
 const METRIC = /^eidermast_\w+$/
-/** A type, a function, a member of an enum or a constant. */
+/** A type, function, enum member or constant. */
 const IDENTIFIER = /^(?:[A-Z][a-z]+[A-Z]\w*|[a-z]+[A-Z]\w*|[A-Z][A-Za-z]+\.[A-Za-z]+|[A-Z][A-Z0-9]*_[A-Z0-9_]+)$/
 const SECTION_KEY = /^\[([a-z]+)\](?: ([a-z-]+))?(?: = (\S+))?$/
 
-/** Names of files that do not exist while there is nothing to write into them. */
+/** Files that exist only while they have content. */
 const MAY_BE_ABSENT = new Set(['KNOWN-RED.txt'])
 
 function isQuoted(name: string): boolean {
--- a/test/pages/support/sources.ts
+++ b/test/pages/support/sources.ts
@@ -1,6 +1,6 @@
 /**
- * What the repository holds that a page may name: files, names in sources,
- * and the commands of the command line.
+ * Reads what documentation pages may refer to: files of the repository, names in
+ * sources, and the commands of the command line.
  */
 import { execFileSync } from 'node:child_process'
 import { existsSync, readdirSync } from 'node:fs'
@@ -9,15 +9,15 @@
 
 const LEFT_OUT = new Set(['node_modules', 'dist', '.git', 'target'])
 
-/** A command of the command line, with what follows it. */
+/** Subcommands and options listed in a help text. */
 export interface CommandHelp {
-  /** Commands below it; empty where it has none. */
+  /** Subcommands; empty if there are none. */
   commands: string[]
   /** Options, such as `--json`. */
   options: string[]
 }
 
-/** Paths, from the root, of every file that is not installed or built. */
+/** Returns the paths of all files that are not installed or built, relative to the root. */
 export function repositoryFiles(folder = ''): string[] {
   return readdirSync(path.join(ROOT, folder), { withFileTypes: true }).flatMap((entry) => {
     const file = path.posix.join(folder, entry.name)
@@ -27,25 +27,25 @@
   })
 }
 
-/** Paths, from the root, of every module of the programs. */
+/** Returns the paths of all source modules, relative to the root. */
 export function sourceModules(): string[] {
   return repositoryFiles().filter(file => /^(?:packages\/[^/]+|platform)\/src\/.*\.ts$/.test(file))
 }
 
-/** The text of all modules, settings templates and deployment files. */
+/** Returns the text of all modules, settings templates and deployment files. */
 export function readSources(): string {
   const others = repositoryFiles().filter(file => /^(?:deploy|platform)\/[^/]+$|^[^/]*package\.json$/.test(file))
   return [...sourceModules(), ...others].map(readFromRoot).join('\n')
 }
 
-/** Whether a file or folder exists, by its path from the root. */
+/** Whether a file or directory exists, by its path relative to the root. */
 export function existsInRepository(file: string): boolean {
   return existsSync(path.join(ROOT, file))
 }
 
 const helpByCommand = new Map<string, CommandHelp>()
 
-/** The help of a command of the command line, such as `['template', 'publish']`; each is asked for once. */
+/** Returns the help of a command, such as `['template', 'publish']`; results are cached. */
 export function readHelp(program: string, command: readonly string[]): CommandHelp {
   const key = [program, ...command].join(' ')
   const help = helpByCommand.get(key) ?? askForHelp(program, command)
--- a/test/soak/crashing-soak.test.ts
+++ b/test/soak/crashing-soak.test.ts
@@ -10,26 +10,26 @@
 import { SoakDeployment } from './support/soak-deployment.js'
 import { createDraw, readSeeds } from './support/soak-seeds.js'
 
-/** Milliseconds after the third end within which gateways in touch know, and after trouble from which one is in touch (settings, `contact-ms`). */
+/** Time after the third crash until connected gateways know of it, and time after a disruption until a gateway counts as connected again (setting `contact-ms`). */
 const CONTACT_MS = 3000
-/** Times that such a request may be sent to backend servers by gateways in touch later than that. */
+/** How often connected gateways may still send such a request to backend servers after that time. */
 const SENT_AFTER = 3
-/** Milliseconds for the way of a request on a machine that has other work. */
+/** Tolerance for request transit time on a busy machine. */
 const SLACK_MS = 150
 const STEPS = 18
 const STEP_MS = 600
-/** Milliseconds in which crashing requests still come when all trouble is over. */
+/** How long crashing requests continue after the last disruption. */
 const SETTLE_MS = 4500
-/** Milliseconds between crashing requests; there are two of them. */
+/** Interval between crashing requests, of which there are two kinds (PATHS). */
 const CRASHING_INTERVAL_MS = 250
 const PATHS = ['/plain/crash-a', '/plain/crash-b']
 const POOL_SIZE = 10
-/** Backend servers that end together without a cause. */
+/** Number of backend servers that crash together for unrelated reasons. */
 const END_TOGETHER = 3
 
-/** A time in which a gateway was in trouble; in milliseconds of the test's clock. */
+/** A period in which a gateway was disrupted, in milliseconds of the test clock. */
 interface Trouble {
-  /** Absent where all were. */
+  /** Undefined if all gateways were affected. */
   gateway?: number
   from: number
   to: number
@@ -44,14 +44,14 @@
 
   constructor(private readonly draw: Draw) {}
 
-  /** Sends the crashing requests to gateways as they come, until it is stopped. */
+  /** Sends crashing requests to random gateways until `stop` is called. */
   async sendCrashing(): Promise<void> {
     while (this.isSending) {
       const gateway = this.draw(this.deployment.gateways.length)
       const id = `crashing-${gateway}-${this.sent++}`
       const { address } = this.deployment.gateways[gateway]
       const options = { method: 'POST' as const, body: CRASHING_BODY, headers: { 'host': 'host.example', 'attempt-id': id, 'deadline-ms': '2000' } }
-      // What callers of such a request get is not looked at: a gateway may be down.
+      // The answers to crashing requests are not checked, because the gateway may be down.
       this.underWay.push(request(`${address}${PATHS[this.draw(PATHS.length)]}`, options).then(({ body }) => body.dump()).catch(() => {}))
       await wait(CRASHING_INTERVAL_MS)
     }
@@ -62,7 +62,7 @@
     await Promise.all(this.underWay)
   }
 
-  /** Brings trouble to a gateway, to the store, or to backend servers. */
+  /** Disrupts a gateway, the store, or backend servers. */
   step(): void {
     const { gateways, lines, plainPool } = this.deployment
     const gateway = this.draw(gateways.length)
@@ -81,7 +81,7 @@
       this.trouble(undefined, common[number - steps.length])
   }
 
-  /** Crashing requests that gateways in touch sent too late, where there are more than may be. */
+  /** Describes the crashing requests that connected gateways sent too late, if there are more than allowed. */
   sentTooLate(): string[] {
     return PATHS.flatMap((path) => {
       const late = this.deployment.plainPool!.sentLaterThan(CONTACT_MS + SLACK_MS, path).filter(seen => this.isInTouch(seen))
@@ -117,7 +117,7 @@
     store.fault = StoreFault.None
   }
 
-  /** Prints what came of a run, where that was asked for. */
+  /** Prints a summary of the run if EIDERMAST_SHOW_FAULTS is set. */
   show(seed: number, { requests }: SoakClients): void {
     if (!process.env.EIDERMAST_SHOW_FAULTS)
       return
@@ -128,7 +128,7 @@
     console.log(`seed ${seed}: ${ends.length} ends, ${byPath.join(' and ')} under the two requests; ${answered.length} of ${plain.length} others answered`)
   }
 
-  /** Whether the gateway that sent a request has been in touch. */
+  /** Whether the gateway that sent a request was connected. */
   private isInTouch(seen: SeenRequest): boolean {
     const gateway = Number(String(seen.headers['attempt-id']).split('-')[1])
     return !this.troubles.some(trouble => (trouble.gateway ?? gateway) === gateway
--- a/test/soak/domains-soak.test.ts
+++ b/test/soak/domains-soak.test.ts
@@ -14,30 +14,30 @@
 const BACKENDS_EACH = 6
 const STEPS = 16
 const STEP_MS = 500
-/** Milliseconds after its order from which an evacuation binds gateways in touch (settings, `evacuation-ms`). */
+/** Time after its order until an evacuation is binding for connected gateways (setting `evacuation-ms`). */
 const EVACUATION_MS = 2000
-/** Milliseconds after the end of its trouble from which a gateway is in touch (settings, `contact-ms`). */
+/** Time after a disruption until a gateway counts as connected again (setting `contact-ms`). */
 const CONTACT_MS = 3000
-/** Milliseconds for the way of a request on a machine that has other work. */
+/** Tolerance for request transit time on a busy machine. */
 const SLACK_MS = 150
-/** For how long an evacuation lasts at least, and how much longer at most, in milliseconds. */
+/** Minimum duration of an evacuation and maximum random extension, in milliseconds. */
 const EVACUATED_MS = { least: 2500, more: 2500 }
-/** For how long backend servers are cold, in milliseconds, and the requests a second that one withstands then. */
+/** How long backend servers are cold, in milliseconds, and the requests per second that one can take during that time. */
 const COLD = { forMs: 2000, perSecond: 4, overshoot: 1.5, slack: 2 }
-/** Requests that a cold backend server may get in any second. */
+/** Maximum number of requests that a cold backend server may receive within any second. */
 const COLD_BOUND = COLD.perSecond * COLD.overshoot + COLD.slack
-/** Milliseconds that a failure domain is without power. */
+/** How long a failure domain is without power. */
 const POWERLESS_MS = 800
 const OPERATOR_TOPIC = 'keyed.op'
 
-/** A time for which a failure domain was evacuated, in milliseconds of the test's clock. */
+/** A period in which a failure domain was evacuated, in milliseconds of the test clock. */
 interface Evacuation {
   failureDomain: string
   from: number
   to: number
 }
 
-/** A deployment in failure domains, what happens to it, and what must not have followed. */
+/** A deployment across failure domains, its random disruptions, and the checks on their effects. */
 class DomainsRun {
   readonly deployment = new SoakDeployment({
     failureDomains: FAILURE_DOMAINS,
@@ -49,7 +49,7 @@
 
   readonly underWay: Promise<void>[] = []
   readonly evacuations: Evacuation[] = []
-  /** When each backend server started cold. */
+  /** Start time of each cold backend server. */
   private readonly startedCold = new Map<StandInBackend, number>()
   /** Backend servers that lost power. */
   private readonly gone = new Set<StandInBackend>()
@@ -70,7 +70,7 @@
     this.underWay.push(Promise.resolve(this.steps[this.draw(this.steps.length)]()))
   }
 
-  /** Work that reached an evacuated failure domain too late, from a gateway that was in touch. */
+  /** Describes work from connected gateways that reached an evacuated failure domain too late. */
   lateArrivals(clients: SoakClients): string[] {
     return this.evacuations.flatMap(({ failureDomain, from, to }) => this.deployment.backends
       .filter(backend => backend.failureDomain === failureDomain)
@@ -79,7 +79,7 @@
       .map(seen => `${seen.path} reached ${failureDomain} ${Math.round(seen.at - from)} ms after the order`))
   }
 
-  /** Cold backend servers that got more than they may in some second. */
+  /** Describes cold backend servers that received more than COLD_BOUND requests within a second. */
   overrun(): string[] {
     return [...this.startedCold].flatMap(([backend, startedAt]) => {
       const arrivals = backend.seen.filter(seen => isWork(seen) && seen.at < startedAt + COLD.forMs).map(({ at }) => at)
@@ -88,7 +88,7 @@
     })
   }
 
-  /** One failure domain at a time. */
+  /** Evacuates a random failure domain, unless an evacuation is already active. */
   private async evacuate(): Promise<void> {
     if (this.evacuations.some(({ to }) => to > performance.now()))
       return
@@ -101,7 +101,7 @@
     this.deployment.store.put(OPERATOR_TOPIC, `evacuate/${failureDomain}`, undefined)
   }
 
-  /** A failure domain loses power: its gateways start again, and so do its plain backend servers, under new ids and cold. */
+  /** Simulates a power loss of a failure domain: its gateways restart, and its plain backend servers come back cold and under new ids. */
   private async losePower(): Promise<void> {
     const failureDomain = this.drawDomain()
     const lost = this.deployment.backends.filter(backend => backend.service === 'plain' && backend.failureDomain === failureDomain && !this.gone.has(backend))
--- a/test/soak/gateway-soak.test.ts
+++ b/test/soak/gateway-soak.test.ts
@@ -8,11 +8,11 @@
 import { createDraw, readSeeds } from './support/soak-seeds.js'
 
 const STEPS = 10
-/** Milliseconds between the beginnings of two faults. */
+/** Interval between the starts of two faults. */
 const STEP_MS = 400
-/** Milliseconds that a fault lasts. */
+/** Duration of a fault. */
 const PAUSE_MS = 900
-/** Faults, each of which ends by itself; they overlap. */
+/** Faults, which may overlap; each one ends by itself. */
 const FAULTS: ((deployment: SoakDeployment, draw: Draw) => Promise<void> | void)[] = [
   ({ gateways }, draw) => gateways[draw(gateways.length)].replace('SIGKILL'),
   ({ gateways }, draw) => gateways[draw(gateways.length)].replace('SIGTERM'),
--- a/test/soak/intake-soak.test.ts
+++ b/test/soak/intake-soak.test.ts
@@ -14,11 +14,11 @@
 const STEPS = 24
 const STEP_MS = 500
 const BACKENDS_EACH = 6
-/** Backend servers of each service that give no notice, so that callers can be served. */
+/** Backend servers of each service that never send a notice, so that some capacity is always available. */
 const SILENT_EACH = 2
 const LIMITS = ['0', '0.5', '1', '1.3', '2', '5']
 const RESTS = ['0.8', '1.5', '3']
-/** Part of the requests that is answered well, beside all that is brought about. */
+/** Minimum fraction of requests that must succeed despite the disruptions. */
 const SERVED_SHARE = 0.6
 
 class IntakeRun {
@@ -29,7 +29,7 @@
 
   constructor(private readonly draw: Draw) {}
 
-  /** Lets those backend servers give notices whose requests come from clients. */
+  /** Makes backend servers that receive client requests send notices, except SILENT_EACH of each service. */
   wrap(clients: SoakClients): void {
     const gatewayOf = (seen: SeenRequest): string => isWork(seen) ? `gateway-${senderOf(seen, clients)}` : 'none'
     for (const service of ['plain', 'model']) {
@@ -49,12 +49,12 @@
     await Promise.all(this.underWay)
   }
 
-  /** Whether a gateway was restarted or paused between two moments. */
+  /** Whether a gateway was restarted or paused between two times. */
   isExcused(gateway: string, from: number, to: number): boolean {
     return this.troubles.overlaps(Number(gateway.split('-')[1]), from, to)
   }
 
-  /** One that leaves says so to its end; another one changes what it says. */
+  /** Changes the notice of a backend server at random; a leaving one keeps its notice. */
   private changeNotice(backend: NoticeBackend): void {
     if (backend.notice?.headers['Server-Leaving'] !== undefined)
       return
--- a/test/soak/leaving-soak.test.ts
+++ b/test/soak/leaving-soak.test.ts
@@ -9,22 +9,22 @@
 import { SoakDeployment } from './support/soak-deployment.js'
 import { createDraw, readSeeds } from './support/soak-seeds.js'
 
-/** Milliseconds for which a backend server that leaves still serves, as some do. */
+/** How long a leaving backend server continues to serve, as some do in production. */
 const SERVES_ON_MS = 7000
-/** Milliseconds after which nothing may reach it: the drain bound of gateways in touch (settings, `drain-ms`). */
+/** Time after which a connected gateway must not send it any request (setting `drain-ms`). */
 const DRAIN_MS = 2000
-/** Milliseconds after the end of trouble in the store after which gateways are in touch (settings, `contact-ms`). */
+/** Time after a store disruption until gateways count as connected again (setting `contact-ms`). */
 const CONTACT_MS = 3000
-/** Milliseconds for the way of a request on a machine that has other work. */
+/** Tolerance for request transit time on a busy machine. */
 const SLACK_MS = 150
-/** One answer in so many takes longer than the drain bound. */
+/** One in this many answers takes longer than DRAIN_MS. */
 const SLOW_ONE_IN = 3
 const SLOW_ANSWER_MS = 2500
-/** With three gateways each gets two connections to a backend server of the plain service, so that calls wait. */
+/** Leaves each of the three gateways two connections to a plain backend server, so that calls are queued. */
 const PLAIN_CONNECTIONS = 8
 const BACKENDS_EACH = 4
 
-/** A time in which the store was in trouble, in milliseconds of the test's clock. */
+/** A period in which the store was disrupted, in milliseconds of the test clock. */
 interface Trouble {
   from: number
   to: number
@@ -47,7 +47,7 @@
     this.deployment = new SoakDeployment({ plainConnections: PLAIN_CONNECTIONS, plainAnswer, backendsEach: BACKENDS_EACH })
   }
 
-  /** Lets a backend server leave, with or without a word, or brings trouble to the store. */
+  /** Makes a backend server leave, with or without announcing it, or disrupts the store. */
   step(): void {
     if (this.draw(2) === 0)
       leaveOne(this.deployment, this.leaves, this.draw)
@@ -55,7 +55,7 @@
       this.fault = this.fault.then(() => this.troubleStore())
   }
 
-  /** Work that reached a backend server later than gateways in touch may send it. */
+  /** Describes work that reached a backend server later than connected gateways may send it. */
   lateArrivals(): string[] {
     return this.leaves.flatMap(({ backend, at }) => {
       const latest = this.boundFrom(at)
@@ -84,7 +84,7 @@
     this.troubles.push({ from, to: performance.now() })
   }
 
-  /** When the last request may reach a backend server that left: the drain bound, from when gateways were in touch. */
+  /** Returns the latest time at which a request may reach a backend server that left: DRAIN_MS and tolerance, counted from the time at which gateways were connected. */
   private boundFrom(leftAt: number): number {
     let from = leftAt
     for (const { from: troubleFrom, to } of this.troubles) {
--- a/test/soak/lost-reads-soak.test.ts
+++ b/test/soak/lost-reads-soak.test.ts
@@ -8,13 +8,13 @@
 import { SoakTroubles } from './support/soak-troubles.js'
 import { isWork, senderOf } from './support/soak-work.js'
 
-/** Milliseconds after a backend server's leaving from which gateways in touch send it nothing (settings, `drain-ms`). */
+/** Time after which connected gateways must not send requests to a backend server that left (setting `drain-ms`). */
 const DRAIN_MS = 2000
-/** Milliseconds after the end of its trouble from which a gateway is in touch (settings, `contact-ms`). */
+/** Time after a disruption until a gateway counts as connected again (setting `contact-ms`). */
 const CONTACT_MS = 3000
-/** Milliseconds for the way of a request on a machine that has other work. */
+/** Tolerance for request transit time on a busy machine. */
 const SLACK_MS = 150
-/** Milliseconds after the last step in which requests still come. */
+/** How long requests continue after the last step. */
 const SETTLE_MS = 5500
 const BACKENDS_EACH = 6
 
@@ -28,7 +28,7 @@
 
   constructor(private readonly draw: Draw) {}
 
-  /** Lets a backend server leave, or brings trouble to one gateway or to all. */
+  /** Makes a backend server leave, or disrupts one gateway or all gateways. */
   step(): void {
     const gateway = this.draw(this.deployment.gateways.length)
     const kind = this.draw(8)
@@ -47,7 +47,7 @@
     await wait(SETTLE_MS)
   }
 
-  /** Work that reached a backend server too late, from a gateway that was in touch. */
+  /** Describes work from connected gateways that reached a backend server too late. */
   lateArrivals(clients: SoakClients): string[] {
     return this.leaves.flatMap(({ backend, at: leftAt }) => backend.seen
       .filter(seen => isWork(seen) && seen.at > leftAt + DRAIN_MS + SLACK_MS && this.troubles.isInTouch(senderOf(seen, clients), seen.at))
--- a/test/soak/slow-soak.test.ts
+++ b/test/soak/slow-soak.test.ts
@@ -8,25 +8,25 @@
 import { SoakDeployment } from './support/soak-deployment.js'
 import { createDraw, readSeeds } from './support/soak-seeds.js'
 
-/** Milliseconds for which a gateway is slowed. */
+/** How long a gateway is slowed down. */
 const SLOWED_MS = 2500
-/** Shortest and longest time for which a slowed process stands still, in milliseconds; drawn, so that it keeps no step with timers. */
+/** Range of the random pauses of a slowed process; random, so that the pauses do not synchronize with timers. */
 const MIN_STOPPED_MS = 100
 const MAX_STOPPED_MS = 300
-/** Milliseconds for which it runs in between. */
+/** How long it runs between two pauses. */
 const RUNNING_MS = 30
-/** Milliseconds within which all gateways agree once it is no longer slowed: heartbeats that were answered late still arrive. */
+/** Time until all gateways agree on a coordinator after the slowdown; late heartbeat answers still arrive during it. */
 const AGREED_MS = 1000
-/** Milliseconds after that in which nothing may change. */
+/** Period after that in which the coordinator must not change. */
 const QUIET_MS = 1500
 
-/** Gateways that one gateway has seen coordinate, in order, by its log. */
+/** Returns the successive coordinators that a gateway has logged. */
 function coordinatorsSeenBy({ directory }: SoakDeployment, number: number): string[] {
   const lines = readFileSync(path.join(directory, `gateway-${number}.log`), 'utf8').split('\n')
   return lines.filter(line => line.includes('"stage-coordinator"')).map(line => JSON.parse(line).coordinator)
 }
 
-/** Gateways that found themselves short of processor time, on a busy machine also others than those that the test slows. */
+/** Returns the gateways that logged a shortage of CPU time; on a busy machine these include gateways that the test did not slow down. */
 function findSlow({ directory, gateways }: SoakDeployment): string[] {
   const names = gateways.map((_, number) => `gateway-${number}`)
   return names.filter(name => readFileSync(path.join(directory, `${name}.log`), 'utf8').includes('"event":"slow"'))
@@ -40,7 +40,7 @@
   return deployment.gateways.map((_, number) => coordinatorsSeenBy(deployment, number))
 }
 
-/** Whether the changes of each gateway brought every coordinator at most once, and all gateways to the same one. */
+/** Whether every gateway has switched to each coordinator at most once and all gateways have the same coordinator. */
 function cameToOne(deployment: SoakDeployment, before: readonly string[][]): boolean {
   const changes = allCoordinatorsOf(deployment).map((seen, number) => seen.slice(before[number].length))
   const isOnceEach = changes.every(coordinators => new Set(coordinators).size === coordinators.length)
--- a/test/soak/support/answer-faults.ts
+++ b/test/soak/support/answer-faults.ts
@@ -1,15 +1,15 @@
 /**
- * Compares the answer that a client got with what backend servers saw.
+ * Compares the answer to a client with the runs that backend servers recorded.
  */
 import type { SentRequest } from './soak-clients.js'
 import { RequestKind } from './soak-clients.js'
 import { STREAM_EVENTS } from './soak-deployment.js'
 
-/** Statuses that promise that a request has not run and never will. */
+/** Statuses that guarantee that a request was not and will not be executed. */
 const PROMISES = new Set([408, 421, 429, 503])
 const WHOLE_STREAM = Array.from({ length: STREAM_EVENTS }, (_, index) => `id: ${index + 1}\ndata: ${index + 1}\n\n`).join('')
 
-/** What is wrong with a request's answer, by the runs that backend servers saw; undefined where nothing is. */
+/** Describes what is wrong with the answer to a request, given its number of runs; undefined if nothing is. */
 export function findFault(sent: SentRequest, runs: number): string | undefined {
   if (sent.kind === RequestKind.Once && runs > 1)
     return `${sent.id} may run once and ran ${runs} times`
--- a/test/soak/support/gateway-child.ts
+++ b/test/soak/support/gateway-child.ts
@@ -1,6 +1,6 @@
 /**
- * A gateway as a process of its own, from the bundle that is deployed; it can
- * be stopped, killed, paused and started again.
+ * A gateway child process that runs the deployed bundle and can be stopped,
+ * killed, paused and restarted.
  */
 import type { ChildProcess } from 'node:child_process'
 import type { SettingsOptions } from '../../platform/support/gateway-settings.js'
@@ -10,19 +10,19 @@
 import { request } from 'undici'
 import { createSettings, freePorts } from '../../platform/support/gateway-settings.js'
 
-/** The bundle of this checkout. */
+/** Bundle built from this checkout. */
 const CURRENT_BUNDLE = path.resolve('target/eidermast-gateway.mjs')
 
-/** One gateway; every start has ports of its own. */
+/** A gateway; every start uses new ports. */
 export class GatewayChild {
-  /** Run by the processes that are started from now on. */
+  /** Bundle that the next started process runs. */
   bundle = CURRENT_BUNDLE
   /** URL for clients. */
   address = ''
   private readiness = ''
   private child: ChildProcess | undefined
   private exited: Promise<void> = Promise.resolve()
-  /** Replacements that overlap come one after the other. */
+  /** Settles after all requested replacements, which are serialized. */
   private replaced: Promise<void> = Promise.resolve()
 
   constructor(private readonly name: string, private readonly storeAddress: string, private readonly directory: string, private readonly options: SettingsOptions = {}) {}
@@ -41,18 +41,18 @@
     this.readiness = `http://127.0.0.1:${ports.readiness}`
   }
 
-  /** Ends the process and starts the bundle of this checkout in its place. */
+  /** Replaces the process with one that runs the bundle of this checkout. */
   upgrade(): Promise<void> {
     this.bundle = CURRENT_BUNDLE
     return this.replace('SIGTERM')
   }
 
-  /** Sends a signal to the process that this object started. */
+  /** Sends a signal to the current process. */
   signal(signal: NodeJS.Signals): void {
     this.child?.kill(signal)
   }
 
-  /** Ends the process and starts another one in its place. */
+  /** Terminates the process with a signal and starts a new one. */
   replace(signal: NodeJS.Signals): Promise<void> {
     this.replaced = this.replaced.then(() => this.replaceNow(signal))
     return this.replaced
--- a/test/soak/support/intake-checks.ts
+++ b/test/soak/support/intake-checks.ts
@@ -1,35 +1,35 @@
 /**
- * What may reach backend servers that name a limit, ask for rest or say that
- * they leave, after gateways have been told; a restart or a pause of a gateway
- * since then excuses it.
+ * Checks the requests that reach backend servers after these have told gateways a
+ * rate limit, a time to retry after, or that they are leaving. A gateway that was
+ * restarted or paused since then is exempt.
  */
 import type { Arrival, NoticeBackend, NoticePeriod } from '../../platform/support/notice-pool.js'
 import { mostWithin } from '../../platform/support/notice-pool.js'
 
-/** Milliseconds after the first naming of a limit from which on it binds (settings, `contact-ms`). */
+/** Time after the first announcement of a limit until it is binding (setting `contact-ms`). */
 const CONTACT_MS = 3000
-/** Milliseconds after its answer from which on a gateway is held to a limit or a rest. */
+/** Time after a backend server's answer until the gateway must respect its limit or retry time. */
 const TOLD_AFTER_MS = 500
-/** Milliseconds over which requests are counted against a limit. */
+/** Window over which requests are counted against a limit. */
 const SPAN_MS = 4000
-/** Milliseconds after such an answer from which no request that a client sends may reach a backend server that leaves (settings, `drain-ms`). */
+/** Time after such an answer after which new client requests must not reach a leaving backend server (setting `drain-ms`). */
 const DRAIN_MS = 2000
-/** Requests that may reach a backend server from one gateway in a rest. */
+/** Requests from one gateway that may reach a backend server during its retry time. */
 const ALLOWED_IN_REST = 2
-/** Milliseconds for the way of a request on a machine that has other work. */
+/** Tolerance for request transit time on a busy machine. */
 const SLACK_MS = 150
 
-/** Whether a gateway was restarted or paused between two moments, in milliseconds of the test's clock. */
+/** Whether a gateway was restarted or paused between two times, in milliseconds of the test clock. */
 export type IsExcused = (gateway: string, from: number, to: number) => boolean
 
-/** Looks up when a client sent a request; undefined where no client did. */
+/** Looks up when a client sent a request; undefined for requests that no client sent. */
 export type SentAt = (requestId: string) => number | undefined
 
-/** Checks what reached one backend server. */
+/** Checks the requests that reached a backend server. */
 export class IntakeChecks {
   constructor(private readonly isExcused: IsExcused, private readonly sentAt: SentAt) {}
 
-  /** What should not have come, in words; empty where all is well. */
+  /** Describes the requests that violate a notice; empty if there are none. */
   breaches(backend: NoticeBackend): string[] {
     const { id } = backend.stand
     const ofPeriods = backend.periods.flatMap(period => [...this.overLimit(backend, period), ...this.afterLeaving(backend, period)])
@@ -54,7 +54,7 @@
       const sentAt = this.sentAt(requestId) ?? Number.NEGATIVE_INFINITY
       return this.isBound(toldAt.get(gateway), DRAIN_MS + SLACK_MS, gateway, at) && sentAt > toldAt.get(gateway)! + DRAIN_MS
     })
-    return late.map(({ gateway, at }) => `a request of ${gateway} ${Math.round(at - toldAt.get(gateway)!)} ms after it was told of the leaving`)
+    return late.map(({ gateway, at }) => `a request of ${gateway} ${Math.round(at - toldAt.get(gateway)!)} ms after it was told that the backend server is leaving`)
   }
 
   private inRest({ arrivals, turnedAwayAt, periods }: NoticeBackend): string[] {
@@ -62,7 +62,7 @@
       const restMs = restAt(periods, at)
       const later = arrivals.filter((arrival: Arrival) => arrival.gateway === gateway && arrival.at > at + TOLD_AFTER_MS && arrival.at < at + restMs)
       const counted = later.filter(arrival => !this.isExcused(gateway, at, arrival.at))
-      return counted.length > ALLOWED_IN_REST ? [`${counted.length} requests of ${gateway} in a rest of ${restMs} ms`] : []
+      return counted.length > ALLOWED_IN_REST ? [`${counted.length} requests of ${gateway} within a Retry-After of ${restMs} ms`] : []
     })
   }
 
@@ -71,7 +71,7 @@
   }
 }
 
-/** Milliseconds of rest that were asked for at a moment. */
+/** Returns the `Retry-After` time, in milliseconds, that was in effect at a given time. */
 function restAt(periods: readonly NoticePeriod[], at: number): number {
   const period = periods.find(({ from, to }) => from <= at && at <= to + SLACK_MS)
   return Number(period?.notice.headers['Retry-After'] ?? 0) * 1000
--- a/test/soak/support/landed-build.ts
+++ b/test/soak/support/landed-build.ts
@@ -1,19 +1,19 @@
 /**
- * The gateway as it landed last, built from the history of the repository, to
- * run beside the current one.
+ * Builds the last landed version of the gateway from the repository history, to
+ * run it side by side with the current one.
  */
 import { execFileSync } from 'node:child_process'
 import { existsSync, mkdirSync, mkdtempSync, readdirSync, symlinkSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import path from 'node:path'
 
-/** The newest landed version; every landing moves it (CONTRIBUTING.md). */
+/** The last landed version; updated with every landing (CONTRIBUTING.md). */
 export const LANDED_COMMIT = '2c0c5ea'
 
-/** Packages of the workspace: the earlier version has its own. */
+/** Scope of the workspace packages, which are not shared between versions. */
 const WORKSPACE_SCOPE = '@eidermast'
 
-/** Whether the history goes back to that version; a shallow checkout has none. */
+/** Whether the history contains that version; a shallow clone may not. */
 export function hasLandedCommit(): boolean {
   try {
     execFileSync('git', ['cat-file', '-e', `${LANDED_COMMIT}^{commit}`], { stdio: 'ignore' })
@@ -24,7 +24,7 @@
   }
 }
 
-/** Builds it in a folder of its own; returns the path of its bundle. */
+/** Builds the version in a temporary directory; returns the path of its bundle. */
 export function buildLanded(): string {
   const folder = mkdtempSync(path.join(tmpdir(), 'eidermast-landed-'))
   const archive = execFileSync('git', ['archive', LANDED_COMMIT], { maxBuffer: 1e9 })
@@ -35,7 +35,7 @@
   return path.join(folder, 'target/eidermast-gateway.mjs')
 }
 
-/** Libraries are those of this checkout, the packages of the workspace its own. */
+/** Links the external libraries of this checkout and the version's own workspace packages. */
 function linkModules(folder: string): void {
   const modules = path.join(folder, 'node_modules')
   const scope = path.join(modules, WORKSPACE_SCOPE)
--- a/test/soak/support/leaving-servers.ts
+++ b/test/soak/support/leaving-servers.ts
@@ -1,6 +1,6 @@
 /**
- * What the soaks of leaving backend servers share: which one leaves, and how a
- * run goes from its first request to its last check.
+ * Shared by the soak tests with leaving backend servers: choosing the one that
+ * leaves, and running a scenario from start to final checks.
  */
 import type { StandInBackend } from '../../platform/support/stand-in-backend.js'
 import type { Draw } from './soak-clients.js'
@@ -11,27 +11,27 @@
 
 const SERVICES = ['plain', 'model', 'encode']
 
-/** A backend server that left; it serves on. */
+/** A backend server that left but continues to serve. */
 export interface Leave {
   backend: StandInBackend
-  /** Milliseconds of the test's clock. */
+  /** Milliseconds of the test clock. */
   at: number
 }
 
-/** A run in which backend servers leave. */
+/** A scenario in which backend servers leave. */
 export interface LeavingPlay {
   deployment: SoakDeployment
   leaves: readonly Leave[]
-  /** Steps, and milliseconds between the beginnings of two. */
+  /** Number of steps, each started `stepMs` after the previous one. */
   steps: number
   stepMs: number
   step: () => void
-  /** Waits until nothing more can come late. */
+  /** Waits until no late request can arrive any more. */
   settle: () => Promise<void>
   lateArrivals: (clients: SoakClients) => string[]
 }
 
-/** Lets one of a service leave, with or without a word, where two or more stay. */
+/** Makes a random backend server leave, with or without announcing it, if its service has at least two left. */
 export function leaveOne(deployment: SoakDeployment, leaves: Leave[], draw: Draw): void {
   const left = new Set(leaves.map(({ backend }) => backend))
   const service = SERVICES[draw(SERVICES.length)]
@@ -46,7 +46,7 @@
   leaves.push({ backend, at: performance.now() })
 }
 
-/** Plays the steps beside clients, and expects that servers left and got nothing late. */
+/** Runs the steps under client load; expects that backend servers left and received no late requests. */
 export async function playLeaving(play: LeavingPlay, draw: Draw): Promise<void> {
   await play.deployment.start()
   const clients = new SoakClients(play.deployment.gateways, draw)
--- a/test/soak/support/soak-clients.ts
+++ b/test/soak/support/soak-clients.ts
@@ -1,43 +1,42 @@
 /**
- * Clients of a soak: they send requests of three kinds and keep the answers,
- * which a soak compares with what the backend servers saw.
+ * Clients for soak tests: send requests of three kinds and record the answers,
+ * which the tests compare with the requests that backend servers received.
  */
 import type { GatewayChild } from './gateway-child.js'
 import { request } from 'undici'
 
 /** Kinds of requests. */
 export enum RequestKind {
-  /** May run once only. */
+  /** Must not run more than once. */
   Once = 'once',
   /** May run more than once. */
   Plain = 'plain',
-  /** A stream after a stage, which may be resumed. */
+  /** A resumable stream that follows a stage. */
   Stream = 'stream',
 }
 
-/** A request and the answer that its client got. */
+/** A request and the answer to it. */
 export interface SentRequest {
   id: string
   kind: RequestKind
-  /** Number of the gateway that it was sent to. */
+  /** Index of the gateway that it was sent to. */
   gateway: number
-  /** Milliseconds of the test's clock. */
+  /** Milliseconds of the test clock. */
   sentAt: number
-  /** Undefined where the connection ended without a head. */
+  /** Undefined if the connection ended before the response headers. */
   status?: number
   echoedId?: string
-  /** The body, where it came to its end. */
+  /** Undefined if the body was not received completely. */
   body?: string
 }
 
-/** Draws a whole number below a bound. */
+/** Draws a random integer in the range [0, bound). */
 export type Draw = (bound: number) => number
 
 const KINDS = Object.values(RequestKind)
-/** Milliseconds between requests. */
 const SEND_INTERVAL_MS = 15
 
-/** Sends requests until it is stopped. */
+/** Sends requests until `stop` is called. */
 export class SoakClients {
   readonly requests: SentRequest[] = []
   private readonly underWay = new Set<Promise<void>>()
@@ -50,13 +49,13 @@
     this.timer = setInterval(() => this.send(), SEND_INTERVAL_MS)
   }
 
-  /** Waits for what is under way. */
+  /** Stops sending and waits for pending requests. */
   async stop(): Promise<void> {
     clearInterval(this.timer)
     await Promise.all(this.underWay)
   }
 
-  /** Number of the gateway that a request was sent to; undefined for an id that no client sent. */
+  /** Returns the index of the gateway that a request was sent to; undefined if no client sent the id. */
   gatewayOf(id: string): number | undefined {
     return this.requests.find(sent => sent.id === id)?.gateway
   }
@@ -66,7 +65,7 @@
     const gateway = this.draw(this.gateways.length)
     const sentRequest: SentRequest = { id: `${kind}-${this.sentCount++}`, kind, gateway, sentAt: performance.now() }
     this.requests.push(sentRequest)
-    // A call that fails leaves no status or no body; what may be said of it is checked by those.
+    // A failed call leaves the status or the body undefined, which the checks take into account.
     const call = this.call(this.gateways[gateway].address, sentRequest).catch(() => {}).finally(() => this.underWay.delete(call))
     this.underWay.add(call)
   }
--- a/test/soak/support/soak-deployment.ts
+++ b/test/soak/support/soak-deployment.ts
@@ -1,6 +1,6 @@
 /**
- * What a soak plays with: a stand-in store, stand-in backend servers, and gateways
- * as processes of their own.
+ * Deployment for soak tests: a stand-in store and stand-in backend servers in the
+ * test process, and gateways as child processes.
  */
 import type { Respond } from '../../platform/support/stand-in-backend.js'
 import { mkdtempSync } from 'node:fs'
@@ -16,12 +16,12 @@
 import { GatewayChild } from './gateway-child.js'
 import { RequestKind } from './soak-clients.js'
 
-/** Events of a whole stream. */
+/** Number of events in a complete stream. */
 export const STREAM_EVENTS = 4
 const GATEWAYS = 3
 /** Backend servers of each service. */
 const BACKENDS_EACH = 2
-/** Milliseconds that a backend server of the plain service works on a request. */
+/** Processing time of a request in the plain service. */
 const ANSWER_MS = 20
 const ROUTE = { Host: 'host.example', TimeoutMs: 4000, TargetLatencyMs: 3000, Service: 'plain' }
 const ROUTES = [
@@ -41,36 +41,36 @@
   await answerWhole()(seen, response)
 }
 
-/** What differs between soaks. */
+/** Options for a soak deployment. */
 export interface SoakOptions {
-  /** Connections that a backend server of the plain service accepts from all gateways. @default 60 */
+  /** Maximum number of connections that a plain backend server accepts from all gateways. @default 60 */
   plainConnections?: number
-  /** How backend servers of the plain service answer. @default after ANSWER_MS */
+  /** How plain backend servers answer. @default a complete answer after ANSWER_MS */
   plainAnswer?: Respond
   /** Backend servers of each service. @default BACKENDS_EACH */
   backendsEach?: number
-  /** Backend servers of the plain service in a pool whose members a body ends and that come back (`plainPool`), in place of the others. @default none */
+  /** Replaces the plain backend servers with a pool of this size (`plainPool`), whose members crash on a certain body and restart. @default none */
   plainPoolSize?: number
-  /** The bundle that gateways run at first. @default that of this checkout */
+  /** Bundle that gateways run initially. @default that of this checkout */
   bundle?: string
-  /** Failure domains, to which gateways and the backend servers of each service belong in turn. @default zone-a */
+  /** Failure domains, assigned round-robin to gateways and to the backend servers of each service. @default zone-a */
   failureDomains?: readonly string[]
-  /** Fields of the plain service beside its name and connections. @default none */
+  /** Additional fields of the plain service. @default none */
   plainService?: object
-  /** Further lines of the settings' section `[platform]`. @default none */
+  /** Additional lines for the settings section `[platform]`. @default none */
   platformSettings?: readonly string[]
-  /** Each gateway has a way of its own to the store (`lines`). @default false */
+  /** Whether each gateway reaches the store over a separate connection line (`lines`). @default false */
   ownLines?: boolean
 }
 
-/** A deployment with nothing broken. */
+/** A deployment that starts without faults. */
 export class SoakDeployment {
   readonly store = new StandInStore()
   readonly directory = mkdtempSync(path.join(tmpdir(), 'eidermast-soak-'))
   readonly backends: StandInBackend[] = []
   readonly plainPool: CrashingPool | undefined
   gateways: GatewayChild[] = []
-  /** The gateways' ways to the store, in their order, where the options ask for them. */
+  /** Connection lines to the store, by gateway index; empty unless `ownLines` is set. */
   lines: StoreLine[] = []
   private version = 0
 
@@ -99,14 +99,14 @@
     await this.store.stop()
   }
 
-  /** Resolves when every gateway says that it is ready. */
+  /** Waits until all gateways report that they are ready. */
   waitUntilReady(): Promise<void> {
     return vi.waitFor(async () => {
       expect(await Promise.all(this.gateways.map(gateway => gateway.isReady()))).not.toContain(false)
     }, { timeout: 30_000, interval: 100 })
   }
 
-  /** Publishes the same routes under a newer version. */
+  /** Publishes the same configuration under a new version. */
   publish(): void {
     this.store.put('keyed.op', 'config', {
       Version: ++this.version,
@@ -116,17 +116,17 @@
     })
   }
 
-  /** Lists a backend server as ready or as leaving. */
+  /** Lists a backend server as ready or as draining. */
   list(backend: StandInBackend, state: 'ready' | 'draining'): void {
     this.store.put('keyed.servers', backend.id, backend.entry(state))
   }
 
-  /** Takes a backend server off the list without a word. */
+  /** Removes a backend server from the list without listing it as leaving first. */
   unlist(backend: StandInBackend): void {
     this.store.put('keyed.servers', backend.id, undefined)
   }
 
-  /** Runs of a request that backend servers began. */
+  /** Counts the runs of a request that backend servers started; stage runs are not counted. */
   runsOf(id: string): number {
     const seen = this.backends.filter(backend => backend.service !== 'encode').flatMap(backend => backend.seen)
     return seen.filter(request => request.headers['attempt-id'] === id).length
@@ -146,13 +146,13 @@
     return this.lines[gateway].start()
   }
 
-  /** Failure domain of the gateway, or of the backend servers, of a number. */
+  /** Returns the failure domain of the gateway, or of the backend server of each service, with the given index. */
   failureDomainOf(number: number): string {
     const { failureDomains = ['zone-a'] } = this.options
     return failureDomains[number % failureDomains.length]
   }
 
-  /** Starts a backend server and lists it, as cold for some milliseconds. */
+  /** Starts a backend server and lists it as cold for the given time. */
   async addBackend(service: string, id: string, failureDomain: string, coldMs = 0): Promise<StandInBackend> {
     const backend = new StandInBackend(id, service, failureDomain)
     backend.respond = this.answerOf(service)
--- a/test/soak/support/soak-seeds.ts
+++ b/test/soak/support/soak-seeds.ts
@@ -1,20 +1,20 @@
 /**
- * Seeds of the soaks and the random draws that follow from one.
+ * Seeds for the soak tests, and random numbers derived from a seed.
  */
 import type { Draw } from './soak-clients.js'
 import process from 'node:process'
 import { unsafeUniformIntDistribution, xoroshiro128plus } from 'pure-rand'
 
-/** Seeds that CI plays; `SOAK_SEEDS=100-149` plays others by hand. */
+/** Seeds for CI runs; for manual runs `SOAK_SEEDS=100-149` sets a range of others. */
 const DEFAULT_SEEDS = [1, 2]
 
-/** The seeds to play. */
+/** Returns the seeds to run. */
 export function readSeeds(): number[] {
   const [first, last] = (process.env.SOAK_SEEDS ?? '').split('-').map(Number)
   return first > 0 ? Array.from({ length: (last || first) - first + 1 }, (_, index) => first + index) : DEFAULT_SEEDS
 }
 
-/** Draws that a seed decides. */
+/** Creates a deterministic random number generator from a seed. */
 export function createDraw(seed: number): Draw {
   const generator = xoroshiro128plus(seed)
   return bound => unsafeUniformIntDistribution(0, bound - 1, generator)
--- a/test/soak/support/soak-troubles.ts
+++ b/test/soak/support/soak-troubles.ts
@@ -1,40 +1,40 @@
 /**
- * When gateways of a soak were in trouble: bounds in time hold only for those
- * that are in touch.
+ * Records when gateways were disrupted in a soak test, because time bounds only
+ * apply to connected gateways.
  */
 
-/** A time of trouble of a gateway, or of all where none is named; in milliseconds of the test's clock. */
+/** A disruption of one gateway, or of all if `gateway` is undefined; in milliseconds of the test clock. */
 export interface Trouble {
   gateway: number | undefined
   from: number
   to: number
 }
 
-/** Remembers troubles. */
+/** Log of disruptions. */
 export class SoakTroubles {
   private readonly troubles: Trouble[] = []
 
-  /** Takes the milliseconds after the end of its trouble from which a gateway is in touch. */
+  /** @param contactMs Time after a disruption until a gateway counts as connected again. */
   constructor(private readonly contactMs: number) {}
 
   add(gateway: number | undefined, from: number, to: number): void {
     this.troubles.push({ gateway, from, to })
   }
 
-  /** Trouble that begins now; its caller sets the end. */
+  /** Records a disruption that starts now; the caller sets its end. */
   begin(gateway?: number): Trouble {
     const trouble = { gateway, from: performance.now(), to: Number.POSITIVE_INFINITY }
     this.troubles.push(trouble)
     return trouble
   }
 
-  /** Whether a gateway, or each of them where the sender is not known, has been in touch at a moment. */
+  /** Whether a gateway, or every gateway if `gateway` is undefined, was connected at a given time. */
   isInTouch(gateway: number | undefined, at: number): boolean {
     return !this.troubles.some(trouble => (gateway === undefined || trouble.gateway === undefined || trouble.gateway === gateway)
       && trouble.from < at && trouble.to + this.contactMs > at)
   }
 
-  /** Whether a gateway was in trouble between two moments. */
+  /** Whether a gateway was disrupted between two times. */
   overlaps(gateway: number, from: number, to: number): boolean {
     return this.troubles.some(trouble => trouble.gateway === gateway && trouble.from < to && trouble.to > from)
   }
--- a/test/soak/support/soak-work.ts
+++ b/test/soak/support/soak-work.ts
@@ -1,18 +1,18 @@
 /**
- * What backend servers of a soak saw: which of it is work, and who sent it.
+ * Classifies the requests that backend servers received in a soak test.
  */
 import type { SeenRequest } from '../../platform/support/stand-in-backend.js'
 import type { SoakClients } from './soak-clients.js'
 
-/** Calls to stage backend servers name no request of a client. */
+/** Calls on this path do not carry the id of a client request. */
 const STAGE_RUN_PATH = '/-/stage-run'
 
-/** Number of the gateway that sent a request; undefined for stage calls. */
+/** Returns the index of the gateway that sent a request; undefined for stage calls. */
 export function senderOf(seen: SeenRequest, clients: SoakClients): number | undefined {
   return seen.path === STAGE_RUN_PATH ? undefined : clients.gatewayOf(String(seen.headers['attempt-id']))
 }
 
-/** Calls that free results or ask for a report are none. */
+/** Whether a request is work; calls that free results or query a report are not. */
 export function isWork({ path }: SeenRequest): boolean {
   return path === STAGE_RUN_PATH || !path.startsWith('/-/')
 }
--- a/test/soak/upgrade-soak.test.ts
+++ b/test/soak/upgrade-soak.test.ts
@@ -9,12 +9,12 @@
 import { SoakDeployment } from './support/soak-deployment.js'
 import { createDraw } from './support/soak-seeds.js'
 
-/** Milliseconds for which both versions run side by side after each replacement. */
+/** How long both versions run side by side after each replacement. */
 const SIDE_BY_SIDE_MS = 1500
 const SEED = 1
-/** Events of which a version that does not understand another one writes some. */
+/** Events that a version logs if it is incompatible with the other one. */
 const FAULT_EVENTS = /"event":"(?:uncaught|unhandled|internal-error|configuration-rejected|crash-reports-rejected|backend-entry-rejected)"/
-/** Part of the requests that is served while VMs are replaced: each gateway is missing for about a second of its turn. */
+/** Minimum fraction of requests that succeed while VMs are replaced; each gateway is unavailable for about a second. */
 const SERVED_SHARE = 0.8
 
 function faultsIn({ directory, gateways }: SoakDeployment): string[] {
@@ -22,7 +22,7 @@
     .filter(line => FAULT_EVENTS.test(line))
 }
 
-/** Replaces gateways by their next process, one after the other, with a change of the configuration beside each. */
+/** Replaces the gateway processes one after the other and publishes a configuration during each replacement. */
 async function replaceEach(deployment: SoakDeployment, replaceOne: (gateway: GatewayChild) => Promise<void>): Promise<void> {
   for (const gateway of deployment.gateways) {
     const replaced = replaceOne(gateway)
--- a/test/support/caller.ts
+++ b/test/support/caller.ts
@@ -1,5 +1,5 @@
 /**
- * A caller for tests: sends requests to an entry and returns its answers.
+ * Test client that sends requests to an entry and returns its answers.
  */
 import type { RequestError } from '@eidermast/common'
 import type { StageReport } from '@eidermast/daemon'
@@ -19,7 +19,7 @@
   signal?: AbortSignal
 }
 
-/** The answer that a caller got. */
+/** The answer that a caller received. */
 export interface CallerAnswer {
   status: number
   output?: string
@@ -48,7 +48,7 @@
   return { ...body, status: response.statusCode }
 }
 
-/** Sends a request whose answer is to be streamed; the body holds server-sent events. */
+/** Sends a request for a streamed answer; the response body contains server-sent events. */
 export function streamPipeline({ entryUrl, pipeline, input, headers }: PipelineCall): Promise<Dispatcher.ResponseData> {
   return request(`${entryUrl}/v1/pipelines/${pipeline}/requests`, {
     method: 'POST',
@@ -57,14 +57,14 @@
   })
 }
 
-/** The answer that the small deployment must give. */
+/** Returns the answer expected from the small deployment. */
 export function smallAnswer(pipeline: string, input: string): string {
   const { templates } = resolveDeployment(DeploymentName.Small)
   const { stages } = templates.find(template => template.name === pipeline)!.value
   return expectedAnswer(stages.map(stage => ({ name: stage.name, tokens: stage.model ? stage.maxTokens : 0 })), input)
 }
 
-/** How often the stages of each request ran, as the backend servers counted. */
+/** Returns the run counts of each request's stages, as recorded by the backend servers. */
 export function countRunsByRequest(system: RunningSystem): Map<string, number[]> {
   const byRequest = new Map<string, number[]>()
   for (const [key, count] of system.countRuns()) {
@@ -74,7 +74,7 @@
   return byRequest
 }
 
-/** How often the stages of a request ran, as the backend servers counted. */
+/** Returns the run counts of a request's stages, as recorded by the backend servers. */
 export function runsOf(system: RunningSystem, requestId: string): number[] {
   return countRunsByRequest(system).get(requestId) ?? []
 }
--- a/test/support/cutting-proxy.ts
+++ b/test/support/cutting-proxy.ts
@@ -1,27 +1,28 @@
 /**
- * A proxy before one side that cuts the connection at a chosen moment of a call.
+ * A TCP proxy in front of a side that drops the connection at a chosen point of a
+ * call.
  */
 import type { Server, Socket } from 'node:net'
 import { once } from 'node:events'
 import { connect, createServer } from 'node:net'
 
-/** When the connection is cut. */
+/** Points of a call at which the connection is dropped. */
 export enum CutMoment {
-  /** The call is sent and does not arrive. */
+  /** The call was sent but does not arrive. */
   BeforeCall = 'before-call',
-  /** The call has arrived and runs. */
+  /** The call has arrived and is running. */
   AfterCall = 'after-call',
-  /** The reply is sent and does not arrive. */
+  /** The reply was sent but does not arrive. */
   BeforeReply = 'before-reply',
 }
 
-/** Bytes. Messages are masked on the wire, so calls are distinguished from heartbeats by their size. */
+/** Messages are masked on the wire, so calls are told apart from heartbeats by their size. */
 const MIN_CALL_BYTES = 1500
-/** Characters of an input that makes a call large enough to be distinguished. */
+/** Input length that makes a call larger than MIN_CALL_BYTES. */
 export const LARGE_INPUT_LENGTH = 2000
 const DONE_REPLY = '"kind":"done"'
 
-/** Passes bytes to a side until it cuts, once; connections after that pass unharmed. */
+/** Forwards bytes to a side. Drops one connection for each `cutAt`; later connections are forwarded unchanged. */
 export class CuttingProxy {
   cuts = 0
   private moment: CutMoment | undefined
@@ -39,7 +40,7 @@
     return typeof address === 'object' && address ? `127.0.0.1:${address.port}` : ''
   }
 
-  /** Cuts the next time that the moment comes. */
+  /** Drops the connection the next time that a call reaches the given point. */
   cutAt(moment: CutMoment): void {
     this.moment = moment
   }
--- a/test/support/fixtures.ts
+++ b/test/support/fixtures.ts
@@ -1,22 +1,22 @@
 /**
- * Values that several tests build on.
+ * Shared test fixtures.
  */
 import type { Backend, BackendClient, BackendResult, ChangeRecord, Load, ObjectKind, StageCall, Template } from '@eidermast/daemon'
 import { BackendOutcome, backendSchema, Priority, RecordKind, templateSchema } from '@eidermast/daemon'
 import { Ok } from 'ts-results-es'
 import { v7 as uuidv7 } from 'uuid'
 
-/** A template with one stage. */
+/** Creates a template with one stage. */
 export function createTemplate(deadlineMs = 1000): Template {
   return templateSchema.parse({ stages: [{ name: 'encode', service: 'encoder' }], deadlineMs })
 }
 
-/** A backend server that is ordered in. */
+/** Creates a backend server with the order `in`. */
 export function createBackend(overrides: Partial<Backend> = {}): Backend {
   return backendSchema.parse({ order: 'in', service: 'encoder', virtualMachine: 'vm-1', address: '127.0.0.1:1', failureDomain: 'a', ...overrides })
 }
 
-/** A change of one object. */
+/** Creates a change record for one object. */
 export function createChange(kind: ObjectKind, name: string, base: number, value: unknown): ChangeRecord {
   return { record: RecordKind.Change, id: uuidv7(), kind, name, base, value, author: 'test' }
 }
@@ -24,7 +24,6 @@
 export const SIDE_INCARNATION = uuidv7()
 const ENTRY_INCARNATION = uuidv7()
 
-/** A stage call. */
 export function createStageCall(overrides: Partial<StageCall> = {}, attempt = 1, requestId = uuidv7()): StageCall {
   return {
     identity: { entryIncarnation: ENTRY_INCARNATION, account: 'rider-app', requestId, stage: 'encode', attempt, sideIncarnation: SIDE_INCARNATION },
@@ -39,18 +38,18 @@
   }
 }
 
-/** A load report. */
+/** Creates the load report of an idle side. */
 export function createLoad(overrides: Partial<Load> = {}): Load {
   return { running: 0, queued: { high: 0, normal: 0, low: 0 }, slots: 1, meanServiceMs: 10, draining: false, ...overrides }
 }
 
-/** A call that a fake backend server holds until the test ends it. */
+/** A call that is pending in a fake backend server until the test completes it. */
 export interface HeldCall {
   call: StageCall
   end: (result: Partial<BackendResult>) => void
 }
 
-/** A backend server whose calls the test ends one by one. */
+/** A fake backend server whose calls the test completes individually. */
 export class FakeBackend implements BackendClient {
   readonly held: HeldCall[] = []
   /** Keys of every call that reached the backend server. */
--- a/test/support/known-red/known-red.ts
+++ b/test/support/known-red/known-red.ts
@@ -1,18 +1,18 @@
 /**
- * Judges a run of the tests against `KNOWN-RED.txt`, the list of tests that
- * fail for a known fault. The run passes with failures only where each of them
- * is listed by its full name; everything else that goes wrong fails it.
+ * Evaluates a test run against `KNOWN-RED.txt`, the list of known test failures.
+ * A run with failures passes only if the full name of every failed test is
+ * listed; any other error fails the run.
  *
- * A line of the list: `FILE > GROUP > TITLE | CAUSE | ISSUE`. Lines that begin
- * with `#` are comments.
+ * Format of a line: `FILE > GROUP > TITLE | CAUSE | ISSUE`. Lines that start with
+ * `#` are comments.
  */
 
-/** Tests that may be listed at a time (CONTRIBUTING.md). */
+/** Maximum number of listed tests (CONTRIBUTING.md). */
 export const MAX_KNOWN_RED = 3
-/** Test, cause and issue. */
+/** Fields of a line: test, cause and issue. */
 const FIELDS = 3
 
-/** A test that is known to fail. */
+/** A known test failure. */
 export interface KnownRed {
   /** Path of the file, groups and title, joined by ` > `. */
   test: string
@@ -20,47 +20,47 @@
   issue: string
 }
 
-/** What a run of the tests brought. */
+/** Results of a test run. */
 export interface TestRun {
-  /** Full names of all tests that were run. */
+  /** Full names of all executed tests. */
   tests: readonly string[]
   /** Full names of the tests that failed. */
   failed: readonly string[]
-  /** Failures outside a test: of a file, a hook, or an error that nothing caught. */
+  /** Errors outside a test: in a file, in a hook, or unhandled. */
   otherErrors: readonly string[]
 }
 
-/** The verdict on a run. */
+/** Verdict on a test run. */
 export enum Verdict {
   Green = 'green',
-  /** Just tests that are listed failed. */
+  /** Only listed tests failed. */
   KnownRed = 'known-red',
   Red = 'red',
 }
 
-/** A verdict with the lines that explain it. */
+/** A verdict and the output lines that explain it. */
 export interface Judgement {
   verdict: Verdict
   lines: string[]
 }
 
-/** Reads the list; throws where a line is not test, cause and issue, or where there are too many. */
+/** Parses the list; throws if a line is malformed or if there are more than MAX_KNOWN_RED lines. */
 export function parseKnownRed(text: string): KnownRed[] {
   const lines = text.split('\n').filter(line => line.trim() !== '' && !line.startsWith('#'))
   if (lines.length > MAX_KNOWN_RED)
-    throw new Error(`KNOWN-RED.txt lists ${lines.length} tests; ${MAX_KNOWN_RED} at most`)
+    throw new Error(`KNOWN-RED.txt lists ${lines.length} tests; the maximum is ${MAX_KNOWN_RED}`)
   return lines.map(parseLine)
 }
 
 function parseLine(line: string): KnownRed {
   const fields = line.split('|').map(field => field.trim())
   if (fields.length !== FIELDS || fields.includes(''))
-    throw new Error(`KNOWN-RED.txt: not a test, its cause and its issue: ${line}`)
+    throw new Error(`KNOWN-RED.txt: expected "TEST | CAUSE | ISSUE": ${line}`)
   const [test, cause, issue] = fields
   return { test, cause, issue }
 }
 
-/** Judges a run. */
+/** Evaluates a test run against the list. */
 export function judgeRun(listed: readonly KnownRed[], run: TestRun): Judgement {
   const names = new Set(listed.map(({ test }) => test))
   const faults = [
--- a/test/support/known-red/reporter.ts
+++ b/test/support/known-red/reporter.ts
@@ -1,7 +1,7 @@
 /**
- * A reporter for `.ci/run`: judges the run against `KNOWN-RED.txt`, prints why,
- * and writes the verdict to the file that `KNOWN_RED_VERDICT` names. A run that
- * ends before its verdict leaves that file as it was, empty.
+ * Vitest reporter for `.ci/run`: evaluates the run against `KNOWN-RED.txt`, prints
+ * the reasons and writes the verdict to the file named by `KNOWN_RED_VERDICT`. If
+ * a run aborts before the verdict, that file stays empty.
  */
 import type { Reporter, SerializedError, TestModule } from 'vitest/node'
 import type { Judgement, TestRun } from './known-red.js'
@@ -12,7 +12,7 @@
 const LIST = 'KNOWN-RED.txt'
 
 /**
- * Judges each run at its end. Vitest loads a reporter by its default export.
+ * Evaluates each run when it ends. Vitest loads a reporter by its default export.
  *
  * @public
  */
--- a/test/support/operator.ts
+++ b/test/support/operator.ts
@@ -1,10 +1,10 @@
 /**
- * An operator for tests: changes objects of the configuration on the log.
+ * Test helper that changes configuration objects on the log as an operator does.
  */
 import type { Backend, LogClient, Publication } from '@eidermast/daemon'
 import { ObjectKind, publishChange, readConfiguration } from '@eidermast/daemon'
 
-/** Publishes a change of some fields of a backend server, based on its newest version. */
+/** Publishes a change to some fields of a backend server, based on its newest version. */
 export async function changeBackend(client: LogClient, name: string, change: Partial<Backend>): Promise<Publication> {
   const configuration = await readConfiguration(client)
   const { value, offset } = configuration!.get(ObjectKind.Backend, name)!
