--- a/packages/command-line/src/commands/backend-commands.ts
+++ b/packages/command-line/src/commands/backend-commands.ts
@@ -65,7 +65,7 @@
   await withOperator(options, async (operator) => {
     const configuration = await requireConfiguration(operator)
     const known = configuration.get(ObjectKind.Backend, name)
-    const checked = backendSchema.safeParse({ ...known?.value, ...createOrder(given) })
+    const checked = backendSchema.safeParse({ ...known?.value, ...createBackendOrder(given) })
     if (!checked.success) {
       const faults = checked.error.issues.map(issue => `${issue.path.join('.')}: ${issue.message}`).join('; ')
       throw new CommandFailure(ExitCode.BadInput, `the backend server ${name} is not described in full: ${faults}`)
@@ -87,18 +87,18 @@
 }
 
 /** Returns only the fields given on the command line; the others keep their published values. */
-function createOrder(given: BackendOptions): Partial<Backend> {
+function createBackendOrder(options: BackendOptions): Partial<Backend> {
   const order: Partial<Backend> = {
     order: BackendOrder.In,
-    service: given.service,
-    role: given.role,
-    virtualMachine: given.virtualMachine,
-    address: given.address,
-    failureDomain: given.failureDomain,
-    checksOrders: given.checksOrders,
-    model: given.model,
-    version: given.modelVersion,
-    adapters: given.adapters?.split(',').map(adapter => adapter.trim()),
+    service: options.service,
+    role: options.role,
+    virtualMachine: options.virtualMachine,
+    address: options.address,
+    failureDomain: options.failureDomain,
+    checksOrders: options.checksOrders,
+    model: options.model,
+    version: options.modelVersion,
+    adapters: options.adapters?.split(',').map(adapter => adapter.trim()),
   }
   return Object.fromEntries(Object.entries(order).filter(([, value]) => value !== undefined))
 }
--- a/packages/command-line/src/commands/config-commands.ts
+++ b/packages/command-line/src/commands/config-commands.ts
@@ -25,7 +25,7 @@
 const DEFAULT_HISTORY_LIMIT = 50
 
 /** Kinds of files that `config check` validates. */
-enum CheckedFile {
+enum CheckedFileKind {
   Template = 'template',
   Account = 'account',
   Daemon = 'daemon',
@@ -33,7 +33,7 @@
 }
 
 interface CheckOptions {
-  kind: CheckedFile
+  kind: CheckedFileKind
 }
 
 interface HistoryOptions {
@@ -45,7 +45,7 @@
   const group = program.command('config').description('check files, show the configuration and its history')
   group.command('check <file>')
     .description('check a file and name every fault; nothing is sent')
-    .addOption(new Option('--kind <kind>', 'what the file holds').choices(Object.values(CheckedFile)).default(CheckedFile.Template))
+    .addOption(new Option('--kind <kind>', 'what the file holds').choices(Object.values(CheckedFileKind)).default(CheckedFileKind.Template))
     .addHelpText('after', exampleHelp('eidermast config check rider-answer.ini', 'eidermast config check entry-1.ini --kind daemon'))
     .action((file: string, options: CheckOptions, command: Command) => check(file, options.kind, command))
   group.command('show')
@@ -61,22 +61,22 @@
   ))
 }
 
-function check(file: string, kind: CheckedFile, command: Command): void {
+function check(file: string, kind: CheckedFileKind, command: Command): void {
   const faults = findFaults(file, kind)
   if (faults.length > 0)
     failWithFaults(faults)
   print(globalOptions(command), { file, faults }, [`${file} is valid`])
 }
 
-function findFaults(file: string, kind: CheckedFile): SettingsFault[] {
+function findFaults(file: string, kind: CheckedFileKind): SettingsFault[] {
   switch (kind) {
-    case CheckedFile.Daemon:
+    case CheckedFileKind.Daemon:
       return faultsOf(loadSettings(file))
-    case CheckedFile.CommandLine:
+    case CheckedFileKind.CommandLine:
       return faultsOf(loadCommandLineSettings(file))
-    case CheckedFile.Template:
+    case CheckedFileKind.Template:
       return faultsOf(loadObjectFile(ObjectKind.Template, file))
-    case CheckedFile.Account:
+    case CheckedFileKind.Account:
       return faultsOf(loadObjectFile(ObjectKind.Account, file))
   }
 }
--- a/packages/command-line/src/commands/explain-command.ts
+++ b/packages/command-line/src/commands/explain-command.ts
@@ -4,10 +4,10 @@
  */
 import type { Decision } from '@eidermast/daemon'
 import type { Command } from 'commander'
-import type { RequestStory } from '../request-story.js'
+import type { RequestTimeline } from '../request-timeline.js'
 import { formatError, formatLine } from '@eidermast/common'
 import { CommandFailure, ExitCode } from '../exit-codes.js'
-import { formatStory, readLines, readStory } from '../request-story.js'
+import { formatTimeline, readLines, readTimeline } from '../request-timeline.js'
 import { exampleHelp, failUnreachable, globalOptions, print, withOperator } from './command-context.js'
 
 interface ExplainOptions {
@@ -39,22 +39,22 @@
 }
 
 async function explainFromLogs(requestId: string, files: string[], command: Command): Promise<void> {
-  const story = await readFiles(requestId, files)
-  if (story.lines.length === 0)
-    throw new CommandFailure(ExitCode.NotFound, describeNothingFound(requestId, story))
-  print(globalOptions(command), story, formatStory(story))
+  const timeline = await readTimelineFromFiles(requestId, files)
+  if (timeline.lines.length === 0)
+    throw new CommandFailure(ExitCode.NotFound, describeNothingFound(requestId, timeline))
+  print(globalOptions(command), timeline, formatTimeline(timeline))
 }
 
-async function readFiles(requestId: string, files: string[]): Promise<RequestStory> {
+async function readTimelineFromFiles(requestId: string, files: string[]): Promise<RequestTimeline> {
   try {
-    return await readStory(requestId, readLines(files))
+    return await readTimeline(requestId, readLines(files))
   }
   catch (error) {
     throw new CommandFailure(ExitCode.BadInput, `the logs cannot be read: ${formatError(error)}`)
   }
 }
 
-function describeNothingFound(requestId: string, { read, skipped }: RequestStory): string {
+function describeNothingFound(requestId: string, { read, skipped }: RequestTimeline): string {
   const found = `none of the ${read} lines mentions ${requestId} (${skipped} are not gateway log lines)`
   return `${found}; pass the logs of all gateways`
 }
--- a/packages/command-line/src/commands/load-command.ts
+++ b/packages/command-line/src/commands/load-command.ts
@@ -66,9 +66,9 @@
 }
 
 /** Writes progress to standard error, and only if it is a terminal. */
-function showProgress(sent: number, ended: number): void {
+function showProgress(sent: number, completed: number): void {
   if (process.stderr.isTTY)
-    process.stderr.write(`\rsent ${sent}, answered ${ended} `)
+    process.stderr.write(`\rsent ${sent}, answered ${completed} `)
 }
 
 function formatReport(report: LoadReport): string[] {
--- a/packages/command-line/src/commands/object-commands.ts
+++ b/packages/command-line/src/commands/object-commands.ts
@@ -24,7 +24,7 @@
 }
 
 /** Help texts for one kind of object. */
-interface GroupText {
+interface GroupHelpTexts {
   description: string
   /** Object name used in the examples. */
   name: string
@@ -69,7 +69,7 @@
   })
 }
 
-function addObjectCommands(program: Command, kind: FileKind, text: GroupText): void {
+function addObjectCommands(program: Command, kind: FileKind, text: GroupHelpTexts): void {
   const group = program.command(kind).description(text.description)
   group.command('publish <name> <file>')
     .description(`publish a new version of the ${kind} from an INI file, or from a JSON file as show prints it`)
--- a/packages/command-line/src/commands/status-command.ts
+++ b/packages/command-line/src/commands/status-command.ts
@@ -3,7 +3,7 @@
  * view of the other processes.
  */
 import type { Command } from 'commander'
-import type { AskedProcess } from '../operator.js'
+import type { QueriedProcess } from '../operator.js'
 import { exampleHelp, failUnreachable, formatTable, globalOptions, print, withOperator } from './command-context.js'
 
 const HEADINGS = ['name', 'role', 'address', 'pid', 'offset', 'state', 'detail']
@@ -19,12 +19,12 @@
 async function status(command: Command): Promise<void> {
   const options = globalOptions(command)
   await withOperator(options, async (operator) => {
-    const asked = await operator.status() ?? failUnreachable()
-    print(options, asked, formatTable([HEADINGS, ...asked.map(formatRow)]))
+    const processes = await operator.status() ?? failUnreachable()
+    print(options, processes, formatTable([HEADINGS, ...processes.map(formatRow)]))
   })
 }
 
-function formatRow({ name, address, status }: AskedProcess): string[] {
+function formatRow({ name, address, status }: QueriedProcess): string[] {
   if (!status)
     return [name, '-', address, '-', '-', 'silent', '']
   const detail = status.detail.map(line => `${line.subject}=${line.text}`).join(' ')
--- a/packages/command-line/src/load/load-kind.ts
+++ b/packages/command-line/src/load/load-kind.ts
@@ -22,7 +22,7 @@
 }
 
 /** A configuration object with its name. */
-interface Named<Value> {
+interface NamedObject<Value> {
   name: string
   value: Value
 }
@@ -34,17 +34,17 @@
 const SERVICE_DEADLINE_MS = 1000
 
 /** Number of distinct input prefixes; inputs share prefixes as in production traffic. */
-const TOPICS = 20
+const TOPIC_COUNT = 20
 
 /** Creates the request kinds from the published configuration; pipelines are weighted by account share. */
 export function createLoadKinds(configuration: Configuration): LoadKind[] {
   const templates = configuration.list(ObjectKind.Template)
   const accounts = configuration.list(ObjectKind.Account)
-  const services = plainServices(configuration)
-  const allShares = accounts.reduce((sum, account) => sum + account.value.share, 0)
+  const services = listPlainServices(configuration)
+  const totalShare = accounts.reduce((sum, account) => sum + account.value.share, 0)
   const pipelineShare = services.length > 0 ? 1 - SERVICE_SHARE : 1
   const pipelineKinds = templates.flatMap(template => accounts.map((account) => {
-    const weight = (account.value.share / allShares / templates.length) * pipelineShare
+    const weight = (account.value.share / totalShare / templates.length) * pipelineShare
     return createPipelineKind(template, account, weight)
   }))
   const account = accounts[0]?.name ?? ''
@@ -52,12 +52,12 @@
   return [...pipelineKinds, ...serviceKinds]
 }
 
-function plainServices(configuration: Configuration): string[] {
+function listPlainServices(configuration: Configuration): string[] {
   const backends = configuration.list(ObjectKind.Backend).filter(({ value }) => value.role === BackendRole.Plain)
   return [...new Set(backends.map(({ value }) => value.service))]
 }
 
-function createPipelineKind(template: Named<Template>, account: Named<Account>, weight: number): LoadKind {
+function createPipelineKind(template: NamedObject<Template>, account: NamedObject<Account>, weight: number): LoadKind {
   const topic = `of ${template.name} for ${account.name}, in the words of the house and with the names of its places.`
   return {
     name: template.name,
@@ -67,7 +67,7 @@
     deadlineMs: account.value.deadlineMs ?? template.value.deadlineMs,
     method: 'POST',
     path: () => `/v1/pipelines/${template.name}/requests`,
-    input: index => `Topic ${index % TOPICS} ${topic} Question ${index}`,
+    input: index => `Topic ${index % TOPIC_COUNT} ${topic} Question ${index}`,
   }
 }
 
--- a/packages/command-line/src/load/load-report.ts
+++ b/packages/command-line/src/load/load-report.ts
@@ -6,7 +6,7 @@
 import { build } from 'hdr-histogram-js'
 
 /** Outcome of a request as seen by its caller. */
-export enum LoadEnd {
+export enum LoadOutcome {
   /** Answered within its deadline. */
   Attained = 'attained',
   /** Answered after its deadline. */
@@ -63,7 +63,7 @@
   name: string
   account: string
   priority: string
-  end: LoadEnd
+  outcome: LoadOutcome
   /** Latency, measured from the planned arrival. */
   milliseconds: number
   errorKind?: string
@@ -86,7 +86,7 @@
 
 /** Aggregates the results of one group. */
 class GroupTally {
-  private readonly ends = new Map<LoadEnd, number>()
+  private readonly outcomes = new Map<LoadOutcome, number>()
   private readonly latencies = createHistogram()
   private sent = 0
 
@@ -94,30 +94,30 @@
 
   add(result: LoadResult): void {
     this.sent++
-    this.ends.set(result.end, this.count(result.end) + 1)
-    if (result.end === LoadEnd.Attained || result.end === LoadEnd.Late)
+    this.outcomes.set(result.outcome, this.count(result.outcome) + 1)
+    if (result.outcome === LoadOutcome.Attained || result.outcome === LoadOutcome.Late)
       recordLatency(this.latencies, result.milliseconds)
   }
 
   report(): GroupReport {
-    const attained = this.count(LoadEnd.Attained)
+    const attained = this.count(LoadOutcome.Attained)
     return {
       group: this.group,
       sent: this.sent,
       attained,
       attainment: this.sent === 0 ? 1 : attained / this.sent,
-      late: this.count(LoadEnd.Late),
-      refused: this.count(LoadEnd.Refused),
-      wrong: this.count(LoadEnd.Wrong),
-      lost: this.count(LoadEnd.Lost),
+      late: this.count(LoadOutcome.Late),
+      refused: this.count(LoadOutcome.Refused),
+      wrong: this.count(LoadOutcome.Wrong),
+      lost: this.count(LoadOutcome.Lost),
       p50: this.latencies.getValueAtPercentile(50),
       p95: this.latencies.getValueAtPercentile(95),
       p99: this.latencies.getValueAtPercentile(99),
     }
   }
 
-  private count(end: LoadEnd): number {
-    return this.ends.get(end) ?? 0
+  private count(outcome: LoadOutcome): number {
+    return this.outcomes.get(outcome) ?? 0
   }
 }
 
@@ -136,10 +136,10 @@
   add(result: LoadResult): void {
     this.count++
     this.overall.add(result)
-    this.groupOf(`kind ${result.name}`).add(result)
-    this.groupOf(`account ${result.account}`).add(result)
-    this.groupOf(`priority ${result.priority}`).add(result)
-    if (result.end === LoadEnd.Attained)
+    this.getOrCreateGroup(`kind ${result.name}`).add(result)
+    this.getOrCreateGroup(`account ${result.account}`).add(result)
+    this.getOrCreateGroup(`priority ${result.priority}`).add(result)
+    if (result.outcome === LoadOutcome.Attained)
       this.attained++
     if (result.errorKind !== undefined) {
       this.refusals[result.errorKind] = (this.refusals[result.errorKind] ?? 0) + 1
@@ -167,7 +167,7 @@
     return reports.sort((left, right) => left.group.localeCompare(right.group))
   }
 
-  private groupOf(name: string): GroupTally {
+  private getOrCreateGroup(name: string): GroupTally {
     const existing = this.groups.get(name)
     if (existing)
       return existing
--- a/packages/command-line/src/load/load-run.ts
+++ b/packages/command-line/src/load/load-run.ts
@@ -38,7 +38,7 @@
 const MAX_CONNECTIONS_PER_ENTRY = 2000
 
 /** Resolution of random fractions; fine enough for any mix of kinds. */
-const RANDOM_STEPS = 1_000_000
+const RANDOM_RESOLUTION = 1_000_000
 
 /** Runs a load and returns its report. Failed requests are counted and do not reject the promise. */
 export function runLoad(options: LoadRunOptions): Promise<LoadReport> {
@@ -71,48 +71,48 @@
     const pending: Promise<void>[] = []
     const startedAt = performance.now()
     const endAt = startedAt + this.options.seconds * MILLISECONDS_PER_SECOND
-    let plannedAt = startedAt + this.drawGap()
+    let plannedAt = startedAt + this.sampleInterarrivalMs()
     while (plannedAt < endAt) {
-      const earlyMs = plannedAt - performance.now()
-      if (earlyMs > 0)
-        await wait(earlyMs)
+      const delayMs = plannedAt - performance.now()
+      if (delayMs > 0)
+        await wait(delayMs)
       pending.push(this.sendOne(plannedAt))
-      plannedAt += this.drawGap()
+      plannedAt += this.sampleInterarrivalMs()
     }
     return pending
   }
 
   private async sendOne(plannedAt: number): Promise<void> {
     const index = this.sent++
-    const kind = this.drawKind()
-    const entryUrl = this.drawEntry()
+    const kind = this.pickKind()
+    const entryUrl = this.pickEntry()
     this.tally.add(await sendLoadRequest({ kind, index, entryUrl, plannedAt, dispatcher: this.agent }))
   }
 
   /** Returns the time in milliseconds until the next arrival of a Poisson process. */
-  private drawGap(): number {
-    return -Math.log(1 - this.draw()) * (MILLISECONDS_PER_SECOND / this.options.ratePerSecond)
+  private sampleInterarrivalMs(): number {
+    return -Math.log(1 - this.randomFraction()) * (MILLISECONDS_PER_SECOND / this.options.ratePerSecond)
   }
 
-  private drawEntry(): string {
+  private pickEntry(): string {
     const { entryUrls } = this.options
-    return entryUrls[Math.floor(this.draw() * entryUrls.length)]
+    return entryUrls[Math.floor(this.randomFraction() * entryUrls.length)]
   }
 
   /** Picks a kind at random, in proportion to the weights. */
-  private drawKind(): LoadKind {
+  private pickKind(): LoadKind {
     const { kinds } = this.options
-    let left = this.draw() * this.totalWeight
+    let remaining = this.randomFraction() * this.totalWeight
     for (const kind of kinds) {
-      left -= kind.weight
-      if (left < 0)
+      remaining -= kind.weight
+      if (remaining < 0)
         return kind
     }
     return kinds.at(-1)!
   }
 
   /** Returns a random number in the range [0, 1). */
-  private draw(): number {
-    return unsafeUniformIntDistribution(0, RANDOM_STEPS - 1, this.random) / RANDOM_STEPS
+  private randomFraction(): number {
+    return unsafeUniformIntDistribution(0, RANDOM_RESOLUTION - 1, this.random) / RANDOM_RESOLUTION
   }
 }
--- a/packages/command-line/src/operator.ts
+++ b/packages/command-line/src/operator.ts
@@ -36,7 +36,7 @@
 import { foldHistory } from './configuration-history.js'
 
 /** A queried process and its status, if it answered. */
-export interface AskedProcess {
+export interface QueriedProcess {
   name: string
   /** Host and port. */
   address: string
@@ -61,7 +61,7 @@
  * a busy process is reported as silent; doubling it makes operators wait longer
  * for a process that hangs.
  */
-const ASK_TIMEOUT_MS = 2000
+const QUERY_TIMEOUT_MS = 2000
 
 const log = createLogger('operator')
 
@@ -70,7 +70,7 @@
   private readonly log: HttpLogClient
 
   constructor(private readonly settings: CommandLineSettings) {
-    this.log = new HttpLogClient({ url: settings.platform.log, timeoutMs: ASK_TIMEOUT_MS })
+    this.log = new HttpLogClient({ url: settings.platform.log, timeoutMs: QUERY_TIMEOUT_MS })
   }
 
   /** Publishes a change of one object with the current user as its author. */
@@ -90,19 +90,19 @@
   }
 
   /** Queries the status of every listed entry and configured side; undefined if neither the VM list nor the log answers. */
-  async status(): Promise<AskedProcess[] | undefined> {
-    const { entries, sides } = await this.addresses()
+  async status(): Promise<QueriedProcess[] | undefined> {
+    const { entries, sides } = await this.resolveAddresses()
     if (!entries && !sides)
       return undefined
     return Promise.all([
-      ...(entries ?? []).map(address => this.askEntry(address)),
-      ...(sides ?? []).map(side => this.askSide(side)),
+      ...(entries ?? []).map(address => this.queryEntry(address)),
+      ...(sides ?? []).map(side => this.querySide(side)),
     ])
   }
 
   /** Collects the decisions about a request from all processes, oldest first; undefined if neither the VM list nor the log answers. */
   async explain(requestId: string): Promise<Decision[] | undefined> {
-    const { entries, sides } = await this.addresses()
+    const { entries, sides } = await this.resolveAddresses()
     if (!entries && !sides)
       return undefined
     const answers = await Promise.all([
@@ -117,8 +117,8 @@
     return this.log.close()
   }
 
-  private async addresses(): Promise<SystemAddresses> {
-    const source = new HttpVirtualMachineSource(this.settings.platform['virtual-machines'], ASK_TIMEOUT_MS)
+  private async resolveAddresses(): Promise<SystemAddresses> {
+    const source = new HttpVirtualMachineSource(this.settings.platform['virtual-machines'], QUERY_TIMEOUT_MS)
     const listed = await source.read()
     const configuration = await this.configuration()
     return {
@@ -127,12 +127,12 @@
     }
   }
 
-  private async askEntry(address: string): Promise<AskedProcess> {
+  private async queryEntry(address: string): Promise<QueriedProcess> {
     const status = await this.withEntry(address, client => client.status.query())
     return { name: status?.name ?? '(entry)', address, status }
   }
 
-  private async askSide({ name, address }: NamedAddress): Promise<AskedProcess> {
+  private async querySide({ name, address }: NamedAddress): Promise<QueriedProcess> {
     return { name, address, status: await this.withSide(address, client => client.status.query()) }
   }
 
@@ -158,7 +158,7 @@
     log('process-silent', { address: peer.address, reason: opened.error })
     return undefined
   }
-  const result = await callPeer(opened.value, call, ASK_TIMEOUT_MS)
+  const result = await callPeer(opened.value, call, QUERY_TIMEOUT_MS)
   opened.value.close()
   if (result.state === CallState.Answered)
     return result.value
--- a/packages/command-line/src/request-story.ts
+++ b/packages/command-line/src/request-timeline.ts
@@ -24,7 +24,7 @@
 }).catchall(valueSchema)
 
 /** A parsed log line. */
-export interface StoryLine {
+export interface LogLine {
   /** Milliseconds since the epoch, by the clock of the process that logged the line. */
   at: number
   process: string
@@ -33,9 +33,9 @@
 }
 
 /** The log lines about a request. */
-export interface RequestStory {
+export interface RequestTimeline {
   /** Sorted by time. */
-  lines: StoryLine[]
+  lines: LogLine[]
   /** Number of non-empty lines that were read. */
   read: number
   /** Number of lines that are not gateway log lines. */
@@ -43,7 +43,7 @@
 }
 
 /** Parses a log line; undefined if it is not a gateway log line. */
-export function parseLogLine(text: string): StoryLine | undefined {
+export function parseLogLine(text: string): LogLine | undefined {
   const start = text.indexOf('{')
   if (start < 0)
     return undefined
@@ -58,26 +58,26 @@
 }
 
 /** Whether a line is about a request, either alone or as part of a batched call. */
-function concerns(line: StoryLine, requestId: string): boolean {
+function mentionsRequest(line: LogLine, requestId: string): boolean {
   const { request, requests } = line.fields
   return request === requestId || (typeof requests === 'string' && requests.split(',').includes(requestId))
 }
 
 /** Collects the log lines about a request. */
-export async function readStory(requestId: string, texts: AsyncIterable<string>): Promise<RequestStory> {
-  const story: RequestStory = { lines: [], read: 0, skipped: 0 }
+export async function readTimeline(requestId: string, texts: AsyncIterable<string>): Promise<RequestTimeline> {
+  const timeline: RequestTimeline = { lines: [], read: 0, skipped: 0 }
   for await (const text of texts) {
     if (text.trim() === '')
       continue
-    story.read++
+    timeline.read++
     const line = parseLogLine(text)
     if (!line)
-      story.skipped++
-    else if (concerns(line, requestId))
-      story.lines.push(line)
+      timeline.skipped++
+    else if (mentionsRequest(line, requestId))
+      timeline.lines.push(line)
   }
-  story.lines.sort((left, right) => left.at - right.at)
-  return story
+  timeline.lines.sort((left, right) => left.at - right.at)
+  return timeline
 }
 
 /** Yields the lines of the files in order; throws if a file cannot be read. */
@@ -89,7 +89,7 @@
 }
 
 /** Formats a timeline with times in milliseconds since its first line. */
-export function formatStory({ lines }: RequestStory): string[] {
+export function formatTimeline({ lines }: RequestTimeline): string[] {
   const beginAt = lines[0]?.at ?? 0
   const lastAt = lines.at(-1)?.at ?? 0
   const width = String(lastAt - beginAt).length
--- a/packages/stand-ins/src/backend-service.ts
+++ b/packages/stand-ins/src/backend-service.ts
@@ -85,15 +85,15 @@
       case '/v1/load':
         return sendJson(call.response, 200, { running: this.slots.running, draining: this.draining, instance: this.instance })
       case '/v1/orders':
-        return this.takeOrder(call)
+        return this.applyOrder(call)
       case '/v1/run':
         return this.run(call)
       default:
-        return this.serveCall(call)
+        return this.handlePlainCall(call)
     }
   }
 
-  private takeOrder(call: StandInCall): void {
+  private applyOrder(call: StandInCall): void {
     const order = orderSchema.parse(JSON.parse(call.body))
     if (this.options.checksFences && this.currentOrder && order.fence < this.currentOrder.fence)
       return sendJson(call.response, 409, { message: 'the fence is outdated' })
@@ -105,9 +105,9 @@
     const run = runSchema.parse(JSON.parse(call.body))
     if (this.draining)
       return sendJson(call.response, 503, { message: 'draining' })
-    if (!this.hasLoaded(run))
+    if (!this.isModelLoaded(run))
       return sendJson(call.response, 409, { message: 'this model is not loaded' })
-    if (!await this.slots.take(run.priority, call.response))
+    if (!await this.slots.acquire(run.priority, call.response))
       return
     try {
       await this.execute(run, call.response)
@@ -117,7 +117,7 @@
     }
   }
 
-  private hasLoaded({ model, version }: Run): boolean {
+  private isModelLoaded({ model, version }: Run): boolean {
     if (model === undefined)
       return true
     const sameVersion = version === undefined || version === this.currentOrder?.version
@@ -125,9 +125,9 @@
   }
 
   private async execute(run: Run, response: ServerResponse): Promise<void> {
-    const fails = this.begin(run.account, run.requestId, run.stage)
+    const fails = this.recordRunStart(run.account, run.requestId, run.stage)
     const tokens = this.options.kind === BackendKind.Engine ? generateTokens(run.input, run.maxTokens) : []
-    await this.work(this.options.baseMs)
+    await this.simulateWork(this.options.baseMs)
     if (fails)
       return sendJson(response, 500, { message: 'the run failed' })
     if (run.stream)
@@ -147,7 +147,7 @@
         response.end()
         return
       }
-      await this.work(this.options.tokenMs)
+      await this.simulateWork(this.options.tokenMs)
       writeLine(response, { token: index === 0 ? token : ` ${token}` })
     }
     writeLine(response, { done: true, output: stageOutput(run.stage, run.input, tokens), tokens: tokens.length })
@@ -157,32 +157,32 @@
   /** Generates without streaming; stops when the caller disconnects. */
   private async generate(count: number, response: ServerResponse): Promise<void> {
     for (let index = 0; index < count && !response.destroyed; index++)
-      await this.work(this.options.tokenMs)
+      await this.simulateWork(this.options.tokenMs)
   }
 
   /** Handles a call to a plain service: echoes the request. */
-  private async serveCall({ method, path, body, request, response }: StandInCall): Promise<void> {
+  private async handlePlainCall({ method, path, body, request, response }: StandInCall): Promise<void> {
     if (this.options.kind !== BackendKind.Plain)
       return sendJson(response, 404, { message: 'no such path' })
     const requestId = String(request.headers['eidermast-request-id'] ?? '')
-    const fails = this.begin('', requestId, PLAIN_CALL_STAGE)
-    await this.work(this.options.baseMs)
+    const fails = this.recordRunStart('', requestId, PLAIN_CALL_STAGE)
+    await this.simulateWork(this.options.baseMs)
     if (fails)
       return sendJson(response, 500, { message: 'the call failed' })
     this.reply(response, { method, path: path + request.url!.slice(path.length), received: body, requestId })
   }
 
   /** Records the start of a run, exits if the fault `die` is set, and returns whether the run is to fail. */
-  private begin(account: string, requestId: string, stage: string): boolean {
+  private recordRunStart(account: string, requestId: string, stage: string): boolean {
     if (this.options.runsFile !== undefined)
       appendRun(this.options.runsFile, `${account}/${requestId}/${stage}`)
     if (this.faults.die)
       process.exit(1)
-    return this.drawFailure()
+    return this.shouldNextRunFail()
   }
 
   /** Fails a fixed share of the runs, evenly spaced. */
-  private drawFailure(): boolean {
+  private shouldNextRunFail(): boolean {
     const failedBefore = Math.floor(this.startedRuns * this.faults.failShare)
     this.startedRuns++
     return Math.floor(this.startedRuns * this.faults.failShare) > failedBefore
@@ -197,7 +197,7 @@
     sendJson(response, 200, body)
   }
 
-  private async work(milliseconds: number): Promise<void> {
+  private async simulateWork(milliseconds: number): Promise<void> {
     const total = milliseconds * this.faults.slowFactor
     if (total > 0)
       await wait(total)
--- a/packages/stand-ins/src/daemon-status.ts
+++ b/packages/stand-ins/src/daemon-status.ts
@@ -40,24 +40,24 @@
   /** Waits until every side accepts work and every entry uses all backend servers; throws after READY_TIMEOUT_MS. */
   async waitUntilReady(): Promise<void> {
     const sides = this.group.list(ProcessKind.Side)
-    const latest = Date.now() + READY_TIMEOUT_MS
+    const deadline = Date.now() + READY_TIMEOUT_MS
     for (const { name } of sides)
-      await waitUntil(() => this.takesWork(name), latest, `${name} did not accept work`)
+      await waitUntil(() => this.isSideReady(name), deadline, `${name} did not accept work`)
     for (const { name } of this.group.list(ProcessKind.Entry)) {
-      const seesAll = async (): Promise<boolean> => await this.countInForce(name) >= sides.length
-      await waitUntil(seesAll, latest, `${name} did not have every backend server in force`)
+      const usesAllBackends = async (): Promise<boolean> => await this.countActiveBackends(name) >= sides.length
+      await waitUntil(usesAllBackends, deadline, `${name} did not have every backend server in force`)
     }
   }
 
   /** Whether a side accepts work and has detected the current instance of its backend server. */
-  private async takesWork(sideName: string): Promise<boolean> {
+  private async isSideReady(sideName: string): Promise<boolean> {
     const status = await this.sideStatus(sideName)
-    const seen = status?.detail.find(line => line.subject === 'backend-instance')?.text
-    return status?.ready === true && seen === await readInstance(this.group.find(`${sideName}.backend`).url!)
+    const detectedInstance = status?.detail.find(line => line.subject === 'backend-instance')?.text
+    return status?.ready === true && detectedInstance === await readInstance(this.group.find(`${sideName}.backend`).url!)
   }
 
   /** Counts the backend servers that an entry uses. */
-  private async countInForce(entryName: string): Promise<number> {
+  private async countActiveBackends(entryName: string): Promise<number> {
     const status = await this.entryStatus(entryName)
     return status?.detail.filter(line => line.text === MemberState.InForce).length ?? 0
   }
@@ -82,9 +82,9 @@
   return instance
 }
 
-async function waitUntil(holds: () => Promise<boolean>, latest: number, message: string): Promise<void> {
-  while (!await holds()) {
-    if (Date.now() > latest)
+async function waitUntil(condition: () => Promise<boolean>, deadline: number, message: string): Promise<void> {
+  while (!await condition()) {
+    if (Date.now() > deadline)
       throw new Error(`${message} within ${READY_TIMEOUT_MS} ms; see its log in the deployment directory`)
     await wait(POLL_INTERVAL_MS)
   }
--- a/packages/stand-ins/src/demo.ts
+++ b/packages/stand-ins/src/demo.ts
@@ -31,7 +31,7 @@
 }
 
 /** Number of characters of an answer that are printed. */
-const SHORT_LENGTH = 60
+const EXCERPT_LENGTH = 60
 
 const REQUESTS: DemoRequest[] = [
   {
@@ -78,7 +78,7 @@
   },
 ]
 /** Number of calls to the plain service. */
-const STOP_LOOKUPS = 10
+const STOP_LOOKUP_COUNT = 10
 
 const deployment = resolveDeployment(DeploymentName.Small)
 const system = await RunningSystem.launch({ deployment })
@@ -104,7 +104,7 @@
   const sends = Array.from({ length: demoRequest.count }, (_, index) => send(running, demoRequest, index))
   const results = await Promise.all(sends)
   const [first] = results
-  console.log(`${demoRequest.title}: ${first.text.slice(0, SHORT_LENGTH)}`)
+  console.log(`${demoRequest.title}: ${first.text.slice(0, EXCERPT_LENGTH)}`)
   return results
 }
 
@@ -133,7 +133,7 @@
 
 async function lookUpStops(running: RunningSystem): Promise<DemoResult[]> {
   const results: DemoResult[] = []
-  for (let index = 0; index < STOP_LOOKUPS; index++) {
+  for (let index = 0; index < STOP_LOOKUP_COUNT; index++) {
     const requestId = uuidv7()
     const path = `/stops/4300028${index}`
     const response = await request(`${pickEntry(running, index)}/v1/services/rider-app-backend${path}`, {
@@ -144,7 +144,7 @@
     const text = JSON.stringify(answer)
     results.push({ requestId, account: '', unrepeatable: false, whole, late: false, kind: answer.kind, text })
   }
-  console.log(`stop lookup: ${results[0].text.slice(0, SHORT_LENGTH)}`)
+  console.log(`stop lookup: ${results[0].text.slice(0, EXCERPT_LENGTH)}`)
   return results
 }
 
--- a/packages/stand-ins/src/deployment.ts
+++ b/packages/stand-ins/src/deployment.ts
@@ -83,15 +83,15 @@
   return { name, value: accountSchema.parse({ share }) }
 }
 
-function createStagePools(languageModels: number, small: number): PoolDeployment[] {
+function createStagePools(languageModelReplicas: number, poolReplicas: number): PoolDeployment[] {
   return [
-    { service: 'encoder', kind: BackendKind.Pool, replicas: small, slots: 8, baseMs: 4, tokenMs: 0 },
-    { service: 'retriever', kind: BackendKind.Pool, replicas: small, slots: 8, baseMs: 6, tokenMs: 0 },
-    { service: 'reranker', kind: BackendKind.Pool, replicas: small, slots: 8, baseMs: 8, tokenMs: 0 },
+    { service: 'encoder', kind: BackendKind.Pool, replicas: poolReplicas, slots: 8, baseMs: 4, tokenMs: 0 },
+    { service: 'retriever', kind: BackendKind.Pool, replicas: poolReplicas, slots: 8, baseMs: 6, tokenMs: 0 },
+    { service: 'reranker', kind: BackendKind.Pool, replicas: poolReplicas, slots: 8, baseMs: 8, tokenMs: 0 },
     {
       service: 'language-model',
       kind: BackendKind.Engine,
-      replicas: languageModels,
+      replicas: languageModelReplicas,
       slots: 8,
       baseMs: 20,
       tokenMs: 2,
--- a/packages/stand-ins/src/first-configuration.ts
+++ b/packages/stand-ins/src/initial-configuration.ts
@@ -14,7 +14,7 @@
  * @param deployment The deployment to publish.
  * @param addressOf Returns host and port of the side of a backend server, by name.
  */
-export function createFirstConfiguration(deployment: Deployment, addressOf: (name: string) => string): ChangeRecord[] {
+export function createInitialConfiguration(deployment: Deployment, addressOf: (name: string) => string): ChangeRecord[] {
   const { templates, accounts, pools } = deployment
   const backends = pools.flatMap((pool) => {
     return Array.from({ length: pool.replicas }, (_, index) => createBackend(deployment, pool, index, addressOf))
--- a/packages/stand-ins/src/launcher.ts
+++ b/packages/stand-ins/src/launcher.ts
@@ -13,7 +13,7 @@
 import { fileURLToPath } from 'node:url'
 import { CONFIGURATION_STREAM, HttpLogClient } from '@eidermast/daemon'
 import { backendName, checksFences, failureDomain } from './deployment.js'
-import { createFirstConfiguration } from './first-configuration.js'
+import { createInitialConfiguration } from './initial-configuration.js'
 import { DAY_MS } from './log-service.js'
 import { ProcessKind } from './process-group.js'
 import { runsFile } from './run-counts.js'
@@ -40,7 +40,7 @@
 }
 
 /** Resources that the caller provides for a launch. */
-export interface LaunchPlace {
+export interface LaunchContext {
   /** Directory for the settings, logs and run counts of the processes. */
   directory: string
   /** Shared key of the system's processes. */
@@ -48,7 +48,7 @@
   group: ProcessGroup
 }
 
-interface Launch extends LaunchPlace {
+interface Launch extends LaunchContext {
   options: LaunchOptions
   platform: PlatformUrls
 }
@@ -65,14 +65,14 @@
 const MAX_CONCURRENT_STARTS = 8
 
 /** Starts all processes and publishes the configuration, but does not list the VMs. Throws if a process does not start listening. */
-export async function launchProcesses(options: LaunchOptions, place: LaunchPlace): Promise<PlatformUrls> {
-  const platform = await startPlatform(place.group, options.retentionMs ?? DAY_MS)
-  const launch: Launch = { ...place, options, platform }
+export async function launchProcesses(options: LaunchOptions, context: LaunchContext): Promise<PlatformUrls> {
+  const platform = await startPlatform(context.group, options.retentionMs ?? DAY_MS)
+  const launch: Launch = { ...context, options, platform }
   await startBackends(launch)
   await startEntries(launch)
   await publish(launch)
-  const entryUrls = place.group.list(ProcessKind.Entry).map(entry => entry.url!)
-  writeCommandLineSettings(place.directory, platform, place.key, entryUrls)
+  const entryUrls = context.group.list(ProcessKind.Entry).map(entry => entry.url!)
+  writeCommandLineSettings(context.directory, platform, context.key, entryUrls)
   return platform
 }
 
@@ -88,7 +88,7 @@
 async function startBackends(launch: Launch): Promise<void> {
   const { pools } = launch.options.deployment
   const starts = pools.flatMap(pool => Array.from({ length: pool.replicas }, (_, index) => () => startBackend(launch, pool, index)))
-  await runLimited(starts, MAX_CONCURRENT_STARTS)
+  await runWithConcurrency(starts, MAX_CONCURRENT_STARTS)
 }
 
 /** Starts a backend server and its side. */
@@ -113,7 +113,7 @@
 
 /** Publishes the initial configuration in a single append. */
 async function publish({ options, platform, group }: Launch): Promise<void> {
-  const changes = createFirstConfiguration(options.deployment, name => group.find(name).peer!)
+  const changes = createInitialConfiguration(options.deployment, name => group.find(name).peer!)
   const client = new HttpLogClient({ url: platform.log })
   const appended = await client.append(CONFIGURATION_STREAM, changes)
   await client.close()
@@ -146,11 +146,11 @@
 }
 
 /** Runs async functions with limited concurrency. */
-async function runLimited(starts: (() => Promise<void>)[], limit: number): Promise<void> {
-  const left = [...starts]
-  const work = async (): Promise<void> => {
-    for (let next = left.shift(); next; next = left.shift())
+async function runWithConcurrency(tasks: (() => Promise<void>)[], limit: number): Promise<void> {
+  const pending = [...tasks]
+  const runWorker = async (): Promise<void> => {
+    for (let next = pending.shift(); next; next = pending.shift())
       await next()
   }
-  await Promise.all(Array.from({ length: limit }, work))
+  await Promise.all(Array.from({ length: limit }, runWorker))
 }
--- a/packages/stand-ins/src/log-service.ts
+++ b/packages/stand-ins/src/log-service.ts
@@ -49,7 +49,7 @@
 const APPEND_BURST = 20
 
 /** Delay before a repeated append is stored again; long enough for other records to be stored in between. */
-const REPEAT_AFTER_MS = 300
+const REPEATED_APPEND_DELAY_MS = 300
 
 /** Maximum number of records per read, unless the reader sets a limit. */
 const DEFAULT_READ_LIMIT = 1000
@@ -80,7 +80,7 @@
   setFaults(faults: Partial<LogFaults>): void {
     this.faults = logFaultsSchema.parse(faults)
     for (const stream of this.streams.values())
-      wakeAll(stream)
+      notifyWaiters(stream)
   }
 
   private async handle(call: StandInCall): Promise<void> {
@@ -91,18 +91,18 @@
     const name = RECORDS_PATH.exec(call.path)?.[1]
     if (!name)
       return sendJson(call.response, 404, { message: 'no such path' })
-    if (this.isOut(call))
+    if (this.handleOutage(call))
       return
     if (this.faults.delayMs > 0)
       await wait(this.faults.delayMs)
-    const stream = this.streamOf(name)
+    const stream = this.getOrCreateStream(name)
     if (call.method === 'POST')
       return this.append(stream, call)
     return this.read(stream, call)
   }
 
   /** Returns whether the log is unavailable; in that case the call is answered with 503, or not at all if the log hangs. */
-  private isOut(call: StandInCall): boolean {
+  private handleOutage(call: StandInCall): boolean {
     if (this.faults.outage === LogOutage.None)
       return false
     if (this.faults.outage === LogOutage.Refuse)
@@ -117,7 +117,7 @@
     const offset = this.store(stream, records)
     if (this.faults.repeatAppends > 0) {
       this.faults.repeatAppends--
-      setTimeout(() => this.store(stream, records), REPEAT_AFTER_MS)
+      setTimeout(() => this.store(stream, records), REPEATED_APPEND_DELAY_MS)
     }
     if (this.faults.dropAcknowledgements > 0) {
       this.faults.dropAcknowledgements--
@@ -131,7 +131,7 @@
     const offset = stream.nextOffset
     for (const value of values)
       stream.records.push({ offset: stream.nextOffset++, time: this.now(), value })
-    wakeAll(stream)
+    notifyWaiters(stream)
     return offset
   }
 
@@ -141,7 +141,7 @@
     const waitMs = Number(call.query.get('waitMs') ?? 0)
     if (from >= stream.nextOffset && waitMs > 0)
       await waitForRecord(stream, waitMs)
-    if (this.isOut(call))
+    if (this.handleOutage(call))
       return
     this.trim(stream)
     const start = Math.max(0, from - stream.firstOffset)
@@ -168,7 +168,7 @@
     return true
   }
 
-  private streamOf(name: string): Stream {
+  private getOrCreateStream(name: string): Stream {
     const existing = this.streams.get(name)
     if (existing)
       return existing
@@ -178,7 +178,7 @@
   }
 }
 
-function wakeAll(stream: Stream): void {
+function notifyWaiters(stream: Stream): void {
   for (const wake of stream.waiters)
     wake()
 }
--- a/packages/stand-ins/src/outputs.ts
+++ b/packages/stand-ins/src/outputs.ts
@@ -6,7 +6,7 @@
 
 /** Long enough that two inputs do not collide in practice. */
 const DIGEST_LENGTH = 12
-const WORD_LENGTH = 5
+const TOKEN_LENGTH = 5
 
 function digest(text: string): string {
   return createHash('sha256').update(text).digest('hex').slice(0, DIGEST_LENGTH)
@@ -20,7 +20,7 @@
 /** Returns the tokens that an engine generates for an input. */
 export function generateTokens(input: string, count: number): string[] {
   const seed = digest(input)
-  return Array.from({ length: count }, (_, index) => digest(`${seed}/${index}`).slice(0, WORD_LENGTH))
+  return Array.from({ length: count }, (_, index) => digest(`${seed}/${index}`).slice(0, TOKEN_LENGTH))
 }
 
 /** Description of a stage for computing the expected answer. */
--- a/packages/stand-ins/src/running-system.ts
+++ b/packages/stand-ins/src/running-system.ts
@@ -32,7 +32,7 @@
  */
 export const OPERATOR_TIMEOUT_MS = 10_000
 /** Interval between probes of a backend server that does not answer; short compared with the duration of a recovery. */
-const ANSWER_RETRY_MS = 50
+const PROBE_INTERVAL_MS = 50
 
 /** A running deployment. */
 export class RunningSystem extends ProcessGroup {
@@ -163,7 +163,7 @@
    */
   async recover(restore: () => Promise<void> = async () => {}): Promise<void> {
     for (const launched of [...this.processes.values()])
-      await this.revive(launched)
+      await this.resumeOrRestart(launched)
     const backendUrls = this.list(ProcessKind.Backend).map(backend => backend.url!)
     await Promise.all([...Object.values(this.platform), ...backendUrls].map(url => this.setFaults(url, {})))
     await this.publishNewAddresses()
@@ -177,12 +177,12 @@
     rmSync(this.directory, { recursive: true, force: true })
   }
 
-  private async revive({ name, kind, url, child, pid }: LaunchedProcess): Promise<void> {
+  private async resumeOrRestart({ name, kind, url, child, pid }: LaunchedProcess): Promise<void> {
     if (isRunning(child))
       process.kill(pid, 'SIGCONT')
     // A backend server may have died without its exit having been reported yet; a busy one answers later.
-    while (kind === ProcessKind.Backend && isRunning(child) && !await answers(url!))
-      await wait(ANSWER_RETRY_MS)
+    while (kind === ProcessKind.Backend && isRunning(child) && !await isAnswering(url!))
+      await wait(PROBE_INTERVAL_MS)
     if (!isRunning(child))
       await this.restart(name)
   }
@@ -205,6 +205,6 @@
 }
 
 /** Whether a backend server answers. The error is discarded: the caller only needs to know that there was no answer. */
-async function answers(url: string): Promise<boolean> {
+async function isAnswering(url: string): Promise<boolean> {
   return request(`${url}/v1/load`).then(response => response.body.dump()).then(() => true, () => false)
 }
--- a/packages/stand-ins/src/slots.ts
+++ b/packages/stand-ins/src/slots.ts
@@ -15,39 +15,39 @@
 /** A counting semaphore with a priority queue. */
 export class Slots {
   private readonly waiting: Waiter[] = []
-  private taken = 0
+  private acquired = 0
 
   constructor(private readonly count: number) {}
 
   /** Number of active runs. */
   get running(): number {
-    return this.taken
+    return this.acquired
   }
 
   /** Whether no run is active or queued. */
   get idle(): boolean {
-    return this.taken === 0 && this.waiting.length === 0
+    return this.acquired === 0 && this.waiting.length === 0
   }
 
   /** Waits for a slot; resolves to false, without taking one, if the caller has disconnected. */
-  async take(priority: Priority, response: ServerResponse): Promise<boolean> {
-    if (this.taken >= this.count)
-      await this.waitForTurn(PRIORITY_ORDER.indexOf(priority))
+  async acquire(priority: Priority, response: ServerResponse): Promise<boolean> {
+    if (this.acquired >= this.count)
+      await this.enqueue(PRIORITY_ORDER.indexOf(priority))
     if (response.destroyed) {
       this.startNext()
       return false
     }
-    this.taken++
+    this.acquired++
     return true
   }
 
   /** Releases a slot and starts the next queued run. */
   release(): void {
-    this.taken--
+    this.acquired--
     this.startNext()
   }
 
-  private waitForTurn(rank: number): Promise<void> {
+  private enqueue(rank: number): Promise<void> {
     return new Promise((start) => {
       const index = this.waiting.findIndex(other => other.rank > rank)
       this.waiting.splice(index < 0 ? this.waiting.length : index, 0, { rank, start })
--- a/packages/stand-ins/src/stand-in.ts
+++ b/packages/stand-ins/src/stand-in.ts
@@ -12,7 +12,7 @@
 import { WeightStoreService } from './weight-store-service.js'
 
 /** Time for the side to notice that its backend server is draining; it polls the load four times a second (`load-interval-ms`). */
-const DRAIN_NOTICE_MS = 1000
+const DRAIN_PROPAGATION_MS = 1000
 
 const IDLE_POLL_MS = 20
 
@@ -34,13 +34,13 @@
 
 program.command('log')
   .option('--retention-ms <n>', 'retention period in milliseconds', String(DAY_MS))
-  .action(({ retentionMs }: LogOptions) => announce(new LogService({ retentionMs: Number(retentionMs) }).start()))
+  .action(({ retentionMs }: LogOptions) => printListening(new LogService({ retentionMs: Number(retentionMs) }).start()))
 
 program.command('virtual-machines')
-  .action(() => announce(new VirtualMachineListService().start()))
+  .action(() => printListening(new VirtualMachineListService().start()))
 
 program.command('weights')
-  .action(() => announce(new WeightStoreService().start()))
+  .action(() => printListening(new WeightStoreService().start()))
 
 program.command('backend')
   .requiredOption('--kind <kind>', 'engine, pool or plain')
@@ -50,11 +50,11 @@
   .option('--port <n>', 'port to listen on; 0 lets the operating system choose one', '0')
   .option('--runs-file <file>', 'file to which every run is appended')
   .option('--checks-fences', 'reject orders with an outdated fence', false)
-  .action((options: BackendOptions) => announce(startBackend(options)))
+  .action((options: BackendOptions) => printListening(startBackend(options)))
 
 await program.parseAsync()
 
-async function announce(starting: Promise<StandInService>): Promise<void> {
+async function printListening(starting: Promise<StandInService>): Promise<void> {
   const { url } = await starting
   process.stdout.write(`${JSON.stringify({ url, pid: process.pid })}\n`)
 }
@@ -75,7 +75,7 @@
 /** Graceful shutdown: rejects new runs, reports draining in the load, and exits when all runs have finished. */
 async function drain(backend: BackendService): Promise<void> {
   backend.beginDrain()
-  await wait(DRAIN_NOTICE_MS)
+  await wait(DRAIN_PROPAGATION_MS)
   while (!backend.idle)
     await wait(IDLE_POLL_MS)
   process.exit(0)
--- a/packages/stand-ins/src/virtual-machine-list-service.ts
+++ b/packages/stand-ins/src/virtual-machine-list-service.ts
@@ -24,7 +24,7 @@
 
 /** State and HTTP interface of the VM list. */
 export class VirtualMachineListService {
-  private shown: ListedVirtualMachine[] = []
+  private listed: ListedVirtualMachine[] = []
   private faults: VirtualMachineListFaults = virtualMachineListFaultsSchema.parse({})
 
   start(): Promise<StandInService> {
@@ -39,9 +39,9 @@
     if (this.faults.out)
       return sendJson(call.response, 503, { message: 'the VM list is unavailable' })
     if (call.method === 'POST') {
-      this.shown = listSchema.parse(JSON.parse(call.body)).virtualMachines
+      this.listed = listSchema.parse(JSON.parse(call.body)).virtualMachines
       return sendJson(call.response, 200, {})
     }
-    sendJson(call.response, 200, { virtualMachines: this.shown })
+    sendJson(call.response, 200, { virtualMachines: this.listed })
   }
 }
--- a/test/ci/known-red.test.ts
+++ b/test/ci/known-red.test.ts
@@ -7,16 +7,16 @@
 const LIST = parseKnownRed(`# comment\n${LISTED} | its cause | 22\n`)
 const CLEAN: TestRun = { tests: [LISTED, OTHER], failed: [], otherErrors: [] }
 
-describe('a run of the tests', () => {
+describe('a test run', () => {
   test.each<[string, Partial<TestRun>, Verdict]>([
-    ['is green where nothing failed', {}, Verdict.Green],
-    ['is passed over where just the listed test failed', { failed: [LISTED] }, Verdict.KnownRed],
-    ['is red where another test failed', { failed: [OTHER] }, Verdict.Red],
-    ['is red where another test failed beside the listed one', { failed: [LISTED, OTHER] }, Verdict.Red],
-    ['is red where something failed outside a test', { otherErrors: ['a hook timed out'] }, Verdict.Red],
-    ['is red where something failed beside the listed test', { failed: [LISTED], otherErrors: ['a hook timed out'] }, Verdict.Red],
-    ['is red where the listed test is gone', { tests: [OTHER] }, Verdict.Red],
-    ['is red where no test was run', { tests: [] }, Verdict.Red],
+    ['is green if nothing failed', {}, Verdict.Green],
+    ['is passed over if only the listed test failed', { failed: [LISTED] }, Verdict.KnownRed],
+    ['is red if another test failed', { failed: [OTHER] }, Verdict.Red],
+    ['is red if another test failed besides the listed one', { failed: [LISTED, OTHER] }, Verdict.Red],
+    ['is red if something failed outside a test', { otherErrors: ['a hook timed out'] }, Verdict.Red],
+    ['is red if something failed besides the listed test', { failed: [LISTED], otherErrors: ['a hook timed out'] }, Verdict.Red],
+    ['is red if the listed test does not exist', { tests: [OTHER] }, Verdict.Red],
+    ['is red if no test was run', { tests: [] }, Verdict.Red],
   ])('%s', (_name, run, verdict) => {
     expect(judgeRun(LIST, { ...CLEAN, ...run }).verdict).toBe(verdict)
   })
--- a/test/command-line/request-story.test.ts
+++ b/test/command-line/request-timeline.test.ts
@@ -2,7 +2,7 @@
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import path from 'node:path'
-import { ExitCode, formatStory, parseLogLine, readStory } from '@eidermast/command-line'
+import { ExitCode, formatTimeline, parseLogLine, readTimeline } from '@eidermast/command-line'
 import { afterAll, beforeAll, describe, expect, test } from 'vitest'
 
 const TOOL = path.resolve('packages/command-line/bin/eidermast.js')
@@ -19,7 +19,7 @@
 let directory: string
 
 beforeAll(() => {
-  directory = mkdtempSync(path.join(tmpdir(), 'eidermast-story-'))
+  directory = mkdtempSync(path.join(tmpdir(), 'eidermast-timeline-'))
 })
 afterAll(() => rmSync(directory, { recursive: true, force: true }))
 
@@ -35,7 +35,7 @@
 describe('a log line', () => {
   test.each([
     ['as it was written', REFUSED],
-    ['behind what a collector put before it', `Dec  2 10:00:00 vm-17 gateway[12]: ${REFUSED}`],
+    ['after a prefix added by a log collector', `Dec  2 10:00:00 vm-17 gateway[12]: ${REFUSED}`],
   ])('is read %s', (_name, text) => {
     expect(parseLogLine(text)).toMatchObject({ at: Date.parse('2026-12-02T10:00:00.250Z'), process: 'gateway-a', event: 'request-ended', fields: { request: 'id-1', tookMs: 2 } })
   })
@@ -50,11 +50,11 @@
   })
 })
 
-describe('the story of a request', () => {
-  test('holds every line that names it, alone or in a shared call, in order of time, and no other', async () => {
-    const story = await readStory('id-1', texts(CALL, REFUSED, OTHER, 'noise', '', ADMISSION))
-    expect(story).toMatchObject({ read: 5, skipped: 1 })
-    expect(formatStory(story)).toEqual([
+describe('the timeline of a request', () => {
+  test('contains only the lines that name it, alone or in a batched call, sorted by time', async () => {
+    const timeline = await readTimeline('id-1', texts(CALL, REFUSED, OTHER, 'noise', '', ADMISSION))
+    expect(timeline).toMatchObject({ read: 5, skipped: 1 })
+    expect(formatTimeline(timeline)).toEqual([
       '  0 ms  gateway-b  event=stages-admission decision=refused',
       '  2 ms  gateway-a  event=request-ended outcome=overloaded tookMs=2',
       '752 ms  gateway-a  event=stage-call pieces=4',
--- a/test/pages/commands.test.ts
+++ b/test/pages/commands.test.ts
@@ -30,7 +30,7 @@
   execFileSync(process.execPath, [path.join(ROOT, OPERATOR_TOOL), ...words], { stdio: 'pipe' })
 }
 
-describe('commands that pages spell', () => {
+describe('commands on the pages', () => {
   test('run scripts of the package that exist', () => {
     const { scripts } = JSON.parse(readFromRoot('package.json')) as { scripts: Record<string, string> }
     const named = commands.flatMap(text => [...text.matchAll(/\bnpm (?:run ([\w:]+)|(test|start)\b)/g)].map(match => match[1] ?? match[2]))
@@ -44,7 +44,7 @@
     expect(named.filter(file => !existsInRepository(file))).toEqual([])
   })
 
-  test('are commands of the operators\' tool, with options that it knows', () => {
+  test('are commands of the operators\' tool, with options that it supports', () => {
     const { commands: topLevel, options } = readHelp(OPERATOR_TOOL, [])
     expect(operatorCommands.length).toBeGreaterThan(15)
     for (const words of operatorCommands) {
@@ -73,7 +73,7 @@
     expect(all.filter(command => !named.some(text => text === command || text.startsWith(`${command} `)))).toEqual([])
   })
 
-  test('give the daemon options that it knows', () => {
+  test('pass only options that the daemon supports', () => {
     const { options } = readHelp(DAEMON, [])
     const words = commands.filter(text => text.startsWith('eidermastd ')).flatMap(text => text.split(/\s+/))
     const named = words.filter(word => word.startsWith('--'))
@@ -82,27 +82,27 @@
   })
 })
 
-describe('files that pages show', () => {
-  test('are settings that the daemon takes', () => {
+describe('example files on the pages', () => {
+  test('are settings that the daemon accepts', () => {
     const blocks = iniBlocks.filter(block => block.text.includes('[process]'))
     expect(blocks.length).toBeGreaterThan(0)
     for (const block of blocks)
       expect(parseSettings(block.text).isOk(), JSON.stringify(parseSettings(block.text))).toBe(true)
   })
 
-  test('are templates and client accounts that the operators\' tool takes', () => {
+  test('are templates and client accounts that the operators\' tool accepts', () => {
     const blocks = iniBlocks.filter(block => !block.text.includes('[process]'))
     expect(blocks.length).toBeGreaterThan(1)
     for (const [index, block] of blocks.entries()) {
       const kind = /^; (template|account)$/m.exec(block.text)?.[1]
       const file = path.join(settingsFolder, `${index}.ini`)
       writeFileSync(file, block.text)
-      expect(kind, 'the first line says what the file holds').toBeDefined()
+      expect(kind, 'the first line states the kind of the file').toBeDefined()
       runOperatorTool('config', 'check', file, '--kind', kind!)
     }
   })
 
-  test('are a settings template that a gateway takes once it is filled', () => {
+  test('include a settings template that a gateway accepts once it is filled in', () => {
     const filled = readFromRoot('platform/settings.ini')
       .replace(/^clients = .*$/m, 'clients = 127.0.0.1:1')
       .replace(/^readiness = .*$/m, 'readiness = 127.0.0.1:2')
--- a/test/pages/decisions-page.test.ts
+++ b/test/pages/decisions-page.test.ts
@@ -25,7 +25,7 @@
   expect(sourceModules().filter(decides).filter(module => !named.has(module))).toEqual([])
 })
 
-test('the page of decisions names no file that is gone', () => {
+test('the page of decisions names no missing file', () => {
   const paths = [...readFromRoot(PAGE).matchAll(/\b(?:packages|platform|test|docs)\/[\w./-]+\w/g)].map(match => match[0])
   expect(paths.filter(file => !existsInRepository(file))).toEqual([])
 })
--- a/test/pages/journal.test.ts
+++ b/test/pages/journal.test.ts
@@ -33,7 +33,7 @@
     expect(entries.length).toBeGreaterThan(1000)
   })
 
-  test('has no entry without a result but those that a page lists', () => {
+  test('has no entry without a result except those listed on the page', () => {
     const unfinished = entries.filter(entry => !hasResult(entry)).map(entry => entry.id)
     expect(unfinished.toSorted()).toEqual(matchIds(readFileSync(LIST, 'utf8'), LISTED_ENTRY).toSorted())
   })
--- a/test/pages/operations-page.test.ts
+++ b/test/pages/operations-page.test.ts
@@ -23,7 +23,7 @@
   expect(served.filter(name => !named.has(name))).toEqual([])
 })
 
-test('the operations page names only events that are written', () => {
+test('the operations page names only events that are logged', () => {
   const events = [...rowsUnder('event').flatMap(row => namesIn(row, 1)), ...rowsUnder('namespace').flatMap(row => namesIn(row, 2))]
   expect(events.length).toBeGreaterThan(50)
   expect(events.filter(name => !sources.includes(`'${name}'`))).toEqual([])
@@ -39,7 +39,7 @@
   expect([...written].filter(event => !named.has(event))).toEqual([])
 })
 
-test('the operations page names only kinds of errors that there are, with their statuses', () => {
+test('the operations page names only existing error kinds, with their statuses', () => {
   const rows = rowsUnder('kind').filter(row => namesIn(row, 1).length > 0)
   expect(rows.length).toBeGreaterThan(10)
   expect(rows.filter(row => !namesIn(row, 1).every(kind => statusesOf(row).includes(statusOf(kind) ?? 'no such kind')))).toEqual([])
--- a/test/pages/pages.test.ts
+++ b/test/pages/pages.test.ts
@@ -29,7 +29,7 @@
 }
 
 describe('pages', () => {
-  test('are found, and only those of history are exempt', () => {
+  test('are found, and only historical ones are exempt', () => {
     const exempt = allPages().filter(page => !currentPages().includes(page))
     expect(exempt.every(page => page === 'docs/FINDINGS.md' || page.startsWith('docs/incidents/'))).toBe(true)
     expect(currentPages()).toContain('README.md')
@@ -51,16 +51,16 @@
     expect(unknown(FILE_PATH, existsInRepository)).toEqual([])
   })
 
-  test('name files by their path from the root, or by their name alone', () => {
+  test('name files by their path relative to the root, or by their base name', () => {
     expect(unknown(/^[\w./-]+\/[\w.-]+\.(?:ts|mjs|md|toml|ini)$/, text => FILE_PATH.test(text))).toEqual([])
   })
 
-  test('name modules that exist where they leave their folder out', () => {
+  test('name existing modules when they omit the directory', () => {
     const names = new Set(repositoryFiles().map(file => path.posix.basename(file)))
     expect(unknown(BARE_FILE, name => names.has(name))).toEqual([])
   })
 
-  test('name events, error kinds and settings keys that the sources have', () => {
+  test('name events, error kinds and settings keys that exist in the sources', () => {
     expect(unknown(QUOTED_NAME, isQuoted)).toEqual([])
   })
 
@@ -68,12 +68,12 @@
     expect(unknown(METRIC, isQuoted)).toEqual([])
   })
 
-  test('name types, functions and constants that the sources have', () => {
+  test('name types, functions and constants that exist in the sources', () => {
     const isKnown = (name: string): boolean => name.split('.').every(part => new RegExp(`\\b${part}\\b`).test(sources))
     expect(unknown(IDENTIFIER, isKnown)).toEqual([])
   })
 
-  test('name sections and keys of settings that the sources have', () => {
+  test('name settings sections and keys that exist in the sources', () => {
     const isKnown = (text: string): boolean => {
       const [, section, key, value] = SECTION_KEY.exec(text)!
       return sources.includes(`${section}: `) && [key, value].every(name => name === undefined || isKeyOrValue(name))
--- a/test/soak/crashing-soak.test.ts
+++ b/test/soak/crashing-soak.test.ts
@@ -13,7 +13,7 @@
 /** Time after the third crash until connected gateways know of it, and time after a disruption until a gateway counts as connected again (setting `contact-ms`). */
 const CONTACT_MS = 3000
 /** How often connected gateways may still send such a request to backend servers after that time. */
-const SENT_AFTER = 3
+const MAX_SENT_LATE = 3
 /** Tolerance for request transit time on a busy machine. */
 const SLACK_MS = 150
 const STEPS = 18
@@ -25,10 +25,10 @@
 const PATHS = ['/plain/crash-a', '/plain/crash-b']
 const POOL_SIZE = 10
 /** Number of backend servers that crash together for unrelated reasons. */
-const END_TOGETHER = 3
+const CONCURRENT_CRASHES = 3
 
 /** A period in which a gateway was disrupted, in milliseconds of the test clock. */
-interface Trouble {
+interface Disruption {
   /** Undefined if all gateways were affected. */
   gateway?: number
   from: number
@@ -37,8 +37,8 @@
 
 class CrashingRun {
   readonly deployment = new SoakDeployment({ plainPoolSize: POOL_SIZE, ownLines: true })
-  private readonly troubles: Trouble[] = []
-  private readonly underWay: Promise<unknown>[] = []
+  private readonly disruptions: Disruption[] = []
+  private readonly pending: Promise<unknown>[] = []
   private isSending = true
   private sent = 0
 
@@ -52,14 +52,14 @@
       const { address } = this.deployment.gateways[gateway]
       const options = { method: 'POST' as const, body: CRASHING_BODY, headers: { 'host': 'host.example', 'attempt-id': id, 'deadline-ms': '2000' } }
       // The answers to crashing requests are not checked, because the gateway may be down.
-      this.underWay.push(request(`${address}${PATHS[this.draw(PATHS.length)]}`, options).then(({ body }) => body.dump()).catch(() => {}))
+      this.pending.push(request(`${address}${PATHS[this.draw(PATHS.length)]}`, options).then(({ body }) => body.dump()).catch(() => {}))
       await wait(CRASHING_INTERVAL_MS)
     }
   }
 
   async stop(): Promise<void> {
     this.isSending = false
-    await Promise.all(this.underWay)
+    await Promise.all(this.pending)
   }
 
   /** Disrupts a gateway, the store, or backend servers. */
@@ -70,29 +70,29 @@
       () => gateways[gateway].replace('SIGKILL'),
       () => gateways[gateway].replace('SIGTERM'),
       () => this.pause(gateway),
-      () => this.cut(gateway),
+      () => this.disconnectFromStore(gateway),
       () => lines[gateway].silenceOpenConnections(),
     ]
-    const common: (() => Promise<void> | void)[] = [() => this.failStore(), () => plainPool!.endSome(END_TOGETHER)]
+    const common: (() => Promise<void> | void)[] = [() => this.failStore(), () => plainPool!.endSome(CONCURRENT_CRASHES)]
     const number = this.draw(steps.length + common.length)
     if (number < steps.length)
-      this.trouble(gateway, steps[number])
+      this.disrupt(gateway, steps[number])
     else
-      this.trouble(undefined, common[number - steps.length])
+      this.disrupt(undefined, common[number - steps.length])
   }
 
   /** Describes the crashing requests that connected gateways sent too late, if there are more than allowed. */
   sentTooLate(): string[] {
     return PATHS.flatMap((path) => {
-      const late = this.deployment.plainPool!.sentLaterThan(CONTACT_MS + SLACK_MS, path).filter(seen => this.isInTouch(seen))
-      return late.length > SENT_AFTER ? late.map(seen => `${path} of ${seen.headers['attempt-id']} at ${Math.round(seen.at)} ms`) : []
+      const late = this.deployment.plainPool!.sentLaterThan(CONTACT_MS + SLACK_MS, path).filter(seen => this.wasConnected(seen))
+      return late.length > MAX_SENT_LATE ? late.map(seen => `${path} of ${seen.headers['attempt-id']} at ${Math.round(seen.at)} ms`) : []
     })
   }
 
-  private trouble(gateway: number | undefined, bring: () => Promise<void> | void): void {
-    const trouble: Trouble = { gateway, from: performance.now(), to: Number.POSITIVE_INFINITY }
-    this.troubles.push(trouble)
-    this.underWay.push(Promise.resolve(bring()).then(() => trouble.to = performance.now()))
+  private disrupt(gateway: number | undefined, action: () => Promise<void> | void): void {
+    const disruption: Disruption = { gateway, from: performance.now(), to: Number.POSITIVE_INFINITY }
+    this.disruptions.push(disruption)
+    this.pending.push(Promise.resolve(action()).then(() => disruption.to = performance.now()))
   }
 
   private async pause(gateway: number): Promise<void> {
@@ -102,7 +102,7 @@
     child.signal('SIGCONT')
   }
 
-  private async cut(gateway: number): Promise<void> {
+  private async disconnectFromStore(gateway: number): Promise<void> {
     const line = this.deployment.lines[gateway]
     line.isCut = true
     line.silenceOpenConnections()
@@ -118,34 +118,34 @@
   }
 
   /** Prints a summary of the run if EIDERMAST_SHOW_FAULTS is set. */
-  show(seed: number, { requests }: SoakClients): void {
+  printSummary(seed: number, { requests }: SoakClients): void {
     if (!process.env.EIDERMAST_SHOW_FAULTS)
       return
     const { ends } = this.deployment.plainPool!
     const byPath = PATHS.map(path => ends.filter(end => end.path === path).length)
     const plain = requests.filter(sent => sent.kind === RequestKind.Plain && sent.status !== undefined)
     const answered = plain.filter(({ status }) => status === 200)
-    console.log(`seed ${seed}: ${ends.length} ends, ${byPath.join(' and ')} under the two requests; ${answered.length} of ${plain.length} others answered`)
+    console.log(`seed ${seed}: ${ends.length} crashes, ${byPath.join(' and ')} during the two crashing requests; ${answered.length} of ${plain.length} other requests answered`)
   }
 
   /** Whether the gateway that sent a request was connected. */
-  private isInTouch(seen: SeenRequest): boolean {
+  private wasConnected(seen: SeenRequest): boolean {
     const gateway = Number(String(seen.headers['attempt-id']).split('-')[1])
-    return !this.troubles.some(trouble => (trouble.gateway ?? gateway) === gateway
-      && trouble.from < seen.at && trouble.to + CONTACT_MS + SLACK_MS > seen.at)
+    return !this.disruptions.some(disruption => (disruption.gateway ?? gateway) === gateway
+      && disruption.from < seen.at && disruption.to + CONTACT_MS + SLACK_MS > seen.at)
   }
 }
 
-function isRefusedForCrashes({ body }: SentRequest): boolean {
+function isQuarantined({ body }: SentRequest): boolean {
   return body?.includes('"kind":"quarantined"') ?? false
 }
 
-describe('requests that end backend servers, while gateways, store and backend servers fail', () => {
+describe('requests that crash backend servers, while gateways, store and backend servers fail', () => {
   beforeAll(async () => {
     await import('../../platform/build.mjs' as string)
   })
 
-  test.each(readSeeds())('are sent on no more by gateways in touch, and no other request is refused for them (seed %i)', async (seed) => {
+  test.each(readSeeds())('are no longer sent by connected gateways, and no other request is refused because of them (seed %i)', async (seed) => {
     const draw = createDraw(seed)
     const run = new CrashingRun(draw)
     const { deployment } = run
@@ -166,8 +166,8 @@
       for (const path of PATHS)
         expect(deployment.plainPool!.ends.filter(end => end.path === path).length).toBeGreaterThan(0)
       expect(run.sentTooLate()).toEqual([])
-      expect(clients.requests.filter(isRefusedForCrashes)).toEqual([])
-      run.show(seed, clients)
+      expect(clients.requests.filter(isQuarantined)).toEqual([])
+      run.printSummary(seed, clients)
     }
     finally {
       await run.stop()
--- a/test/soak/domains-soak.test.ts
+++ b/test/soak/domains-soak.test.ts
@@ -3,12 +3,12 @@
 import { wait } from '@eidermast/common'
 import { beforeAll, describe, expect, test } from 'vitest'
 import { StoreFault } from '../platform/support/stand-in-store.js'
-import { findFault } from './support/answer-faults.js'
+import { findViolation } from './support/answer-violations.js'
 import { SoakClients } from './support/soak-clients.js'
 import { SoakDeployment } from './support/soak-deployment.js'
+import { SoakDisruptions } from './support/soak-disruptions.js'
 import { createDraw, readSeeds } from './support/soak-seeds.js'
-import { SoakTroubles } from './support/soak-troubles.js'
-import { isWork, senderOf } from './support/soak-work.js'
+import { findSender, isWork } from './support/soak-work.js'
 
 const FAILURE_DOMAINS = ['zone-a', 'zone-b', 'zone-c']
 const BACKENDS_EACH = 6
@@ -21,13 +21,13 @@
 /** Tolerance for request transit time on a busy machine. */
 const SLACK_MS = 150
 /** Minimum duration of an evacuation and maximum random extension, in milliseconds. */
-const EVACUATED_MS = { least: 2500, more: 2500 }
+const EVACUATION_DURATION_MS = { min: 2500, maxExtra: 2500 }
 /** How long backend servers are cold, in milliseconds, and the requests per second that one can take during that time. */
 const COLD = { forMs: 2000, perSecond: 4, overshoot: 1.5, slack: 2 }
 /** Maximum number of requests that a cold backend server may receive within any second. */
-const COLD_BOUND = COLD.perSecond * COLD.overshoot + COLD.slack
+const MAX_COLD_REQUESTS = COLD.perSecond * COLD.overshoot + COLD.slack
 /** How long a failure domain is without power. */
-const POWERLESS_MS = 800
+const POWER_LOSS_MS = 800
 const OPERATOR_TOPIC = 'keyed.op'
 
 /** A period in which a failure domain was evacuated, in milliseconds of the test clock. */
@@ -47,19 +47,19 @@
     platformSettings: [`evacuation-ms = ${EVACUATION_MS}`, `cold-overshoot = ${COLD.overshoot}`, `cold-slack = ${COLD.slack}`],
   })
 
-  readonly underWay: Promise<void>[] = []
+  readonly pending: Promise<void>[] = []
   readonly evacuations: Evacuation[] = []
   /** Start time of each cold backend server. */
   private readonly startedCold = new Map<StandInBackend, number>()
   /** Backend servers that lost power. */
-  private readonly gone = new Set<StandInBackend>()
-  private readonly troubles = new SoakTroubles(CONTACT_MS + SLACK_MS)
+  private readonly poweredOff = new Set<StandInBackend>()
+  private readonly disruptions = new SoakDisruptions(CONTACT_MS + SLACK_MS)
   private readonly steps: (() => Promise<void> | void)[] = [
     () => this.evacuate(),
     () => this.evacuate(),
     () => this.losePower(),
-    () => this.disturbStore(),
-    () => this.cutFromStore(),
+    () => this.disruptStore(),
+    () => this.disconnectFromStore(),
     () => this.loseReads(),
     () => this.replaceGateway(),
   ]
@@ -67,7 +67,7 @@
   constructor(private readonly draw: Draw) {}
 
   step(): void {
-    this.underWay.push(Promise.resolve(this.steps[this.draw(this.steps.length)]()))
+    this.pending.push(Promise.resolve(this.steps[this.draw(this.steps.length)]()))
   }
 
   /** Describes work from connected gateways that reached an evacuated failure domain too late. */
@@ -75,16 +75,16 @@
     return this.evacuations.flatMap(({ failureDomain, from, to }) => this.deployment.backends
       .filter(backend => backend.failureDomain === failureDomain)
       .flatMap(backend => backend.seen)
-      .filter(seen => isWork(seen) && seen.at > from + EVACUATION_MS + SLACK_MS && seen.at < to && this.troubles.isInTouch(senderOf(seen, clients), seen.at))
-      .map(seen => `${seen.path} reached ${failureDomain} ${Math.round(seen.at - from)} ms after the order`))
+      .filter(seen => isWork(seen) && seen.at > from + EVACUATION_MS + SLACK_MS && seen.at < to && this.disruptions.wasConnected(findSender(seen, clients), seen.at))
+      .map(seen => `${seen.path} reached ${failureDomain} ${Math.round(seen.at - from)} ms after the evacuation order`))
   }
 
-  /** Describes cold backend servers that received more than COLD_BOUND requests within a second. */
-  overrun(): string[] {
+  /** Describes cold backend servers that received more than MAX_COLD_REQUESTS requests within a second. */
+  overloadedColdBackends(): string[] {
     return [...this.startedCold].flatMap(([backend, startedAt]) => {
       const arrivals = backend.seen.filter(seen => isWork(seen) && seen.at < startedAt + COLD.forMs).map(({ at }) => at)
       const most = Math.max(0, ...arrivals.map(from => arrivals.filter(at => at >= from && at < from + 1000).length))
-      return most > COLD_BOUND ? [`${backend.id} got ${most} in a second`] : []
+      return most > MAX_COLD_REQUESTS ? [`${backend.id} received ${most} requests within a second`] : []
     })
   }
 
@@ -92,23 +92,23 @@
   private async evacuate(): Promise<void> {
     if (this.evacuations.some(({ to }) => to > performance.now()))
       return
-    const failureDomain = this.drawDomain()
+    const failureDomain = this.pickFailureDomain()
     const evacuation = { failureDomain, from: performance.now(), to: Number.POSITIVE_INFINITY }
     this.evacuations.push(evacuation)
     this.deployment.store.put(OPERATOR_TOPIC, `evacuate/${failureDomain}`, {})
-    await wait(EVACUATED_MS.least + this.draw(EVACUATED_MS.more))
+    await wait(EVACUATION_DURATION_MS.min + this.draw(EVACUATION_DURATION_MS.maxExtra))
     evacuation.to = performance.now()
     this.deployment.store.put(OPERATOR_TOPIC, `evacuate/${failureDomain}`, undefined)
   }
 
   /** Simulates a power loss of a failure domain: its gateways restart, and its plain backend servers come back cold and under new ids. */
   private async losePower(): Promise<void> {
-    const failureDomain = this.drawDomain()
-    const lost = this.deployment.backends.filter(backend => backend.service === 'plain' && backend.failureDomain === failureDomain && !this.gone.has(backend))
-    lost.forEach(backend => this.gone.add(backend))
+    const failureDomain = this.pickFailureDomain()
+    const lost = this.deployment.backends.filter(backend => backend.service === 'plain' && backend.failureDomain === failureDomain && !this.poweredOff.has(backend))
+    lost.forEach(backend => this.poweredOff.add(backend))
     const gateways = this.deployment.gateways.flatMap((_, number) => this.deployment.failureDomainOf(number) === failureDomain ? [number] : [])
     await Promise.all([...lost.map(backend => backend.stop()), ...gateways.map(number => this.replace(number))])
-    await wait(POWERLESS_MS)
+    await wait(POWER_LOSS_MS)
     for (const backend of lost) {
       this.deployment.unlist(backend)
       const returned = await this.deployment.addBackend('plain', `${backend.id}+`, failureDomain, COLD.forMs)
@@ -116,31 +116,31 @@
     }
   }
 
-  private async disturbStore(): Promise<void> {
-    const trouble = this.troubles.begin()
+  private async disruptStore(): Promise<void> {
+    const disruption = this.disruptions.begin()
     const { store } = this.deployment
     store.fault = [StoreFault.Busy, StoreFault.Reset, StoreFault.Silent][this.draw(3)]
     await wait(300 + this.draw(900))
     store.fault = StoreFault.None
     store.dropHistory(OPERATOR_TOPIC)
-    trouble.to = performance.now()
+    disruption.to = performance.now()
   }
 
-  private async cutFromStore(): Promise<void> {
+  private async disconnectFromStore(): Promise<void> {
     const gateway = this.draw(this.deployment.gateways.length)
-    const trouble = this.troubles.begin(gateway)
+    const disruption = this.disruptions.begin(gateway)
     const line = this.deployment.lines[gateway]
     line.isCut = true
     line.silenceOpenConnections()
     await wait(300 + this.draw(3000))
     line.isCut = false
-    trouble.to = performance.now()
+    disruption.to = performance.now()
   }
 
   private loseReads(): void {
     const gateway = this.draw(this.deployment.gateways.length)
     this.deployment.lines[gateway].silenceOpenConnections()
-    this.troubles.add(gateway, performance.now(), performance.now())
+    this.disruptions.add(gateway, performance.now(), performance.now())
   }
 
   private replaceGateway(): Promise<void> {
@@ -148,22 +148,22 @@
   }
 
   private async replace(gateway: number): Promise<void> {
-    const trouble = this.troubles.begin(gateway)
+    const disruption = this.disruptions.begin(gateway)
     await this.deployment.gateways[gateway].replace(this.draw(2) === 0 ? 'SIGKILL' : 'SIGTERM')
-    trouble.to = performance.now()
+    disruption.to = performance.now()
   }
 
-  private drawDomain(): string {
+  private pickFailureDomain(): string {
     return FAILURE_DOMAINS[this.draw(FAILURE_DOMAINS.length)]
   }
 }
 
-describe('failure domains that are evacuated, lose power and come back cold', () => {
+describe('failure domains that are evacuated, lose power and restart cold', () => {
   beforeAll(async () => {
     await import('../../platform/build.mjs' as string)
   })
 
-  test.each(readSeeds())('get no work after the order, and no more than they withstand while cold, and nothing runs twice (seed %i)', async (seed) => {
+  test.each(readSeeds())('receive no work after an evacuation and no more than the limit while cold, and nothing runs twice (seed %i)', async (seed) => {
     const draw = createDraw(seed)
     const run = new DomainsRun(draw)
     await run.deployment.start()
@@ -175,12 +175,12 @@
         run.step()
         await wait(STEP_MS)
       }
-      await Promise.all(run.underWay)
+      await Promise.all(run.pending)
       await run.deployment.waitUntilReady()
       await clients.stop()
       expect(run.lateArrivals(clients)).toEqual([])
-      expect(run.overrun()).toEqual([])
-      expect(clients.requests.map(sent => findFault(sent, run.deployment.runsOf(sent.id))).filter(Boolean)).toEqual([])
+      expect(run.overloadedColdBackends()).toEqual([])
+      expect(clients.requests.map(sent => findViolation(sent, run.deployment.countRuns(sent.id))).filter(Boolean)).toEqual([])
       expect(clients.requests.filter(sent => sent.status === 200).length).toBeGreaterThan(clients.requests.length / 3)
     }
     finally {
--- a/test/soak/gateway-soak.test.ts
+++ b/test/soak/gateway-soak.test.ts
@@ -2,7 +2,7 @@
 import { wait } from '@eidermast/common'
 import { beforeAll, describe, expect, test } from 'vitest'
 import { StoreFault } from '../platform/support/stand-in-store.js'
-import { findFault } from './support/answer-faults.js'
+import { findViolation } from './support/answer-violations.js'
 import { RequestKind, SoakClients } from './support/soak-clients.js'
 import { SoakDeployment } from './support/soak-deployment.js'
 import { createDraw, readSeeds } from './support/soak-seeds.js'
@@ -36,12 +36,12 @@
   },
 ]
 
-describe('a soak of gateways as processes', () => {
+describe('gateway processes under faults', () => {
   beforeAll(async () => {
     await import('../../platform/build.mjs' as string)
   })
 
-  test.each(readSeeds())('keeps its promises under faults that overlap, and serves when they are over (seed %i)', async (seed) => {
+  test.each(readSeeds())('uphold their guarantees under overlapping faults, and serve requests afterwards (seed %i)', async (seed) => {
     const draw = createDraw(seed)
     const deployment = new SoakDeployment()
     await deployment.start()
@@ -57,7 +57,7 @@
       await Promise.all(faults)
       await deployment.waitUntilReady()
       await clients.stop()
-      expect(clients.requests.map(sent => findFault(sent, deployment.runsOf(sent.id))).filter(Boolean)).toEqual([])
+      expect(clients.requests.map(sent => findViolation(sent, deployment.countRuns(sent.id))).filter(Boolean)).toEqual([])
       for (const kind of Object.values(RequestKind))
         expect(clients.requests.filter(sent => sent.kind === kind && sent.status === 200).length).toBeGreaterThan(0)
     }
--- a/test/soak/leaving-soak.test.ts
+++ b/test/soak/leaving-soak.test.ts
@@ -1,16 +1,16 @@
 import type { Respond } from '../platform/support/stand-in-backend.js'
-import type { Leave, LeavingPlay } from './support/leaving-servers.js'
+import type { Departure, LeavingScenario } from './support/leaving-scenario.js'
 import type { Draw } from './support/soak-clients.js'
 import { wait } from '@eidermast/common'
 import { beforeAll, describe, test } from 'vitest'
 import { answerWhole } from '../platform/support/stand-in-backend.js'
 import { StoreFault } from '../platform/support/stand-in-store.js'
-import { leaveOne, playLeaving } from './support/leaving-servers.js'
+import { removeRandomBackend, runLeavingScenario } from './support/leaving-scenario.js'
 import { SoakDeployment } from './support/soak-deployment.js'
 import { createDraw, readSeeds } from './support/soak-seeds.js'
 
 /** How long a leaving backend server continues to serve, as some do in production. */
-const SERVES_ON_MS = 7000
+const SERVING_AFTER_LEAVE_MS = 7000
 /** Time after which a connected gateway must not send it any request (setting `drain-ms`). */
 const DRAIN_MS = 2000
 /** Time after a store disruption until gateways count as connected again (setting `contact-ms`). */
@@ -18,30 +18,30 @@
 /** Tolerance for request transit time on a busy machine. */
 const SLACK_MS = 150
 /** One in this many answers takes longer than DRAIN_MS. */
-const SLOW_ONE_IN = 3
+const SLOW_ANSWER_EVERY = 3
 const SLOW_ANSWER_MS = 2500
 /** Leaves each of the three gateways two connections to a plain backend server, so that calls are queued. */
 const PLAIN_CONNECTIONS = 8
 const BACKENDS_EACH = 4
 
 /** A period in which the store was disrupted, in milliseconds of the test clock. */
-interface Trouble {
+interface Disruption {
   from: number
   to: number
 }
 
-class LeavingRun implements LeavingPlay {
+class LeavingRun implements LeavingScenario {
   readonly steps = 12
   readonly stepMs = 600
   readonly deployment: SoakDeployment
-  readonly leaves: Leave[] = []
-  private readonly troubles: Trouble[] = []
+  readonly departures: Departure[] = []
+  private readonly disruptions: Disruption[] = []
   private fault: Promise<void> = Promise.resolve()
 
   constructor(private readonly draw: Draw) {
     let answers = 0
     const plainAnswer: Respond = async (seen, response) => {
-      await wait(answers++ % SLOW_ONE_IN === 0 ? SLOW_ANSWER_MS : 20)
+      await wait(answers++ % SLOW_ANSWER_EVERY === 0 ? SLOW_ANSWER_MS : 20)
       await answerWhole()(seen, response)
     }
     this.deployment = new SoakDeployment({ plainConnections: PLAIN_CONNECTIONS, plainAnswer, backendsEach: BACKENDS_EACH })
@@ -50,15 +50,15 @@
   /** Makes a backend server leave, with or without announcing it, or disrupts the store. */
   step(): void {
     if (this.draw(2) === 0)
-      leaveOne(this.deployment, this.leaves, this.draw)
+      removeRandomBackend(this.deployment, this.departures, this.draw)
     else
-      this.fault = this.fault.then(() => this.troubleStore())
+      this.fault = this.fault.then(() => this.disruptStore())
   }
 
   /** Describes work that reached a backend server later than connected gateways may send it. */
   lateArrivals(): string[] {
-    return this.leaves.flatMap(({ backend, at }) => {
-      const latest = this.boundFrom(at)
+    return this.departures.flatMap(({ backend, at }) => {
+      const latest = this.latestArrivalAfter(at)
       return backend.seen
         .filter(({ at: arrivedAt, path }) => path !== '/-/stage-free' && path !== '/-/report' && arrivedAt > latest)
         .map(({ at: arrivedAt, path }) => `${path} reached ${backend.id} ${Math.round(arrivedAt - at)} ms after it had left, ${Math.round(arrivedAt - latest)} ms late`)
@@ -67,12 +67,12 @@
 
   async settle(): Promise<void> {
     await this.fault
-    const last = this.leaves.at(-1)
+    const last = this.departures.at(-1)
     if (last)
-      await wait(Math.max(0, last.at + SERVES_ON_MS - performance.now()))
+      await wait(Math.max(0, last.at + SERVING_AFTER_LEAVE_MS - performance.now()))
   }
 
-  private async troubleStore(): Promise<void> {
+  private async disruptStore(): Promise<void> {
     const { store } = this.deployment
     const kind = this.draw(5)
     if (kind === 4)
@@ -81,28 +81,28 @@
     store.fault = [StoreFault.Busy, StoreFault.Reset, StoreFault.Silent, StoreFault.Silent][kind]
     await wait(300 + this.draw(1200))
     store.fault = StoreFault.None
-    this.troubles.push({ from, to: performance.now() })
+    this.disruptions.push({ from, to: performance.now() })
   }
 
   /** Returns the latest time at which a request may reach a backend server that left: DRAIN_MS and tolerance, counted from the time at which gateways were connected. */
-  private boundFrom(leftAt: number): number {
+  private latestArrivalAfter(leftAt: number): number {
     let from = leftAt
-    for (const { from: troubleFrom, to } of this.troubles) {
-      if (troubleFrom <= from + DRAIN_MS && to + CONTACT_MS > from)
+    for (const { from: disruptedFrom, to } of this.disruptions) {
+      if (disruptedFrom <= from + DRAIN_MS && to + CONTACT_MS > from)
         from = to + CONTACT_MS
     }
     return from + DRAIN_MS + SLACK_MS
   }
 }
 
-describe('backend servers that leave and serve on', () => {
+describe('backend servers that leave but continue to serve', () => {
   beforeAll(async () => {
     await import('../../platform/build.mjs' as string)
   })
 
-  test.each(readSeeds())('get no work from gateways in touch after the drain bound, beside a store in trouble and slow answers (seed %i)', async (seed) => {
+  test.each(readSeeds())('receive no work from connected gateways after the drain time, despite store failures and slow answers (seed %i)', async (seed) => {
     const draw = createDraw(seed)
     const run = new LeavingRun(draw)
-    await playLeaving(run, draw)
+    await runLeavingScenario(run, draw)
   })
 })
--- a/test/soak/slow-soak.test.ts
+++ b/test/soak/slow-soak.test.ts
@@ -9,16 +9,16 @@
 import { createDraw, readSeeds } from './support/soak-seeds.js'
 
 /** How long a gateway is slowed down. */
-const SLOWED_MS = 2500
+const THROTTLE_MS = 2500
 /** Range of the random pauses of a slowed process; random, so that the pauses do not synchronize with timers. */
-const MIN_STOPPED_MS = 100
-const MAX_STOPPED_MS = 300
+const MIN_PAUSE_MS = 100
+const MAX_PAUSE_MS = 300
 /** How long it runs between two pauses. */
 const RUNNING_MS = 30
 /** Time until all gateways agree on a coordinator after the slowdown; late heartbeat answers still arrive during it. */
-const AGREED_MS = 1000
+const AGREEMENT_TIMEOUT_MS = 1000
 /** Period after that in which the coordinator must not change. */
-const QUIET_MS = 1500
+const STABLE_MS = 1500
 
 /** Returns the successive coordinators that a gateway has logged. */
 function coordinatorsSeenBy({ directory }: SoakDeployment, number: number): string[] {
@@ -27,66 +27,66 @@
 }
 
 /** Returns the gateways that logged a shortage of CPU time; on a busy machine these include gateways that the test did not slow down. */
-function findSlow({ directory, gateways }: SoakDeployment): string[] {
+function findSlowGateways({ directory, gateways }: SoakDeployment): string[] {
   const names = gateways.map((_, number) => `gateway-${number}`)
   return names.filter(name => readFileSync(path.join(directory, `${name}.log`), 'utf8').includes('"event":"slow"'))
 }
 
-function coordinatorsOf(deployment: SoakDeployment): (string | undefined)[] {
+function currentCoordinators(deployment: SoakDeployment): (string | undefined)[] {
   return deployment.gateways.map((_, number) => coordinatorsSeenBy(deployment, number).at(-1) ?? `gateway-${number}`)
 }
 
-function allCoordinatorsOf(deployment: SoakDeployment): string[][] {
+function coordinatorHistories(deployment: SoakDeployment): string[][] {
   return deployment.gateways.map((_, number) => coordinatorsSeenBy(deployment, number))
 }
 
 /** Whether every gateway has switched to each coordinator at most once and all gateways have the same coordinator. */
-function cameToOne(deployment: SoakDeployment, before: readonly string[][]): boolean {
-  const changes = allCoordinatorsOf(deployment).map((seen, number) => seen.slice(before[number].length))
+function convergedToOneCoordinator(deployment: SoakDeployment, before: readonly string[][]): boolean {
+  const changes = coordinatorHistories(deployment).map((seen, number) => seen.slice(before[number].length))
   const isOnceEach = changes.every(coordinators => new Set(coordinators).size === coordinators.length)
-  return isOnceEach && new Set(coordinatorsOf(deployment)).size === 1
+  return isOnceEach && new Set(currentCoordinators(deployment)).size === 1
 }
 
-async function slow(gateway: GatewayChild, draw: Draw): Promise<void> {
-  const until = performance.now() + SLOWED_MS
+async function throttle(gateway: GatewayChild, draw: Draw): Promise<void> {
+  const until = performance.now() + THROTTLE_MS
   while (performance.now() < until) {
     gateway.signal('SIGSTOP')
-    await wait(MIN_STOPPED_MS + draw(MAX_STOPPED_MS - MIN_STOPPED_MS))
+    await wait(MIN_PAUSE_MS + draw(MAX_PAUSE_MS - MIN_PAUSE_MS))
     gateway.signal('SIGCONT')
     await wait(RUNNING_MS)
   }
 }
 
-describe('a soak of gateways that are short of processor time in turn', () => {
+describe('gateways that run short of CPU time in turn', () => {
   beforeAll(async () => {
     await import('../../platform/build.mjs' as string)
   })
 
-  test.each(readSeeds())('passes the stage work on to one that is well, if there is one, and does not pass it back and forth (seed %i)', async (seed) => {
+  test.each(readSeeds())('hand coordination of stage work over to a healthy gateway, if there is one, without flapping (seed %i)', async (seed) => {
     const draw = createDraw(seed)
     const deployment = new SoakDeployment()
     await deployment.start()
     const clients = new SoakClients(deployment.gateways, draw)
     try {
-      await vi.waitFor(() => expect(new Set(coordinatorsOf(deployment)).size).toBe(1), { timeout: 30_000, interval: 100 })
+      await vi.waitFor(() => expect(new Set(currentCoordinators(deployment)).size).toBe(1), { timeout: 30_000, interval: 100 })
       await deployment.waitUntilReady()
       clients.start()
-      const slowed: string[] = []
-      while (slowed.length < deployment.gateways.length - 1) {
-        const [coordinator] = coordinatorsOf(deployment)
-        slowed.push(coordinator!)
-        await slow(deployment.gateways[Number(coordinator!.at(-1))], draw)
-        await vi.waitFor(() => expect(new Set(coordinatorsOf(deployment)).size).toBe(1), { timeout: AGREED_MS, interval: 20 })
-        const seen = allCoordinatorsOf(deployment)
-        expect(findSlow(deployment)).toContain(coordinator)
-        if (findSlow(deployment).length < deployment.gateways.length)
-          expect(findSlow(deployment)).not.toContain(coordinatorsOf(deployment)[0])
-        const slowBefore = findSlow(deployment)
-        await wait(QUIET_MS)
+      const throttled: string[] = []
+      while (throttled.length < deployment.gateways.length - 1) {
+        const [coordinator] = currentCoordinators(deployment)
+        throttled.push(coordinator!)
+        await throttle(deployment.gateways[Number(coordinator!.at(-1))], draw)
+        await vi.waitFor(() => expect(new Set(currentCoordinators(deployment)).size).toBe(1), { timeout: AGREEMENT_TIMEOUT_MS, interval: 20 })
+        const seen = coordinatorHistories(deployment)
+        expect(findSlowGateways(deployment)).toContain(coordinator)
+        if (findSlowGateways(deployment).length < deployment.gateways.length)
+          expect(findSlowGateways(deployment)).not.toContain(currentCoordinators(deployment)[0])
+        const slowBefore = findSlowGateways(deployment)
+        await wait(STABLE_MS)
         if (slowBefore.length === deployment.gateways.length)
-          expect(cameToOne(deployment, seen), 'where none is well, the work goes to the first in order once it is back').toBe(true)
-        else if (findSlow(deployment).length === slowBefore.length)
-          expect(allCoordinatorsOf(deployment)).toEqual(seen)
+          expect(convergedToOneCoordinator(deployment, seen), 'if no gateway is healthy, coordination goes to the first in order once it is back').toBe(true)
+        else if (findSlowGateways(deployment).length === slowBefore.length)
+          expect(coordinatorHistories(deployment)).toEqual(seen)
       }
       await clients.stop()
       expect(clients.requests.filter(sent => sent.status === 200).length).toBeGreaterThan(clients.requests.length / 2)
--- a/test/soak/support/leaving-servers.ts
+++ b/test/soak/support/leaving-scenario.ts
@@ -12,16 +12,16 @@
 const SERVICES = ['plain', 'model', 'encode']
 
 /** A backend server that left but continues to serve. */
-export interface Leave {
+export interface Departure {
   backend: StandInBackend
   /** Milliseconds of the test clock. */
   at: number
 }
 
 /** A scenario in which backend servers leave. */
-export interface LeavingPlay {
+export interface LeavingScenario {
   deployment: SoakDeployment
-  leaves: readonly Leave[]
+  departures: readonly Departure[]
   /** Number of steps, each started `stepMs` after the previous one. */
   steps: number
   stepMs: number
@@ -32,38 +32,38 @@
 }
 
 /** Makes a random backend server leave, with or without announcing it, if its service has at least two left. */
-export function leaveOne(deployment: SoakDeployment, leaves: Leave[], draw: Draw): void {
-  const left = new Set(leaves.map(({ backend }) => backend))
+export function removeRandomBackend(deployment: SoakDeployment, departures: Departure[], draw: Draw): void {
+  const departed = new Set(departures.map(({ backend }) => backend))
   const service = SERVICES[draw(SERVICES.length)]
-  const staying = deployment.backends.filter(backend => backend.service === service && !left.has(backend))
-  if (staying.length < 2)
+  const remaining = deployment.backends.filter(backend => backend.service === service && !departed.has(backend))
+  if (remaining.length < 2)
     return
-  const backend = staying[draw(staying.length)]
+  const backend = remaining[draw(remaining.length)]
   if (draw(2) === 0)
     deployment.list(backend, 'draining')
   else
     deployment.unlist(backend)
-  leaves.push({ backend, at: performance.now() })
+  departures.push({ backend, at: performance.now() })
 }
 
 /** Runs the steps under client load; expects that backend servers left and received no late requests. */
-export async function playLeaving(play: LeavingPlay, draw: Draw): Promise<void> {
-  await play.deployment.start()
-  const clients = new SoakClients(play.deployment.gateways, draw)
+export async function runLeavingScenario(scenario: LeavingScenario, draw: Draw): Promise<void> {
+  await scenario.deployment.start()
+  const clients = new SoakClients(scenario.deployment.gateways, draw)
   try {
-    await play.deployment.waitUntilReady()
+    await scenario.deployment.waitUntilReady()
     clients.start()
-    for (let step = 0; step < play.steps; step++) {
-      play.step()
-      await wait(play.stepMs)
+    for (let step = 0; step < scenario.steps; step++) {
+      scenario.step()
+      await wait(scenario.stepMs)
     }
-    await play.settle()
+    await scenario.settle()
     await clients.stop()
-    expect(play.leaves.length).toBeGreaterThan(0)
-    expect(play.lateArrivals(clients)).toEqual([])
+    expect(scenario.departures.length).toBeGreaterThan(0)
+    expect(scenario.lateArrivals(clients)).toEqual([])
   }
   finally {
     await clients.stop()
-    await play.deployment.stop()
+    await scenario.deployment.stop()
   }
 }
--- a/test/soak/support/intake-checks.ts
+++ b/test/soak/support/notice-checks.ts
@@ -9,42 +9,42 @@
 /** Time after the first announcement of a limit until it is binding (setting `contact-ms`). */
 const CONTACT_MS = 3000
 /** Time after a backend server's answer until the gateway must respect its limit or retry time. */
-const TOLD_AFTER_MS = 500
+const NOTICE_EFFECTIVE_MS = 500
 /** Window over which requests are counted against a limit. */
-const SPAN_MS = 4000
+const WINDOW_MS = 4000
 /** Time after such an answer after which new client requests must not reach a leaving backend server (setting `drain-ms`). */
 const DRAIN_MS = 2000
 /** Requests from one gateway that may reach a backend server during its retry time. */
-const ALLOWED_IN_REST = 2
+const MAX_REQUESTS_IN_RETRY_AFTER = 2
 /** Tolerance for request transit time on a busy machine. */
 const SLACK_MS = 150
 
 /** Whether a gateway was restarted or paused between two times, in milliseconds of the test clock. */
-export type IsExcused = (gateway: string, from: number, to: number) => boolean
+export type IsExempt = (gateway: string, from: number, to: number) => boolean
 
 /** Looks up when a client sent a request; undefined for requests that no client sent. */
 export type SentAt = (requestId: string) => number | undefined
 
 /** Checks the requests that reached a backend server. */
-export class IntakeChecks {
-  constructor(private readonly isExcused: IsExcused, private readonly sentAt: SentAt) {}
+export class NoticeChecks {
+  constructor(private readonly isExempt: IsExempt, private readonly sentAt: SentAt) {}
 
   /** Describes the requests that violate a notice; empty if there are none. */
-  breaches(backend: NoticeBackend): string[] {
+  violations(backend: NoticeBackend): string[] {
     const { id } = backend.stand
     const ofPeriods = backend.periods.flatMap(period => [...this.overLimit(backend, period), ...this.afterLeaving(backend, period)])
-    return [...ofPeriods, ...this.inRest(backend)].map(breach => `${id}: ${breach}`)
+    return [...ofPeriods, ...this.duringRetryAfter(backend)].map(violation => `${id}: ${violation}`)
   }
 
   private overLimit({ arrivals }: NoticeBackend, { notice, from, to, toldAt }: NoticePeriod): string[] {
     const limit = Number(notice.headers['Server-Limit'])
     if (Number.isNaN(limit))
       return []
-    const earliest = from + CONTACT_MS - SPAN_MS
-    const counted = arrivals.filter(({ gateway, at }) => at >= earliest && at <= to && this.isBound(toldAt.get(gateway), TOLD_AFTER_MS, gateway, at))
-    const most = mostWithin(counted, SPAN_MS)
-    const allowed = 1.5 * limit * SPAN_MS / 1000 + 5
-    return most > allowed ? [`${most} requests in ${SPAN_MS} ms at a limit of ${limit} a second, allowed ${allowed}`] : []
+    const earliest = from + CONTACT_MS - WINDOW_MS
+    const counted = arrivals.filter(({ gateway, at }) => at >= earliest && at <= to && this.isBound(toldAt.get(gateway), NOTICE_EFFECTIVE_MS, gateway, at))
+    const most = mostWithin(counted, WINDOW_MS)
+    const allowed = 1.5 * limit * WINDOW_MS / 1000 + 5
+    return most > allowed ? [`${most} requests in ${WINDOW_MS} ms at a limit of ${limit} a second, allowed ${allowed}`] : []
   }
 
   private afterLeaving({ arrivals }: NoticeBackend, { notice, toldAt }: NoticePeriod): string[] {
@@ -57,22 +57,22 @@
     return late.map(({ gateway, at }) => `a request of ${gateway} ${Math.round(at - toldAt.get(gateway)!)} ms after it was told that the backend server is leaving`)
   }
 
-  private inRest({ arrivals, turnedAwayAt, periods }: NoticeBackend): string[] {
+  private duringRetryAfter({ arrivals, turnedAwayAt, periods }: NoticeBackend): string[] {
     return turnedAwayAt.flatMap(({ gateway, at }) => {
-      const restMs = restAt(periods, at)
-      const later = arrivals.filter((arrival: Arrival) => arrival.gateway === gateway && arrival.at > at + TOLD_AFTER_MS && arrival.at < at + restMs)
-      const counted = later.filter(arrival => !this.isExcused(gateway, at, arrival.at))
-      return counted.length > ALLOWED_IN_REST ? [`${counted.length} requests of ${gateway} within a Retry-After of ${restMs} ms`] : []
+      const retryAfterMs = retryAfterAt(periods, at)
+      const later = arrivals.filter((arrival: Arrival) => arrival.gateway === gateway && arrival.at > at + NOTICE_EFFECTIVE_MS && arrival.at < at + retryAfterMs)
+      const counted = later.filter(arrival => !this.isExempt(gateway, at, arrival.at))
+      return counted.length > MAX_REQUESTS_IN_RETRY_AFTER ? [`${counted.length} requests of ${gateway} within a Retry-After of ${retryAfterMs} ms`] : []
     })
   }
 
   private isBound(toldAt: number | undefined, afterMs: number, gateway: string, at: number): boolean {
-    return toldAt !== undefined && at >= toldAt + afterMs && !this.isExcused(gateway, toldAt, at)
+    return toldAt !== undefined && at >= toldAt + afterMs && !this.isExempt(gateway, toldAt, at)
   }
 }
 
 /** Returns the `Retry-After` time, in milliseconds, that was in effect at a given time. */
-function restAt(periods: readonly NoticePeriod[], at: number): number {
+function retryAfterAt(periods: readonly NoticePeriod[], at: number): number {
   const period = periods.find(({ from, to }) => from <= at && at <= to + SLACK_MS)
   return Number(period?.notice.headers['Retry-After'] ?? 0) * 1000
 }
--- a/test/soak/support/soak-clients.ts
+++ b/test/soak/support/soak-clients.ts
@@ -39,7 +39,7 @@
 /** Sends requests until `stop` is called. */
 export class SoakClients {
   readonly requests: SentRequest[] = []
-  private readonly underWay = new Set<Promise<void>>()
+  private readonly pending = new Set<Promise<void>>()
   private timer: NodeJS.Timeout | undefined
   private sentCount = 0
 
@@ -52,7 +52,7 @@
   /** Stops sending and waits for pending requests. */
   async stop(): Promise<void> {
     clearInterval(this.timer)
-    await Promise.all(this.underWay)
+    await Promise.all(this.pending)
   }
 
   /** Returns the index of the gateway that a request was sent to; undefined if no client sent the id. */
@@ -66,8 +66,8 @@
     const sentRequest: SentRequest = { id: `${kind}-${this.sentCount++}`, kind, gateway, sentAt: performance.now() }
     this.requests.push(sentRequest)
     // A failed call leaves the status or the body undefined, which the checks take into account.
-    const call = this.call(this.gateways[gateway].address, sentRequest).catch(() => {}).finally(() => this.underWay.delete(call))
-    this.underWay.add(call)
+    const call = this.call(this.gateways[gateway].address, sentRequest).catch(() => {}).finally(() => this.pending.delete(call))
+    this.pending.add(call)
   }
 
   private async call(address: string, sentRequest: SentRequest): Promise<void> {
--- a/test/soak/support/soak-deployment.ts
+++ b/test/soak/support/soak-deployment.ts
@@ -36,7 +36,7 @@
   { Name: 'encode', MaxConnections: MAX_CONNECTIONS, Segments: STAGE_LIMITS },
 ]
 
-const delayed: Respond = async (seen, response) => {
+const answerAfterDelay: Respond = async (seen, response) => {
   await wait(ANSWER_MS)
   await answerWhole()(seen, response)
 }
@@ -127,7 +127,7 @@
   }
 
   /** Counts the runs of a request that backend servers started; stage runs are not counted. */
-  runsOf(id: string): number {
+  countRuns(id: string): number {
     const seen = this.backends.filter(backend => backend.service !== 'encode').flatMap(backend => backend.seen)
     return seen.filter(request => request.headers['attempt-id'] === id).length
   }
@@ -155,16 +155,16 @@
   /** Starts a backend server and lists it as cold for the given time. */
   async addBackend(service: string, id: string, failureDomain: string, coldMs = 0): Promise<StandInBackend> {
     const backend = new StandInBackend(id, service, failureDomain)
-    backend.respond = this.answerOf(service)
+    backend.respond = this.responderFor(service)
     await backend.start()
     this.backends.push(backend)
     this.store.put('keyed.servers', backend.id, backend.entry('ready', coldMs))
     return backend
   }
 
-  private answerOf(service: string): Respond {
+  private responderFor(service: string): Respond {
     if (service === 'plain')
-      return this.options.plainAnswer ?? delayed
+      return this.options.plainAnswer ?? answerAfterDelay
     return service === 'model' ? streamEvents(STREAM_EVENTS) : makeStageResults()
   }
 }
--- a/test/soak/support/soak-work.ts
+++ b/test/soak/support/soak-work.ts
@@ -8,7 +8,7 @@
 const STAGE_RUN_PATH = '/-/stage-run'
 
 /** Returns the index of the gateway that sent a request; undefined for stage calls. */
-export function senderOf(seen: SeenRequest, clients: SoakClients): number | undefined {
+export function findSender(seen: SeenRequest, clients: SoakClients): number | undefined {
   return seen.path === STAGE_RUN_PATH ? undefined : clients.gatewayOf(String(seen.headers['attempt-id']))
 }
 
--- a/test/soak/upgrade-soak.test.ts
+++ b/test/soak/upgrade-soak.test.ts
@@ -3,7 +3,7 @@
 import path from 'node:path'
 import { wait } from '@eidermast/common'
 import { beforeAll, describe, expect, test, vi } from 'vitest'
-import { findFault } from './support/answer-faults.js'
+import { findViolation } from './support/answer-violations.js'
 import { buildLanded, hasLandedCommit, LANDED_COMMIT } from './support/landed-build.js'
 import { RequestKind, SoakClients } from './support/soak-clients.js'
 import { SoakDeployment } from './support/soak-deployment.js'
@@ -17,13 +17,13 @@
 /** Minimum fraction of requests that succeed while VMs are replaced; each gateway is unavailable for about a second. */
 const SERVED_SHARE = 0.8
 
-function faultsIn({ directory, gateways }: SoakDeployment): string[] {
+function findFaultEvents({ directory, gateways }: SoakDeployment): string[] {
   return gateways.flatMap((_, number) => readFileSync(path.join(directory, `gateway-${number}.log`), 'utf8').split('\n'))
     .filter(line => FAULT_EVENTS.test(line))
 }
 
 /** Replaces the gateway processes one after the other and publishes a configuration during each replacement. */
-async function replaceEach(deployment: SoakDeployment, replaceOne: (gateway: GatewayChild) => Promise<void>): Promise<void> {
+async function replaceOneByOne(deployment: SoakDeployment, replaceOne: (gateway: GatewayChild) => Promise<void>): Promise<void> {
   for (const gateway of deployment.gateways) {
     const replaced = replaceOne(gateway)
     await wait(SIDE_BY_SIDE_MS)
@@ -35,9 +35,9 @@
 }
 
 if (!hasLandedCommit())
-  console.warn(`not run: the history does not hold ${LANDED_COMMIT}, the version that landed last`)
+  console.warn(`skipped: the history does not contain ${LANDED_COMMIT}, the last landed version`)
 
-describe.runIf(hasLandedCommit())('the version that landed last beside the current one', () => {
+describe.runIf(hasLandedCommit())('the last landed version side by side with the current one', () => {
   let landed: string
 
   beforeAll(async () => {
@@ -46,22 +46,22 @@
   }, 120_000)
 
   test.each([
-    ['is replaced by it VM after VM', () => landed, (gateway: GatewayChild) => gateway.upgrade()],
-    ['takes its place again VM after VM', () => undefined, (gateway: GatewayChild) => {
+    ['is replaced by it, one VM at a time', () => landed, (gateway: GatewayChild) => gateway.upgrade()],
+    ['replaces it again, one VM at a time', () => undefined, (gateway: GatewayChild) => {
       gateway.bundle = landed
       return gateway.replace('SIGTERM')
     }],
-  ])('%s, and all promises hold', async (_way, first, replaceOne) => {
+  ])('%s, and all guarantees hold', async (_way, first, replaceOne) => {
     const deployment = new SoakDeployment({ bundle: first() })
     await deployment.start()
     const clients = new SoakClients(deployment.gateways, createDraw(SEED))
     try {
       await deployment.waitUntilReady()
       clients.start()
-      await replaceEach(deployment, replaceOne)
+      await replaceOneByOne(deployment, replaceOne)
       await clients.stop()
-      expect(clients.requests.map(sent => findFault(sent, deployment.runsOf(sent.id))).filter(Boolean)).toEqual([])
-      expect(faultsIn(deployment)).toEqual([])
+      expect(clients.requests.map(sent => findViolation(sent, deployment.countRuns(sent.id))).filter(Boolean)).toEqual([])
+      expect(findFaultEvents(deployment)).toEqual([])
       for (const kind of Object.values(RequestKind)) {
         const answered = clients.requests.filter(sent => sent.kind === kind && sent.status !== undefined)
         expect(answered.filter(({ status }) => status === 200).length).toBeGreaterThan(answered.length * SERVED_SHARE)
--- a/test/system/command-line.test.ts
+++ b/test/system/command-line.test.ts
@@ -91,7 +91,7 @@
     expect((await operate('account', 'show', 'new-council')).exitCode).toBe(ExitCode.NotFound)
   })
 
-  test('takes back what show prints as JSON', async () => {
+  test('accepts the JSON that show prints as input', async () => {
     const { value } = await operateJson<{ value: unknown }>('template', 'show', 'rider-answer')
     const file = writeFile('shown.json', JSON.stringify(value))
     expect((await operate('template', 'publish', 'copy', file)).exitCode).toBe(ExitCode.Accepted)
@@ -121,13 +121,13 @@
       expect(explained.output).toContain(part)
   })
 
-  test('shows the configuration and what became of each record', async () => {
+  test('shows the configuration and the outcome of each record', async () => {
     expect((await operate('config', 'show')).output).toContain('rider-answer')
     const lines = await operateJson<{ outcome: string, name: string }[]>('config', 'history', '--limit', '1000')
     expect(lines.some(line => line.name === 'race' && line.outcome === 'conflict')).toBe(true)
   })
 
-  test('sends a load and reports attainment', async () => {
+  test('runs a load and reports attainment', async () => {
     const report = await operateJson<{ overall: { sent: number, wrong: number, lost: number } }>('load', '--rate', '30', '--seconds', '2')
     expect(report.overall.sent).toBeGreaterThan(0)
     expect(report.overall).toMatchObject({ wrong: 0, lost: 0 })
@@ -136,21 +136,21 @@
   test.each<[string, string[], ExitCode, string]>([
     ['an unknown command', ['bogus'], ExitCode.BadInput, 'unknown command'],
     ['a missing argument', ['template', 'publish', 'x'], ExitCode.BadInput, 'missing required argument'],
-    ['an offset that is none', ['template', 'delete', 'x', '--base', 'newest'], ExitCode.BadInput, 'An offset is a whole number'],
-    ['a file that is not there', ['template', 'publish', 'x', 'nowhere.ini'], ExitCode.BadInput, 'nowhere.ini'],
-    ['a template that is not there', ['template', 'show', 'nowhere'], ExitCode.NotFound, 'no template is named nowhere'],
-    ['an account that is not there', ['account', 'delete', 'nowhere'], ExitCode.NotFound, 'no account is named nowhere'],
-    ['a backend server that is not there', ['backend', 'out', 'nowhere'], ExitCode.NotFound, 'no backend server is named nowhere'],
+    ['an invalid offset', ['template', 'delete', 'x', '--base', 'newest'], ExitCode.BadInput, 'An offset is a whole number'],
+    ['a missing file', ['template', 'publish', 'x', 'nowhere.ini'], ExitCode.BadInput, 'nowhere.ini'],
+    ['a missing template', ['template', 'show', 'nowhere'], ExitCode.NotFound, 'no template is named nowhere'],
+    ['a missing account', ['account', 'delete', 'nowhere'], ExitCode.NotFound, 'no account is named nowhere'],
+    ['a missing backend server', ['backend', 'out', 'nowhere'], ExitCode.NotFound, 'no backend server is named nowhere'],
     ['a new backend server without its description', ['backend', 'in', 'new-1', '--service', 'encoder'], ExitCode.BadInput, 'virtualMachine'],
-    ['a request that nobody knows', ['explain', 'nowhere'], ExitCode.NotFound, 'no process keeps a decision'],
+    ['an unknown request', ['explain', 'nowhere'], ExitCode.NotFound, 'no process keeps a decision'],
     ['a rate of zero', ['load', '--rate', '0'], ExitCode.BadInput, 'above 0'],
-  ])('says what is wrong with %s', async (_name, parameters, exitCode, message) => {
+  ])('reports %s', async (_name, parameters, exitCode, message) => {
     const finished = await operate(...parameters)
     expect(finished.exitCode).toBe(exitCode)
     expect(finished.errors).toContain(message)
   })
 
-  test('names every fault of a template file in one run, and sends nothing', async () => {
+  test('reports all errors of a template file at once, and sends nothing', async () => {
     const file = writeFile('faulty.ini', 'deadline-ms = soon\ncolour = red\n[stage.encode]\nservice = encoder\nmax-tokens = few\n')
     const checked = await operate('config', 'check', file, '--kind', 'template')
     expect(checked.exitCode).toBe(ExitCode.BadInput)
@@ -160,7 +160,7 @@
     expect((await operate('template', 'show', 'faulty')).exitCode).toBe(ExitCode.NotFound)
   })
 
-  test('says that the log is unreachable, and that nothing was changed', async () => {
+  test('reports an unreachable log, and changes nothing', async () => {
     await system.setFaults(system.logServiceUrl, { outage: LogOutage.Refuse })
     const finished = await operate('backend', 'out', 'encoder-1')
     await system.setFaults(system.logServiceUrl, {})
@@ -170,7 +170,7 @@
 })
 
 describe('eidermastd', () => {
-  test('names every fault of its settings, starts nothing and ends with 2', async () => {
+  test('reports all errors of its settings, starts nothing and exits with 2', async () => {
     const file = writeFile('faulty-daemon.ini', '[process]\nrole = leader\nkey = short\n[platform]\nlog = nowhere\n')
     for (const parameters of [['--settings', file], ['--settings', file, '--check']]) {
       const finished = await run('eidermastd', parameters)
@@ -180,7 +180,7 @@
     }
   })
 
-  test('checks good settings without starting', async () => {
+  test('checks valid settings without starting', async () => {
     const finished = await run('eidermastd', ['--settings', path.join(system.directory, 'entry-1.ini'), '--check'])
     expect(finished).toMatchObject({ exitCode: 0, output: 'the settings are good\n' })
   })
--- a/test/system/whole-path.test.ts
+++ b/test/system/whole-path.test.ts
@@ -11,8 +11,8 @@
 
 afterAll(() => system.stop())
 
-describe('the whole path', () => {
-  test('runs every part as a process of its own', () => {
+describe('the request path', () => {
+  test('runs every component as a separate process', () => {
     const processIds = [...system.processes.values()].map(launched => launched.pid)
     expect(new Set(processIds).size).toBe(system.processes.size)
   })
@@ -29,7 +29,7 @@
     expect(runsOf(system, answer.requestId!)).toEqual([1, 1, 1, 1])
   })
 
-  test('answers many requests at once, each caller with its own answer', async () => {
+  test('answers concurrent requests, each with its own answer', async () => {
     const inputs = Array.from({ length: 60 }, (_, index) => `question ${index}`)
     const headers = { 'eidermast-deadline-ms': '20000' }
     const answers = await Promise.all(inputs.map((input, index) => {
@@ -53,7 +53,7 @@
     expect(await response.body.json()).toMatchObject({ method: 'GET', path: '/stops/7?fields=name' })
   })
 
-  test('gives the outcome of a request at any entry, to its own account alone', async () => {
+  test('returns the outcome of a request at any entry, but only to its own account', async () => {
     const answer = await callPipeline({ entryUrl: system.entryUrls[0], pipeline: 'departure-alert', input: 'stand C' })
     const ask = (account: string) => request(`${system.entryUrls[1]}/v1/requests/${answer.requestId}`, { headers: { 'eidermast-account': account } })
     expect(await (await ask(DEFAULT_ACCOUNT)).body.json()).toMatchObject({ output: answer.output })
