--- a/packages/command-line/src/commands/backend-commands.ts
+++ b/packages/command-line/src/commands/backend-commands.ts
@@ -24,10 +24,10 @@
 
 /** Adds the group `backend`. */
 export function addBackendCommands(program: Command): void {
-  const group = program.command('backend').description('order backend servers in or out, show and list them')
+  const group = program.command('backend').description('order backend servers in or out of service, show and list them')
   addInCommand(group)
   group.command('out <name>')
-    .description('order a backend server out: it finishes what it has and gets nothing new')
+    .description('order a backend server out of service: it finishes its current work and receives no new work')
     .addHelpText('after', exampleHelp('eidermast backend out language-model-3'))
     .action((name: string, _options: object, command: Command) => orderOut(name, command))
   group.command('show <name>')
@@ -45,17 +45,17 @@
 
 function addInCommand(group: Command): void {
   group.command('in <name>')
-    .description('order a backend server in; what is not given stays as it was')
-    .option('--service <name>', 'the pool or plain service that it belongs to')
-    .addOption(new Option('--role <role>', 'what it does').choices(Object.values(BackendRole)))
-    .option('--virtual-machine <name>', 'the VM that it runs on')
-    .option('--address <host:port>', 'address of the side beside it')
+    .description('order a backend server into service; omitted options keep their published values')
+    .option('--service <name>', 'pool or plain service that it belongs to')
+    .addOption(new Option('--role <role>', 'role of the backend server').choices(Object.values(BackendRole)))
+    .option('--virtual-machine <name>', 'VM that it runs on')
+    .option('--address <host:port>', 'address of its side')
     .option('--failure-domain <name>', 'its failure domain')
-    .option('--checks-orders', 'it refuses orders with an old fence itself')
-    .option('--no-checks-orders', 'it does not check orders; its side does')
-    .option('--model <name>', 'the model to hold')
-    .option('--model-version <name>', 'the version to hold')
-    .option('--adapters <names>', 'the adapters to hold, separated by commas')
+    .option('--checks-orders', 'the backend server itself rejects orders with an outdated fence')
+    .option('--no-checks-orders', 'the backend server does not check orders; its side does')
+    .option('--model <name>', 'model to load')
+    .option('--model-version <name>', 'version to load')
+    .option('--adapters <names>', 'adapters to load, separated by commas')
     .addHelpText('after', exampleHelp('eidermast backend in language-model-3 --model-version v2'))
     .action((name: string, options: BackendOptions, command: Command) => orderIn(name, options, command))
 }
@@ -68,7 +68,7 @@
     const checked = backendSchema.safeParse({ ...known?.value, ...createBackendOrder(given) })
     if (!checked.success) {
       const faults = checked.error.issues.map(issue => `${issue.path.join('.')}: ${issue.message}`).join('; ')
-      throw new CommandFailure(ExitCode.BadInput, `the backend server ${name} is not described in full: ${faults}`)
+      throw new CommandFailure(ExitCode.BadInput, `the description of the backend server ${name} is invalid: ${faults}`)
     }
     const base = configuration.baseOffset(ObjectKind.Backend, name)
     reportPublication(options, await operator.publish({ kind: ObjectKind.Backend, name, value: checked.data, base }))
--- a/packages/command-line/src/commands/command-context.ts
+++ b/packages/command-line/src/commands/command-context.ts
@@ -61,7 +61,7 @@
 
 /** Fails a command because the platform's log does not answer. */
 export function failUnreachable(): never {
-  throw new CommandFailure(ExitCode.Unreachable, 'the platform\'s log does not answer, or does not hold the whole configuration now; try again later')
+  throw new CommandFailure(ExitCode.Unreachable, 'the platform\'s log does not answer, or does not contain the complete configuration at the moment; try again later')
 }
 
 /** Prints a value as JSON or as lines of text, depending on the options. */
--- a/packages/command-line/src/commands/config-commands.ts
+++ b/packages/command-line/src/commands/config-commands.ts
@@ -42,18 +42,18 @@
 
 /** Adds the group `config`. */
 export function addConfigCommands(program: Command): void {
-  const group = program.command('config').description('check files, show the configuration and its history')
+  const group = program.command('config').description('validate files, show the configuration and its history')
   group.command('check <file>')
-    .description('check a file and name every fault; nothing is sent')
-    .addOption(new Option('--kind <kind>', 'what the file holds').choices(Object.values(CheckedFileKind)).default(CheckedFileKind.Template))
+    .description('validate a file and report all errors; nothing is sent')
+    .addOption(new Option('--kind <kind>', 'kind of the file').choices(Object.values(CheckedFileKind)).default(CheckedFileKind.Template))
     .addHelpText('after', exampleHelp('eidermast config check rider-answer.ini', 'eidermast config check entry-1.ini --kind daemon'))
     .action((file: string, options: CheckOptions, command: Command) => check(file, options.kind, command))
   group.command('show')
-    .description('show the offset of the configuration and of every object in it')
+    .description('show the offsets of the configuration and of all objects in it')
     .action((_options: object, command: Command) => show(command))
   group.command('history')
-    .description('show the records that the log still holds, and what became of each')
-    .option('--limit <n>', 'how many of the newest to show', String(DEFAULT_HISTORY_LIMIT))
+    .description('show the records that the log still retains and the outcome of each')
+    .option('--limit <n>', 'number of newest records to show', String(DEFAULT_HISTORY_LIMIT))
     .action((options: HistoryOptions, command: Command) => history(Number(options.limit), command))
   group.addHelpText('after', exampleHelp(
     'eidermast config check rider-answer.ini',
--- a/packages/command-line/src/commands/explain-command.ts
+++ b/packages/command-line/src/commands/explain-command.ts
@@ -17,8 +17,8 @@
 /** Adds the command `explain`. */
 export function addExplainCommand(program: Command): void {
   program.command('explain <request-id>')
-    .description('show the decisions about a request: as far as entries and sides still keep them, or from the logs of gateways')
-    .option('--logs <files...>', 'log files of gateways, or - for standard input; give those of all gateways')
+    .description('show the decisions about a request that entries and sides still have in memory, or those in the logs of gateways')
+    .option('--logs <files...>', 'log files of all gateways, or - for standard input')
     .addHelpText('after', exampleHelp(
       'eidermast explain 0192f0c1-7e4b-7a10-8c55-3b0c2e0f9d21',
       'eidermast explain 0192f0c1-7e4b-7a10-8c55-3b0c2e0f9d21 --logs gateway-*.log',
@@ -50,7 +50,7 @@
     return await readTimeline(requestId, readLines(files))
   }
   catch (error) {
-    throw new CommandFailure(ExitCode.BadInput, `the logs cannot be read: ${formatError(error)}`)
+    throw new CommandFailure(ExitCode.BadInput, `cannot read the logs: ${formatError(error)}`)
   }
 }
 
--- a/packages/command-line/src/commands/load-command.ts
+++ b/packages/command-line/src/commands/load-command.ts
@@ -10,8 +10,8 @@
 import { createLoadKinds, runLoad } from '../load/index.js'
 import { exampleHelp, formatTable, globalOptions, print, requireConfiguration, requireSettings, withOperator } from './command-context.js'
 
-const DESCRIPTION = 'send requests of every published template and plain service, '
-  + 'at planned times whether or not earlier ones were answered, and report how they ended'
+const DESCRIPTION = 'send requests to all published templates and plain services '
+  + 'at planned times, whether or not earlier ones were answered, and report their outcomes'
 
 const HEADINGS = ['group', 'sent', 'attained', 'attainment', 'late', 'refused', 'wrong', 'lost', 'p50 ms', 'p95 ms', 'p99 ms']
 
@@ -34,9 +34,9 @@
 export function addLoadCommand(program: Command): void {
   program.command('load')
     .description(DESCRIPTION)
-    .option('--rate <n>', 'requests a second', parsePositive, DEFAULT_RATE)
-    .option('--seconds <n>', 'how long requests are sent', parsePositive, DEFAULT_SECONDS)
-    .option('--seed <n>', 'seed of arrivals and mix; the same seed sends the same requests', parsePositive, DEFAULT_SEED)
+    .option('--rate <n>', 'requests per second', parsePositive, DEFAULT_RATE)
+    .option('--seconds <n>', 'duration in seconds for which requests are sent', parsePositive, DEFAULT_SECONDS)
+    .option('--seed <n>', 'seed for arrival times and request mix; the same seed sends the same requests', parsePositive, DEFAULT_SEED)
     .addHelpText('after', exampleHelp('eidermast load --rate 100 --seconds 30'))
     .action((options: LoadOptions, command: Command) => load(options, command))
 }
@@ -45,7 +45,7 @@
   const options = globalOptions(command)
   const entryUrls = requireSettings(options).callers.entries
   if (entryUrls.length === 0)
-    throw new CommandFailure(ExitCode.BadInput, 'name the entries under [callers] entries in the settings')
+    throw new CommandFailure(ExitCode.BadInput, 'no entries are configured; set the key entries of the section [callers] in the settings')
   const kinds = await readKinds(options)
   const report = await runLoad({ entryUrls, kinds, ratePerSecond: rate, seconds, seed, onProgress: showProgress })
   print(options, report, formatReport(report))
@@ -54,7 +54,7 @@
 async function readKinds(options: GlobalOptions): Promise<LoadKind[]> {
   const kinds = createLoadKinds(await withOperator(options, requireConfiguration))
   if (kinds.length === 0)
-    throw new CommandFailure(ExitCode.NotFound, 'no template and no plain service is published')
+    throw new CommandFailure(ExitCode.NotFound, 'no templates or plain services are published')
   return kinds
 }
 
@@ -76,7 +76,7 @@
   const refusals = Object.entries(report.refusals).map(([kind, count]) => `${kind} ${count}`)
   const costs = Object.entries(report.costByStage).map(([stage, cost]) => `${stage} ${cost.toFixed(1)}`)
   return [
-    `${report.ratePerSecond} requests a second for ${report.seconds} s; goodput ${report.goodputPerSecond.toFixed(1)} a second`,
+    `${report.ratePerSecond} requests per second for ${report.seconds} s; goodput ${report.goodputPerSecond.toFixed(1)} per second`,
     ...formatTable([HEADINGS, ...groups.map(formatGroup)]),
     `refusals: ${refusals.join(', ') || 'none'}; answered within ${report.refusalP99} ms at p99`,
     `cost by stage: ${costs.join(', ') || 'none'}`,
--- a/packages/command-line/src/commands/status-command.ts
+++ b/packages/command-line/src/commands/status-command.ts
@@ -11,7 +11,7 @@
 /** Adds the command `status`. */
 export function addStatusCommand(program: Command): void {
   program.command('status')
-    .description('show every process, its configuration offset and what it sees; "silent" is a process that did not answer')
+    .description('show every process, its configuration offset and its view of the others; "silent" marks a process that did not answer')
     .addHelpText('after', exampleHelp('eidermast status', 'eidermast --json status'))
     .action((_options: object, command: Command) => status(command))
 }
--- a/packages/command-line/src/eidermast.ts
+++ b/packages/command-line/src/eidermast.ts
@@ -24,9 +24,9 @@
 )
 
 const program = new Command('eidermast')
-  .description('Operate an Eidermast system: look at its processes, follow a request, change its configuration.')
+  .description('Operate an Eidermast system: inspect its processes, trace a request, change its configuration.')
   .option('--settings <file>', 'INI file that names the platform and the key of the system\'s processes', 'eidermast.ini')
-  .option('--json', 'print one JSON value in place of text', false)
+  .option('--json', 'print a single JSON value instead of text', false)
   .addHelpText('after', `\n${EXAMPLES}\n\n${formatExitCodes()}`)
   .exitOverride(error => process.exit(exitCodeOfParsing(error.exitCode)))
 
--- a/packages/command-line/src/exit-codes.ts
+++ b/packages/command-line/src/exit-codes.ts
@@ -24,10 +24,10 @@
 }
 
 const MEANINGS: Readonly<Record<ExitCode, string>> = {
-  [ExitCode.Accepted]: 'done; a change is accepted',
-  [ExitCode.Failed]: 'the tool itself failed',
+  [ExitCode.Accepted]: 'success; a change was accepted',
+  [ExitCode.Failed]: 'internal error of the tool',
   [ExitCode.BadInput]: 'bad input; nothing was sent',
-  [ExitCode.Conflict]: 'conflict: another change of the object came first',
+  [ExitCode.Conflict]: 'conflict: the object was changed concurrently',
   [ExitCode.Unknown]: 'unknown: the change may have been accepted; see eidermast config history',
   [ExitCode.Unreachable]: 'unreachable; nothing was changed',
   [ExitCode.NotFound]: 'not found',
--- a/packages/stand-ins/src/running-system.ts
+++ b/packages/stand-ins/src/running-system.ts
@@ -111,7 +111,7 @@
   async setFaults(url: string, faults: StandInFaults): Promise<void> {
     const response = await post(`${url}/faults`, faults)
     if (response.status !== 200)
-      throw new Error(`${url} refused the faults: ${response.text}`)
+      throw new Error(`${url} rejected the faults: ${response.text}`)
   }
 
   /** Sets the faults of every backend server of a service. */
@@ -159,15 +159,15 @@
   /**
    * Resumes frozen processes, restarts exited ones, turns off all faults and waits
    * until the system is ready.
-   * @param restore Further repairs that are needed before the system can be ready.
+   * @param repair Further repairs that are needed before the system can be ready.
    */
-  async recover(restore: () => Promise<void> = async () => {}): Promise<void> {
+  async recover(repair: () => Promise<void> = async () => {}): Promise<void> {
     for (const launched of [...this.processes.values()])
       await this.resumeOrRestart(launched)
     const backendUrls = this.list(ProcessKind.Backend).map(backend => backend.url!)
     await Promise.all([...Object.values(this.platform), ...backendUrls].map(url => this.setFaults(url, {})))
     await this.publishNewAddresses()
-    await restore()
+    await repair()
     await this.waitUntilReady()
   }
 
--- a/test/pages/journal.test.ts
+++ b/test/pages/journal.test.ts
@@ -4,10 +4,10 @@
 import { currentPages } from './support/pages.js'
 
 /** Page that lists the journal entries without a result. */
-const LIST = 'docs/JOURNAL.md'
+const UNFINISHED_LIST_PAGE = 'docs/JOURNAL.md'
 const FOLDER = 'journal'
 /** Id of an entry, as inline code or in the first column of the list. */
-const NAMED_ENTRY = /`([0-9a-f]{8})`/g
+const REFERENCED_ENTRY = /`([0-9a-f]{8})`/g
 const LISTED_ENTRY = /^\| ([0-9a-f]{8}) \|/gm
 
 interface JournalEntry {
@@ -35,13 +35,13 @@
 
   test('has no entry without a result except those listed on the page', () => {
     const unfinished = entries.filter(entry => !hasResult(entry)).map(entry => entry.id)
-    expect(unfinished.toSorted()).toEqual(matchIds(readFileSync(LIST, 'utf8'), LISTED_ENTRY).toSorted())
+    expect(unfinished.toSorted()).toEqual(matchIds(readFileSync(UNFINISHED_LIST_PAGE, 'utf8'), LISTED_ENTRY).toSorted())
   })
 
   test.each(currentPages())('backs the figures of %s by entries that have a result', (page) => {
     const finished = new Set(entries.filter(hasResult).map(entry => entry.id))
     const known = new Set(entries.map(entry => entry.id))
-    const named = matchIds(readFileSync(page, 'utf8'), NAMED_ENTRY).filter(id => known.has(id))
+    const named = matchIds(readFileSync(page, 'utf8'), REFERENCED_ENTRY).filter(id => known.has(id))
     expect(named.filter(id => !finished.has(id))).toEqual([])
   })
 })
--- a/test/pages/pages.test.ts
+++ b/test/pages/pages.test.ts
@@ -1,6 +1,6 @@
 import path from 'node:path'
 import { describe, expect, test } from 'vitest'
-import { allPages, anchors, codeSpans, currentPages, links, spell } from './support/pages.js'
+import { allPages, anchors, codeSpans, currentPages, formatPosition, links } from './support/pages.js'
 import { existsInRepository, readSources, repositoryFiles } from './support/sources.js'
 
 const spans = currentPages().flatMap(codeSpans)
@@ -24,8 +24,8 @@
   return sources.includes(`'${name}'`) || sources.includes(`"${name}"`) || new RegExp(`^${name} = `, 'm').test(sources)
 }
 
-function unknown(pattern: RegExp, isKnown: (text: string) => boolean): string[] {
-  return spans.filter(({ text }) => pattern.test(text) && !MAY_BE_ABSENT.has(text) && !isKnown(text)).map(span => spell(span, span.text))
+function findUnknownSpans(pattern: RegExp, isKnown: (text: string) => boolean): string[] {
+  return spans.filter(({ text }) => pattern.test(text) && !MAY_BE_ABSENT.has(text) && !isKnown(text)).map(span => formatPosition(span, span.text))
 }
 
 describe('pages', () => {
@@ -44,33 +44,33 @@
       const linked = file === '' ? page : path.posix.join(path.posix.dirname(page), file)
       return !existsInRepository(linked) || (anchor !== undefined && !anchors(linked).has(anchor))
     })
-    expect(broken.map(link => spell(link, link.target))).toEqual([])
+    expect(broken.map(link => formatPosition(link, link.target))).toEqual([])
   })
 
   test('name files and folders that exist', () => {
-    expect(unknown(FILE_PATH, existsInRepository)).toEqual([])
+    expect(findUnknownSpans(FILE_PATH, existsInRepository)).toEqual([])
   })
 
   test('name files by their path relative to the root, or by their base name', () => {
-    expect(unknown(/^[\w./-]+\/[\w.-]+\.(?:ts|mjs|md|toml|ini)$/, text => FILE_PATH.test(text))).toEqual([])
+    expect(findUnknownSpans(/^[\w./-]+\/[\w.-]+\.(?:ts|mjs|md|toml|ini)$/, text => FILE_PATH.test(text))).toEqual([])
   })
 
   test('name existing modules when they omit the directory', () => {
     const names = new Set(repositoryFiles().map(file => path.posix.basename(file)))
-    expect(unknown(BARE_FILE, name => names.has(name))).toEqual([])
+    expect(findUnknownSpans(BARE_FILE, name => names.has(name))).toEqual([])
   })
 
   test('name events, error kinds and settings keys that exist in the sources', () => {
-    expect(unknown(QUOTED_NAME, isQuoted)).toEqual([])
+    expect(findUnknownSpans(QUOTED_NAME, isQuoted)).toEqual([])
   })
 
   test('name metrics that are served', () => {
-    expect(unknown(METRIC, isQuoted)).toEqual([])
+    expect(findUnknownSpans(METRIC, isQuoted)).toEqual([])
   })
 
   test('name types, functions and constants that exist in the sources', () => {
     const isKnown = (name: string): boolean => name.split('.').every(part => new RegExp(`\\b${part}\\b`).test(sources))
-    expect(unknown(IDENTIFIER, isKnown)).toEqual([])
+    expect(findUnknownSpans(IDENTIFIER, isKnown)).toEqual([])
   })
 
   test('name settings sections and keys that exist in the sources', () => {
@@ -78,7 +78,7 @@
       const [, section, key, value] = SECTION_KEY.exec(text)!
       return sources.includes(`${section}: `) && [key, value].every(name => name === undefined || isKeyOrValue(name))
     }
-    expect(unknown(SECTION_KEY, isKnown)).toEqual([])
+    expect(findUnknownSpans(SECTION_KEY, isKnown)).toEqual([])
   })
 })
 
--- a/test/pages/support/pages.ts
+++ b/test/pages/support/pages.ts
@@ -11,7 +11,7 @@
  * Historical pages, which are not checked against the code: they keep names that
  * were current at the time of writing and may no longer exist.
  */
-const HISTORY = ['docs/FINDINGS.md', 'docs/incidents/']
+const HISTORICAL_PAGES = ['docs/FINDINGS.md', 'docs/incidents/']
 
 /** Inline code and its position. */
 export interface CodeSpan {
@@ -46,7 +46,7 @@
 
 /** Returns the paths of the pages that are checked against the code, relative to the root. */
 export function currentPages(): string[] {
-  return allPages().filter(page => !HISTORY.some(history => page.startsWith(history)))
+  return allPages().filter(page => !HISTORICAL_PAGES.some(history => page.startsWith(history)))
 }
 
 /** Reads a file by its path relative to the root. */
@@ -78,7 +78,7 @@
 }
 
 /** Formats a text with its position for a failure message. */
-export function spell({ page, line }: { page: string, line: number }, text: string): string {
+export function formatPosition({ page, line }: { page: string, line: number }, text: string): string {
   return `${page}:${line} ${text}`
 }
 
--- a/test/pages/support/sources.ts
+++ b/test/pages/support/sources.ts
@@ -7,7 +7,7 @@
 import path from 'node:path'
 import { readFromRoot, ROOT } from './pages.js'
 
-const LEFT_OUT = new Set(['node_modules', 'dist', '.git', 'target'])
+const IGNORED_DIRECTORIES = new Set(['node_modules', 'dist', '.git', 'target'])
 
 /** Subcommands and options listed in a help text. */
 export interface CommandHelp {
@@ -21,7 +21,7 @@
 export function repositoryFiles(folder = ''): string[] {
   return readdirSync(path.join(ROOT, folder), { withFileTypes: true }).flatMap((entry) => {
     const file = path.posix.join(folder, entry.name)
-    if (LEFT_OUT.has(entry.name))
+    if (IGNORED_DIRECTORIES.has(entry.name))
       return []
     return entry.isDirectory() ? repositoryFiles(file) : [file]
   })
@@ -48,12 +48,12 @@
 /** Returns the help of a command, such as `['template', 'publish']`; results are cached. */
 export function readHelp(program: string, command: readonly string[]): CommandHelp {
   const key = [program, ...command].join(' ')
-  const help = helpByCommand.get(key) ?? askForHelp(program, command)
+  const help = helpByCommand.get(key) ?? runHelp(program, command)
   helpByCommand.set(key, help)
   return help
 }
 
-function askForHelp(program: string, command: readonly string[]): CommandHelp {
+function runHelp(program: string, command: readonly string[]): CommandHelp {
   const text = execFileSync(process.execPath, [path.join(ROOT, program), ...command, '--help'], { encoding: 'utf8' })
   const [, afterHeading = ''] = text.split('\nCommands:\n')
   const [list] = afterHeading.split('\n\n')
--- a/test/soak/crashing-soak.test.ts
+++ b/test/soak/crashing-soak.test.ts
@@ -15,7 +15,7 @@
 /** How often connected gateways may still send such a request to backend servers after that time. */
 const MAX_SENT_LATE = 3
 /** Tolerance for request transit time on a busy machine. */
-const SLACK_MS = 150
+const TOLERANCE_MS = 150
 const STEPS = 18
 const STEP_MS = 600
 /** How long crashing requests continue after the last disruption. */
@@ -84,7 +84,7 @@
   /** Describes the crashing requests that connected gateways sent too late, if there are more than allowed. */
   sentTooLate(): string[] {
     return PATHS.flatMap((path) => {
-      const late = this.deployment.plainPool!.sentLaterThan(CONTACT_MS + SLACK_MS, path).filter(seen => this.wasConnected(seen))
+      const late = this.deployment.plainPool!.sentLaterThan(CONTACT_MS + TOLERANCE_MS, path).filter(seen => this.wasConnected(seen))
       return late.length > MAX_SENT_LATE ? late.map(seen => `${path} of ${seen.headers['attempt-id']} at ${Math.round(seen.at)} ms`) : []
     })
   }
@@ -132,7 +132,7 @@
   private wasConnected(seen: SeenRequest): boolean {
     const gateway = Number(String(seen.headers['attempt-id']).split('-')[1])
     return !this.disruptions.some(disruption => (disruption.gateway ?? gateway) === gateway
-      && disruption.from < seen.at && disruption.to + CONTACT_MS + SLACK_MS > seen.at)
+      && disruption.from < seen.at && disruption.to + CONTACT_MS + TOLERANCE_MS > seen.at)
   }
 }
 
--- a/test/soak/domains-soak.test.ts
+++ b/test/soak/domains-soak.test.ts
@@ -19,7 +19,7 @@
 /** Time after a disruption until a gateway counts as connected again (setting `contact-ms`). */
 const CONTACT_MS = 3000
 /** Tolerance for request transit time on a busy machine. */
-const SLACK_MS = 150
+const TOLERANCE_MS = 150
 /** Minimum duration of an evacuation and maximum random extension, in milliseconds. */
 const EVACUATION_DURATION_MS = { min: 2500, maxExtra: 2500 }
 /** How long backend servers are cold, in milliseconds, and the requests per second that one can take during that time. */
@@ -53,7 +53,7 @@
   private readonly startedCold = new Map<StandInBackend, number>()
   /** Backend servers that lost power. */
   private readonly poweredOff = new Set<StandInBackend>()
-  private readonly disruptions = new SoakDisruptions(CONTACT_MS + SLACK_MS)
+  private readonly disruptions = new SoakDisruptions(CONTACT_MS + TOLERANCE_MS)
   private readonly steps: (() => Promise<void> | void)[] = [
     () => this.evacuate(),
     () => this.evacuate(),
@@ -75,7 +75,7 @@
     return this.evacuations.flatMap(({ failureDomain, from, to }) => this.deployment.backends
       .filter(backend => backend.failureDomain === failureDomain)
       .flatMap(backend => backend.seen)
-      .filter(seen => isWork(seen) && seen.at > from + EVACUATION_MS + SLACK_MS && seen.at < to && this.disruptions.wasConnected(findSender(seen, clients), seen.at))
+      .filter(seen => isWork(seen) && seen.at > from + EVACUATION_MS + TOLERANCE_MS && seen.at < to && this.disruptions.wasConnected(findSender(seen, clients), seen.at))
       .map(seen => `${seen.path} reached ${failureDomain} ${Math.round(seen.at - from)} ms after the evacuation order`))
   }
 
--- a/test/soak/leaving-soak.test.ts
+++ b/test/soak/leaving-soak.test.ts
@@ -16,7 +16,7 @@
 /** Time after a store disruption until gateways count as connected again (setting `contact-ms`). */
 const CONTACT_MS = 3000
 /** Tolerance for request transit time on a busy machine. */
-const SLACK_MS = 150
+const TOLERANCE_MS = 150
 /** One in this many answers takes longer than DRAIN_MS. */
 const SLOW_ANSWER_EVERY = 3
 const SLOW_ANSWER_MS = 2500
@@ -91,7 +91,7 @@
       if (disruptedFrom <= from + DRAIN_MS && to + CONTACT_MS > from)
         from = to + CONTACT_MS
     }
-    return from + DRAIN_MS + SLACK_MS
+    return from + DRAIN_MS + TOLERANCE_MS
   }
 }
 
--- a/test/soak/lost-reads-soak.test.ts
+++ b/test/soak/lost-reads-soak.test.ts
@@ -13,7 +13,7 @@
 /** Time after a disruption until a gateway counts as connected again (setting `contact-ms`). */
 const CONTACT_MS = 3000
 /** Tolerance for request transit time on a busy machine. */
-const SLACK_MS = 150
+const TOLERANCE_MS = 150
 /** How long requests continue after the last step. */
 const SETTLE_MS = 5500
 const BACKENDS_EACH = 6
@@ -23,7 +23,7 @@
   readonly stepMs = 500
   readonly deployment = new SoakDeployment({ backendsEach: BACKENDS_EACH, ownLines: true })
   readonly departures: Departure[] = []
-  private readonly disruptions = new SoakDisruptions(CONTACT_MS + SLACK_MS)
+  private readonly disruptions = new SoakDisruptions(CONTACT_MS + TOLERANCE_MS)
   private readonly pending: Promise<void>[] = []
 
   constructor(private readonly draw: Draw) {}
@@ -50,7 +50,7 @@
   /** Describes work from connected gateways that reached a backend server too late. */
   lateArrivals(clients: SoakClients): string[] {
     return this.departures.flatMap(({ backend, at: leftAt }) => backend.seen
-      .filter(seen => isWork(seen) && seen.at > leftAt + DRAIN_MS + SLACK_MS && this.disruptions.wasConnected(findSender(seen, clients), seen.at))
+      .filter(seen => isWork(seen) && seen.at > leftAt + DRAIN_MS + TOLERANCE_MS && this.disruptions.wasConnected(findSender(seen, clients), seen.at))
       .map(seen => `${seen.path} of gateway ${findSender(seen, clients)} reached ${backend.id} ${Math.round(seen.at - leftAt)} ms after it had left`))
   }
 
--- a/test/soak/support/gateway-child.ts
+++ b/test/soak/support/gateway-child.ts
@@ -23,7 +23,7 @@
   private child: ChildProcess | undefined
   private exited: Promise<void> = Promise.resolve()
   /** Settles after all requested replacements, which are serialized. */
-  private replaced: Promise<void> = Promise.resolve()
+  private replacements: Promise<void> = Promise.resolve()
 
   constructor(private readonly name: string, private readonly storeAddress: string, private readonly directory: string, private readonly options: SettingsOptions = {}) {}
 
@@ -54,8 +54,8 @@
 
   /** Terminates the process with a signal and starts a new one. */
   replace(signal: NodeJS.Signals): Promise<void> {
-    this.replaced = this.replaced.then(() => this.replaceNow(signal))
-    return this.replaced
+    this.replacements = this.replacements.then(() => this.replaceNow(signal))
+    return this.replacements
   }
 
   private async replaceNow(signal: NodeJS.Signals): Promise<void> {
@@ -66,7 +66,7 @@
   }
 
   async end(): Promise<void> {
-    await this.replaced
+    await this.replacements
     this.signal('SIGKILL')
     await this.exited
   }
--- a/test/soak/support/landed-build.ts
+++ b/test/soak/support/landed-build.ts
@@ -26,24 +26,24 @@
 
 /** Builds the version in a temporary directory; returns the path of its bundle. */
 export function buildLanded(): string {
-  const folder = mkdtempSync(path.join(tmpdir(), 'eidermast-landed-'))
+  const directory = mkdtempSync(path.join(tmpdir(), 'eidermast-landed-'))
   const archive = execFileSync('git', ['archive', LANDED_COMMIT], { maxBuffer: 1e9 })
-  execFileSync('tar', ['-x', '-C', folder], { input: archive })
-  linkModules(folder)
-  mkdirSync(path.join(folder, 'target'))
-  execFileSync('node', ['platform/build.mjs'], { cwd: folder })
-  return path.join(folder, 'target/eidermast-gateway.mjs')
+  execFileSync('tar', ['-x', '-C', directory], { input: archive })
+  linkModules(directory)
+  mkdirSync(path.join(directory, 'target'))
+  execFileSync('node', ['platform/build.mjs'], { cwd: directory })
+  return path.join(directory, 'target/eidermast-gateway.mjs')
 }
 
 /** Links the external libraries of this checkout and the version's own workspace packages. */
-function linkModules(folder: string): void {
-  const modules = path.join(folder, 'node_modules')
+function linkModules(directory: string): void {
+  const modules = path.join(directory, 'node_modules')
   const scope = path.join(modules, WORKSPACE_SCOPE)
   mkdirSync(scope, { recursive: true })
   for (const name of readdirSync('node_modules').filter(name => name !== WORKSPACE_SCOPE && !name.startsWith('.')))
     symlinkSync(path.resolve('node_modules', name), path.join(modules, name))
-  for (const name of readdirSync(path.join(folder, 'packages')))
-    symlinkSync(path.join(folder, 'packages', name), path.join(scope, name))
-  if (existsSync(path.join(folder, 'platform')))
-    symlinkSync(path.join(folder, 'platform'), path.join(scope, 'platform'))
+  for (const name of readdirSync(path.join(directory, 'packages')))
+    symlinkSync(path.join(directory, 'packages', name), path.join(scope, name))
+  if (existsSync(path.join(directory, 'platform')))
+    symlinkSync(path.join(directory, 'platform'), path.join(scope, 'platform'))
 }
--- a/test/soak/support/notice-checks.ts
+++ b/test/soak/support/notice-checks.ts
@@ -17,7 +17,7 @@
 /** Requests from one gateway that may reach a backend server during its retry time. */
 const MAX_REQUESTS_IN_RETRY_AFTER = 2
 /** Tolerance for request transit time on a busy machine. */
-const SLACK_MS = 150
+const TOLERANCE_MS = 150
 
 /** Whether a gateway was restarted or paused between two times, in milliseconds of the test clock. */
 export type IsExempt = (gateway: string, from: number, to: number) => boolean
@@ -32,32 +32,32 @@
   /** Describes the requests that violate a notice; empty if there are none. */
   violations(backend: NoticeBackend): string[] {
     const { id } = backend.stand
-    const ofPeriods = backend.periods.flatMap(period => [...this.overLimit(backend, period), ...this.afterLeaving(backend, period)])
-    return [...ofPeriods, ...this.duringRetryAfter(backend)].map(violation => `${id}: ${violation}`)
+    const periodViolations = backend.periods.flatMap(period => [...this.limitViolations(backend, period), ...this.leavingViolations(backend, period)])
+    return [...periodViolations, ...this.retryAfterViolations(backend)].map(violation => `${id}: ${violation}`)
   }
 
-  private overLimit({ arrivals }: NoticeBackend, { notice, from, to, toldAt }: NoticePeriod): string[] {
+  private limitViolations({ arrivals }: NoticeBackend, { notice, from, to, toldAt }: NoticePeriod): string[] {
     const limit = Number(notice.headers['Server-Limit'])
     if (Number.isNaN(limit))
       return []
     const earliest = from + CONTACT_MS - WINDOW_MS
-    const counted = arrivals.filter(({ gateway, at }) => at >= earliest && at <= to && this.isBound(toldAt.get(gateway), NOTICE_EFFECTIVE_MS, gateway, at))
+    const counted = arrivals.filter(({ gateway, at }) => at >= earliest && at <= to && this.mustComply(toldAt.get(gateway), NOTICE_EFFECTIVE_MS, gateway, at))
     const most = mostWithin(counted, WINDOW_MS)
     const allowed = 1.5 * limit * WINDOW_MS / 1000 + 5
     return most > allowed ? [`${most} requests in ${WINDOW_MS} ms at a limit of ${limit} a second, allowed ${allowed}`] : []
   }
 
-  private afterLeaving({ arrivals }: NoticeBackend, { notice, toldAt }: NoticePeriod): string[] {
+  private leavingViolations({ arrivals }: NoticeBackend, { notice, toldAt }: NoticePeriod): string[] {
     if (notice.headers['Server-Leaving'] === undefined)
       return []
     const late = arrivals.filter(({ gateway, requestId, at }) => {
       const sentAt = this.sentAt(requestId) ?? Number.NEGATIVE_INFINITY
-      return this.isBound(toldAt.get(gateway), DRAIN_MS + SLACK_MS, gateway, at) && sentAt > toldAt.get(gateway)! + DRAIN_MS
+      return this.mustComply(toldAt.get(gateway), DRAIN_MS + TOLERANCE_MS, gateway, at) && sentAt > toldAt.get(gateway)! + DRAIN_MS
     })
     return late.map(({ gateway, at }) => `a request of ${gateway} ${Math.round(at - toldAt.get(gateway)!)} ms after it was told that the backend server is leaving`)
   }
 
-  private duringRetryAfter({ arrivals, turnedAwayAt, periods }: NoticeBackend): string[] {
+  private retryAfterViolations({ arrivals, turnedAwayAt, periods }: NoticeBackend): string[] {
     return turnedAwayAt.flatMap(({ gateway, at }) => {
       const retryAfterMs = retryAfterAt(periods, at)
       const later = arrivals.filter((arrival: Arrival) => arrival.gateway === gateway && arrival.at > at + NOTICE_EFFECTIVE_MS && arrival.at < at + retryAfterMs)
@@ -66,13 +66,13 @@
     })
   }
 
-  private isBound(toldAt: number | undefined, afterMs: number, gateway: string, at: number): boolean {
-    return toldAt !== undefined && at >= toldAt + afterMs && !this.isExempt(gateway, toldAt, at)
+  private mustComply(toldAt: number | undefined, graceMs: number, gateway: string, at: number): boolean {
+    return toldAt !== undefined && at >= toldAt + graceMs && !this.isExempt(gateway, toldAt, at)
   }
 }
 
 /** Returns the `Retry-After` time, in milliseconds, that was in effect at a given time. */
 function retryAfterAt(periods: readonly NoticePeriod[], at: number): number {
-  const period = periods.find(({ from, to }) => from <= at && at <= to + SLACK_MS)
+  const period = periods.find(({ from, to }) => from <= at && at <= to + TOLERANCE_MS)
   return Number(period?.notice.headers['Retry-After'] ?? 0) * 1000
 }
