--- a/test/soak/support/notice-checks.ts
+++ b/test/soak/support/notice-checks.ts
@@ -12,7 +12,7 @@
 const NOTICE_EFFECTIVE_MS = 500
 /** Window over which requests are counted against a limit. */
 const WINDOW_MS = 4000
-/** Time after such an answer after which new client requests must not reach a leaving backend server (setting `drain-ms`). */
+/** Grace period after such an answer; new client requests must not reach a leaving backend server later (setting `drain-ms`). */
 const DRAIN_MS = 2000
 /** Requests from one gateway that may reach a backend server during its retry time. */
 const MAX_REQUESTS_IN_RETRY_AFTER = 2
--- a/test/soak/support/soak-deployment.ts
+++ b/test/soak/support/soak-deployment.ts
@@ -49,7 +49,7 @@
   plainAnswer?: Respond
   /** Backend servers of each service. @default BACKENDS_EACH */
   backendsEach?: number
-  /** Replaces the plain backend servers with a pool of this size (`plainPool`), whose members crash on a certain body and restart. @default none */
+  /** Replaces the plain backend servers with a pool of this size (`plainPool`), whose members crash on CRASHING_BODY and restart. @default none */
   plainPoolSize?: number
   /** Bundle that gateways run initially. @default that of this checkout */
   bundle?: string
