--- a/packages/command-line/src/commands/config-commands.ts
+++ b/packages/command-line/src/commands/config-commands.ts
@@ -1,6 +1,6 @@
 /**
- * The command group `config`: check files, show the configuration and its
- * history.
+ * The command group `config`: validates files and shows the configuration and
+ * its history.
  */
 import type { SettingsError } from '@eidermast/common'
 import type { Command } from 'commander'
@@ -21,11 +21,11 @@
   withOperator,
 } from './command-context.js'
 
-/** Records that `history` shows where no limit is given: a screen of them. */
+/** Records that `history` shows by default: about one screen. */
 const DEFAULT_HISTORY_LIMIT = 50
 
-/** What a file to check may hold. */
-enum CheckedFile {
+/** Kinds of files that `config check` validates. */
+enum CheckedFileKind {
   Template = 'template',
   Account = 'account',
   Daemon = 'daemon',
@@ -33,7 +33,7 @@
 }
 
 interface CheckOptions {
-  kind: CheckedFile
+  kind: CheckedFileKind
 }
 
 interface HistoryOptions {
@@ -42,18 +42,18 @@
 
 /** Adds the group `config`. */
 export function addConfigCommands(program: Command): void {
-  const group = program.command('config').description('check files, show the configuration and its history')
+  const group = program.command('config').description('validate files, show the configuration and its history')
   group.command('check <file>')
-    .description('check a file and name every fault; nothing is sent')
-    .addOption(new Option('--kind <kind>', 'what the file holds').choices(Object.values(CheckedFile)).default(CheckedFile.Template))
+    .description('validate a file and report all errors; nothing is sent')
+    .addOption(new Option('--kind <kind>', 'kind of the file').choices(Object.values(CheckedFileKind)).default(CheckedFileKind.Template))
     .addHelpText('after', exampleHelp('eidermast config check rider-answer.ini', 'eidermast config check entry-1.ini --kind daemon'))
     .action((file: string, options: CheckOptions, command: Command) => check(file, options.kind, command))
   group.command('show')
-    .description('show the offset of the configuration and of every object in it')
+    .description('show the offsets of the configuration and of all objects in it')
     .action((_options: object, command: Command) => show(command))
   group.command('history')
-    .description('show the records that the log still holds, and what became of each')
-    .option('--limit <n>', 'how many of the newest to show', String(DEFAULT_HISTORY_LIMIT))
+    .description('show the records that the log still retains and the outcome of each')
+    .option('--limit <n>', 'number of newest records to show', String(DEFAULT_HISTORY_LIMIT))
     .action((options: HistoryOptions, command: Command) => history(Number(options.limit), command))
   group.addHelpText('after', exampleHelp(
     'eidermast config check rider-answer.ini',
@@ -61,22 +61,22 @@
   ))
 }
 
-function check(file: string, kind: CheckedFile, command: Command): void {
+function check(file: string, kind: CheckedFileKind, command: Command): void {
   const faults = findFaults(file, kind)
   if (faults.length > 0)
     failWithFaults(faults)
-  print(globalOptions(command), { file, faults }, [`${file} is good`])
+  print(globalOptions(command), { file, faults }, [`${file} is valid`])
 }
 
-function findFaults(file: string, kind: CheckedFile): SettingsError[] {
+function findFaults(file: string, kind: CheckedFileKind): SettingsError[] {
   switch (kind) {
-    case CheckedFile.Daemon:
+    case CheckedFileKind.Daemon:
       return faultsOf(loadSettings(file))
-    case CheckedFile.CommandLine:
+    case CheckedFileKind.CommandLine:
       return faultsOf(loadCommandLineSettings(file))
-    case CheckedFile.Template:
+    case CheckedFileKind.Template:
       return faultsOf(loadObjectFile(ObjectKind.Template, file))
-    case CheckedFile.Account:
+    case CheckedFileKind.Account:
       return faultsOf(loadObjectFile(ObjectKind.Account, file))
   }
 }
--- a/packages/command-line/src/commands/explain-command.ts
+++ b/packages/command-line/src/commands/explain-command.ts
@@ -1,13 +1,13 @@
 /**
- * The command `explain`: the decisions about one request, from the memory of
- * entries and sides or from the log lines of gateways.
+ * The command `explain`: shows the decisions about one request, from the
+ * decisions that entries and sides keep in memory or from gateway logs.
  */
 import type { Decision } from '@eidermast/daemon'
 import type { Command } from 'commander'
-import type { RequestStory } from '../request-story.js'
+import type { RequestTimeline } from '../request-timeline.js'
 import { formatError, formatLine } from '@eidermast/common'
 import { CommandFailure, ExitCode } from '../exit-codes.js'
-import { formatStory, readLines, readStory } from '../request-story.js'
+import { formatTimeline, readLines, readTimeline } from '../request-timeline.js'
 import { exampleHelp, failUnreachable, globalOptions, print, withOperator } from './command-context.js'
 
 interface ExplainOptions {
@@ -17,8 +17,8 @@
 /** Adds the command `explain`. */
 export function addExplainCommand(program: Command): void {
   program.command('explain <request-id>')
-    .description('show the decisions about a request: as far as entries and sides still keep them, or from the logs of gateways')
-    .option('--logs <files...>', 'log files of gateways, or - for standard input; give those of all gateways')
+    .description('show the decisions about a request that entries and sides still have in memory, or those in the logs of gateways')
+    .option('--logs <files...>', 'log files of all gateways, or - for standard input')
     .addHelpText('after', exampleHelp(
       'eidermast explain 0192f0c1-7e4b-7a10-8c55-3b0c2e0f9d21',
       'eidermast explain 0192f0c1-7e4b-7a10-8c55-3b0c2e0f9d21 --logs gateway-*.log',
@@ -39,24 +39,24 @@
 }
 
 async function explainFromLogs(requestId: string, files: string[], command: Command): Promise<void> {
-  const story = await readFiles(requestId, files)
-  if (story.lines.length === 0)
-    throw new CommandFailure(ExitCode.NotFound, describeNothingFound(requestId, story))
-  print(globalOptions(command), story, formatStory(story))
+  const timeline = await readTimelineFromFiles(requestId, files)
+  if (timeline.lines.length === 0)
+    throw new CommandFailure(ExitCode.NotFound, describeNothingFound(requestId, timeline))
+  print(globalOptions(command), timeline, formatTimeline(timeline))
 }
 
-async function readFiles(requestId: string, files: string[]): Promise<RequestStory> {
+async function readTimelineFromFiles(requestId: string, files: string[]): Promise<RequestTimeline> {
   try {
-    return await readStory(requestId, readLines(files))
+    return await readTimeline(requestId, readLines(files))
   }
   catch (error) {
-    throw new CommandFailure(ExitCode.BadInput, `the logs cannot be read: ${formatError(error)}`)
+    throw new CommandFailure(ExitCode.BadInput, `cannot read the logs: ${formatError(error)}`)
   }
 }
 
-function describeNothingFound(requestId: string, { read, skipped }: RequestStory): string {
-  const found = `none of the ${read} lines speaks of ${requestId} (${skipped} are no log lines of a gateway)`
-  return `${found}; give the logs of all gateways`
+function describeNothingFound(requestId: string, { read, skipped }: RequestTimeline): string {
+  const found = `none of the ${read} lines mentions ${requestId} (${skipped} are not gateway log lines)`
+  return `${found}; pass the logs of all gateways`
 }
 
 function formatDecision({ at, by, event, fields }: Decision): string {
--- a/packages/command-line/src/commands/load-command.ts
+++ b/packages/command-line/src/commands/load-command.ts
@@ -1,6 +1,6 @@
 /**
- * The command `load`: sends requests to the entries of the settings and
- * reports how they ended.
+ * The command `load`: sends requests to the configured entries and reports
+ * their outcomes.
  */
 import type { Command } from 'commander'
 import type { GroupReport, LoadKind, LoadReport } from '../load/index.js'
@@ -10,34 +10,33 @@
 import { createLoadKinds, runLoad } from '../load/index.js'
 import { exampleHelp, formatTable, globalOptions, print, requireConfiguration, requireSettings, withOperator } from './command-context.js'
 
-const DESCRIPTION = 'send requests of every published template and plain service, '
-  + 'at planned times whether or not earlier ones were answered, and report how they ended'
+const DESCRIPTION = 'send requests to all published templates and plain services '
+  + 'at planned times, whether or not earlier ones were answered, and report their outcomes'
 
 const HEADINGS = ['group', 'sent', 'attained', 'attainment', 'late', 'refused', 'wrong', 'lost', 'p50 ms', 'p95 ms', 'p99 ms']
 
 interface LoadOptions {
-  /** Requests a second. */
+  /** Requests per second. */
   rate: number
   seconds: number
   seed: number
 }
 
-/** Requests a second, far below what the smallest deployment serves. */
+/** Requests per second; far below the capacity of the smallest deployment. */
 const DEFAULT_RATE = 50
 
-/** Seconds; a first look. */
 const DEFAULT_SECONDS = 10
 
-/** Any number serves; a fixed one makes two runs send the same. */
+/** A fixed default, so that two runs send the same requests. */
 const DEFAULT_SEED = 1
 
 /** Adds the command `load`. */
 export function addLoadCommand(program: Command): void {
   program.command('load')
     .description(DESCRIPTION)
-    .option('--rate <n>', 'requests a second', parsePositive, DEFAULT_RATE)
-    .option('--seconds <n>', 'how long requests are sent', parsePositive, DEFAULT_SECONDS)
-    .option('--seed <n>', 'seed of arrivals and mix; the same seed sends the same requests', parsePositive, DEFAULT_SEED)
+    .option('--rate <n>', 'requests per second', parsePositive, DEFAULT_RATE)
+    .option('--seconds <n>', 'duration in seconds for which requests are sent', parsePositive, DEFAULT_SECONDS)
+    .option('--seed <n>', 'seed for arrival times and request mix; the same seed sends the same requests', parsePositive, DEFAULT_SEED)
     .addHelpText('after', exampleHelp('eidermast load --rate 100 --seconds 30'))
     .action((options: LoadOptions, command: Command) => load(options, command))
 }
@@ -46,7 +45,7 @@
   const options = globalOptions(command)
   const entryUrls = requireSettings(options).callers.entries
   if (entryUrls.length === 0)
-    throw new CommandFailure(ExitCode.BadInput, 'name the entries under [callers] entries in the settings')
+    throw new CommandFailure(ExitCode.BadInput, 'no entries are configured; set the key entries of the section [callers] in the settings')
   const kinds = await readKinds(options)
   const report = await runLoad({ entryUrls, kinds, ratePerSecond: rate, seconds, seed, onProgress: showProgress })
   print(options, report, formatReport(report))
@@ -55,7 +54,7 @@
 async function readKinds(options: GlobalOptions): Promise<LoadKind[]> {
   const kinds = createLoadKinds(await withOperator(options, requireConfiguration))
   if (kinds.length === 0)
-    throw new CommandFailure(ExitCode.NotFound, 'no template and no plain service is published')
+    throw new CommandFailure(ExitCode.NotFound, 'no templates or plain services are published')
   return kinds
 }
 
@@ -66,10 +65,10 @@
   return value
 }
 
-/** Progress goes to the terminal alone, never into piped output. */
-function showProgress(sent: number, ended: number): void {
+/** Writes progress to standard error, and only if it is a terminal. */
+function showProgress(sent: number, completed: number): void {
   if (process.stderr.isTTY)
-    process.stderr.write(`\rsent ${sent}, answered ${ended} `)
+    process.stderr.write(`\rsent ${sent}, answered ${completed} `)
 }
 
 function formatReport(report: LoadReport): string[] {
@@ -77,7 +76,7 @@
   const refusals = Object.entries(report.refusals).map(([kind, count]) => `${kind} ${count}`)
   const costs = Object.entries(report.costByStage).map(([stage, cost]) => `${stage} ${cost.toFixed(1)}`)
   return [
-    `${report.ratePerSecond} requests a second for ${report.seconds} s; goodput ${report.goodputPerSecond.toFixed(1)} a second`,
+    `${report.ratePerSecond} requests per second for ${report.seconds} s; goodput ${report.goodputPerSecond.toFixed(1)} per second`,
     ...formatTable([HEADINGS, ...groups.map(formatGroup)]),
     `refusals: ${refusals.join(', ') || 'none'}; answered within ${report.refusalP99} ms at p99`,
     `cost by stage: ${costs.join(', ') || 'none'}`,
--- a/packages/command-line/src/commands/object-commands.ts
+++ b/packages/command-line/src/commands/object-commands.ts
@@ -1,5 +1,6 @@
 /**
- * The command groups `template` and `account`: publish, delete, show and list.
+ * The command groups `template` and `account`: publish, delete, show and list
+ * objects.
  */
 import type { Command } from 'commander'
 import type { FileKind } from '../object-file.js'
@@ -22,10 +23,10 @@
   base?: number
 }
 
-/** How the help text speaks of one kind of object. */
-interface GroupText {
+/** Help texts for one kind of object. */
+interface GroupHelpTexts {
   description: string
-  /** Name of an object, for the examples. */
+  /** Object name used in the examples. */
   name: string
 }
 
@@ -68,7 +69,7 @@
   })
 }
 
-function addObjectCommands(program: Command, kind: FileKind, text: GroupText): void {
+function addObjectCommands(program: Command, kind: FileKind, text: GroupHelpTexts): void {
   const group = program.command(kind).description(text.description)
   group.command('publish <name> <file>')
     .description(`publish a new version of the ${kind} from an INI file, or from a JSON file as show prints it`)
--- a/packages/command-line/src/load/load-kind.ts
+++ b/packages/command-line/src/load/load-kind.ts
@@ -1,6 +1,6 @@
 /**
- * Kinds of requests that a load run sends: every published pipeline by every
- * client account, and every plain service.
+ * Kinds of requests that a load run sends: one for each pair of a published
+ * pipeline and a client account, and one for each plain service.
  */
 import type { Account, Configuration, Priority, Template } from '@eidermast/daemon'
 import { BackendRole, ObjectKind } from '@eidermast/daemon'
@@ -9,42 +9,42 @@
 export interface LoadKind {
   name: string
   account: string
-  /** How often it is sent, relative to the others. */
+  /** Relative frequency. */
   weight: number
   priority: Priority | 'service'
   /** Milliseconds. */
   deadlineMs: number
   method: 'GET' | 'POST'
-  /** Path at an entry, for the number of the request. */
+  /** URL path for the request with the given index. */
   path: (index: number) => string
-  /** Text of the input, for the number of the request; undefined for plain services. */
+  /** Input text for the request with the given index; undefined for plain services. */
   input?: (index: number) => string
 }
 
-/** An object of the configuration. */
-interface Named<Value> {
+/** A configuration object with its name. */
+interface NamedObject<Value> {
   name: string
   value: Value
 }
 
-/** Share of the requests that go to plain services, where there are some. */
+/** Fraction of requests sent to plain services, if any are published. */
 const SERVICE_SHARE = 0.2
 
-/** Milliseconds; plain services have no deadline of their own. It only parts late from attained in the report. */
+/** Plain services have no deadline; this one only separates late from attained requests in the report. */
 const SERVICE_DEADLINE_MS = 1000
 
-/** Inputs begin in this many ways, so that prefixes are shared as in real traffic. */
-const TOPICS = 20
+/** Number of distinct input prefixes; inputs share prefixes as in production traffic. */
+const TOPIC_COUNT = 20
 
-/** Kinds from the published configuration, pipelines weighted by the accounts' shares. */
+/** Creates the request kinds from the published configuration; pipelines are weighted by account share. */
 export function createLoadKinds(configuration: Configuration): LoadKind[] {
   const templates = configuration.list(ObjectKind.Template)
   const accounts = configuration.list(ObjectKind.Account)
-  const services = plainServices(configuration)
-  const allShares = accounts.reduce((sum, account) => sum + account.value.share, 0)
+  const services = listPlainServices(configuration)
+  const totalShare = accounts.reduce((sum, account) => sum + account.value.share, 0)
   const pipelineShare = services.length > 0 ? 1 - SERVICE_SHARE : 1
   const pipelineKinds = templates.flatMap(template => accounts.map((account) => {
-    const weight = (account.value.share / allShares / templates.length) * pipelineShare
+    const weight = (account.value.share / totalShare / templates.length) * pipelineShare
     return createPipelineKind(template, account, weight)
   }))
   const account = accounts[0]?.name ?? ''
@@ -52,12 +52,12 @@
   return [...pipelineKinds, ...serviceKinds]
 }
 
-function plainServices(configuration: Configuration): string[] {
+function listPlainServices(configuration: Configuration): string[] {
   const backends = configuration.list(ObjectKind.Backend).filter(({ value }) => value.role === BackendRole.Plain)
   return [...new Set(backends.map(({ value }) => value.service))]
 }
 
-function createPipelineKind(template: Named<Template>, account: Named<Account>, weight: number): LoadKind {
+function createPipelineKind(template: NamedObject<Template>, account: NamedObject<Account>, weight: number): LoadKind {
   const topic = `of ${template.name} for ${account.name}, in the words of the house and with the names of its places.`
   return {
     name: template.name,
@@ -67,7 +67,7 @@
     deadlineMs: account.value.deadlineMs ?? template.value.deadlineMs,
     method: 'POST',
     path: () => `/v1/pipelines/${template.name}/requests`,
-    input: index => `Topic ${index % TOPICS} ${topic} Question ${index}`,
+    input: index => `Topic ${index % TOPIC_COUNT} ${topic} Question ${index}`,
   }
 }
 
--- a/packages/command-line/src/load/load-report.ts
+++ b/packages/command-line/src/load/load-report.ts
@@ -1,79 +1,79 @@
 /**
- * The figures of a load run: the form that `eidermast load` prints, and the
- * tally that counts results into it. The tally lives as long as its run.
+ * The report of a load run, which `eidermast load` prints, and the tally that
+ * aggregates results into it. A tally exists for the duration of one run.
  */
 import type { Histogram } from 'hdr-histogram-js'
 import { build } from 'hdr-histogram-js'
 
-/** How a request ended for its caller. */
-export enum LoadEnd {
+/** Outcome of a request as seen by its caller. */
+export enum LoadOutcome {
   /** Answered within its deadline. */
   Attained = 'attained',
   /** Answered after its deadline. */
   Late = 'late',
-  /** The entry answered with an error. */
+  /** The entry returned an error. */
   Refused = 'refused',
-  /** An answer of status 200 without an output. */
+  /** Status 200 without an output. */
   Wrong = 'wrong',
-  /** No answer, or one that is no JSON; the reason is in the log `eidermast:load`. */
+  /** No answer, or an answer that is not valid JSON; the reason is logged under `eidermast:load`. */
   Lost = 'lost',
 }
 
-/** Figures of one group of requests. */
+/** Statistics for one group of requests. */
 export interface GroupReport {
   group: string
   sent: number
   attained: number
-  /** Attained by sent; 1 where nothing was sent. */
+  /** Ratio of attained to sent; 1 if nothing was sent. */
   attainment: number
   late: number
   refused: number
   wrong: number
   lost: number
-  /** Milliseconds from the planned arrival, of whole answers. */
+  /** Latency of complete answers in milliseconds, measured from the planned arrival. */
   p50: number
   p95: number
   p99: number
 }
 
-/** Figures of a load run. */
+/** Statistics for a load run. */
 export interface LoadReport {
   seconds: number
   ratePerSecond: number
-  /** Attained requests a second. */
+  /** Attained requests per second. */
   goodputPerSecond: number
   overall: GroupReport
   groups: GroupReport[]
   refusals: Record<string, number>
-  /** Milliseconds from the planned arrival, of refusals. */
+  /** Latency of refusals in milliseconds, measured from the planned arrival. */
   refusalP99: number
-  /** Cost by stage of answered requests, in the operators' own unit. */
+  /** Cost of answered requests by stage, in the unit that operators use in templates. */
   costByStage: Record<string, number>
 }
 
-/** What one stage of a request cost. */
+/** Cost of one stage of a request. */
 export interface StageCost {
   stage: string
-  /** In the operators' own unit. */
+  /** In the unit that operators use in templates. */
   cost: number
 }
 
-/** One finished request. */
+/** Result of a finished request. */
 export interface LoadResult {
   name: string
   account: string
   priority: string
-  end: LoadEnd
-  /** Milliseconds from the planned arrival. */
+  outcome: LoadOutcome
+  /** Latency, measured from the planned arrival. */
   milliseconds: number
   errorKind?: string
   costs: StageCost[]
 }
 
-/** Milliseconds; the longest latency that a histogram tells apart. Far above any deadline, so never reached. */
+/** Upper bound of the latency histograms; far above any deadline. */
 const MAX_LATENCY_MS = 600_000
 
-/** Latencies are kept to 0.1%, in whole milliseconds; finer than any figure printed. */
+/** A precision of 0.1%, which is finer than any printed value. */
 const SIGNIFICANT_DIGITS = 3
 
 function createHistogram(): Histogram {
@@ -84,9 +84,9 @@
   histogram.recordValue(Math.max(1, Math.round(milliseconds)))
 }
 
-/** Counts of one group. */
+/** Aggregates the results of one group. */
 class GroupTally {
-  private readonly ends = new Map<LoadEnd, number>()
+  private readonly outcomes = new Map<LoadOutcome, number>()
   private readonly latencies = createHistogram()
   private sent = 0
 
@@ -94,34 +94,34 @@
 
   add(result: LoadResult): void {
     this.sent++
-    this.ends.set(result.end, this.count(result.end) + 1)
-    if (result.end === LoadEnd.Attained || result.end === LoadEnd.Late)
+    this.outcomes.set(result.outcome, this.count(result.outcome) + 1)
+    if (result.outcome === LoadOutcome.Attained || result.outcome === LoadOutcome.Late)
       recordLatency(this.latencies, result.milliseconds)
   }
 
   report(): GroupReport {
-    const attained = this.count(LoadEnd.Attained)
+    const attained = this.count(LoadOutcome.Attained)
     return {
       group: this.group,
       sent: this.sent,
       attained,
       attainment: this.sent === 0 ? 1 : attained / this.sent,
-      late: this.count(LoadEnd.Late),
-      refused: this.count(LoadEnd.Refused),
-      wrong: this.count(LoadEnd.Wrong),
-      lost: this.count(LoadEnd.Lost),
+      late: this.count(LoadOutcome.Late),
+      refused: this.count(LoadOutcome.Refused),
+      wrong: this.count(LoadOutcome.Wrong),
+      lost: this.count(LoadOutcome.Lost),
       p50: this.latencies.getValueAtPercentile(50),
       p95: this.latencies.getValueAtPercentile(95),
       p99: this.latencies.getValueAtPercentile(99),
     }
   }
 
-  private count(end: LoadEnd): number {
-    return this.ends.get(end) ?? 0
+  private count(outcome: LoadOutcome): number {
+    return this.outcomes.get(outcome) ?? 0
   }
 }
 
-/** Gathers results into a report. */
+/** Aggregates results into a report. */
 export class LoadTally {
   private readonly overall = new GroupTally('all')
   private readonly groups = new Map<string, GroupTally>()
@@ -130,16 +130,16 @@
   private readonly costs: Record<string, number> = {}
   private attained = 0
 
-  /** Number of results so far. */
+  /** Number of results recorded so far. */
   count = 0
 
   add(result: LoadResult): void {
     this.count++
     this.overall.add(result)
-    this.groupOf(`kind ${result.name}`).add(result)
-    this.groupOf(`account ${result.account}`).add(result)
-    this.groupOf(`priority ${result.priority}`).add(result)
-    if (result.end === LoadEnd.Attained)
+    this.getOrCreateGroup(`kind ${result.name}`).add(result)
+    this.getOrCreateGroup(`account ${result.account}`).add(result)
+    this.getOrCreateGroup(`priority ${result.priority}`).add(result)
+    if (result.outcome === LoadOutcome.Attained)
       this.attained++
     if (result.errorKind !== undefined) {
       this.refusals[result.errorKind] = (this.refusals[result.errorKind] ?? 0) + 1
@@ -167,7 +167,7 @@
     return reports.sort((left, right) => left.group.localeCompare(right.group))
   }
 
-  private groupOf(name: string): GroupTally {
+  private getOrCreateGroup(name: string): GroupTally {
     const existing = this.groups.get(name)
     if (existing)
       return existing
--- a/packages/command-line/src/load/load-run.ts
+++ b/packages/command-line/src/load/load-run.ts
@@ -1,8 +1,8 @@
 /**
- * An open-loop load run: requests are sent at their planned times whether or
- * not earlier ones were answered, and latency counts from the planned time.
- * It owns the connections and the count of results until the run ends; if the
- * process dies, the results are lost.
+ * An open-loop load generator: requests are sent at their planned times,
+ * whether or not earlier ones were answered, and latency is measured from the
+ * planned time. It owns the connections and the results until the run ends; if
+ * the process crashes, the results are lost.
  */
 import type { LoadKind } from './load-kind.js'
 import type { LoadReport } from './load-report.js'
@@ -16,32 +16,31 @@
 export interface LoadRunOptions {
   entryUrls: string[]
   kinds: LoadKind[]
-  /** Requests a second, of all kinds together. */
+  /** Total requests per second, over all kinds. */
   ratePerSecond: number
-  /** How long requests are sent; the run ends when the last one has ended. */
+  /** How long requests are sent; the run ends when the last request has completed. */
   seconds: number
-  /** Seed of the arrivals and of the mix of kinds and entries. */
+  /** Seed for arrival times and for the choice of kinds and entries. */
   seed: number
-  /** Called once a second with the number of requests sent and ended. */
+  /** Called once a second with the number of requests sent and completed. */
   onProgress?: (sent: number, ended: number) => void
 }
 
-/** Turns seconds into milliseconds. */
 const MILLISECONDS_PER_SECOND = 1000
 
-/** Milliseconds between two reports of progress; for the eye only. */
 const PROGRESS_INTERVAL_MS = 1000
 
 /**
- * Connections to one entry, one request each. With fewer than the requests in
- * flight the tool itself would delay requests; more costs only sockets.
+ * Connections to one entry, each of which carries one request at a time. With
+ * fewer connections than requests in flight the load generator itself would
+ * delay requests; more only cost sockets.
  */
 const MAX_CONNECTIONS_PER_ENTRY = 2000
 
-/** Values that a draw can take, evenly spread from 0 to 1; fine enough for any mix of kinds. */
-const RANDOM_STEPS = 1_000_000
+/** Resolution of random fractions; fine enough for any mix of kinds. */
+const RANDOM_RESOLUTION = 1_000_000
 
-/** Runs a load and returns its figures. A request that fails is counted, never thrown. */
+/** Runs a load and returns its report. Failed requests are counted and do not reject the promise. */
 export function runLoad(options: LoadRunOptions): Promise<LoadReport> {
   return new LoadRun(options).run()
 }
@@ -67,53 +66,53 @@
     return this.tally.report(seconds, ratePerSecond)
   }
 
-  /** Sends every request at its planned time; the promises end with the requests. */
+  /** Sends every request at its planned time; each returned promise resolves when its request completes. */
   private async sendAll(): Promise<Promise<void>[]> {
     const pending: Promise<void>[] = []
     const startedAt = performance.now()
     const endAt = startedAt + this.options.seconds * MILLISECONDS_PER_SECOND
-    let plannedAt = startedAt + this.drawGap()
+    let plannedAt = startedAt + this.sampleInterarrivalMs()
     while (plannedAt < endAt) {
-      const earlyMs = plannedAt - performance.now()
-      if (earlyMs > 0)
-        await wait(earlyMs)
+      const delayMs = plannedAt - performance.now()
+      if (delayMs > 0)
+        await wait(delayMs)
       pending.push(this.sendOne(plannedAt))
-      plannedAt += this.drawGap()
+      plannedAt += this.sampleInterarrivalMs()
     }
     return pending
   }
 
   private async sendOne(plannedAt: number): Promise<void> {
     const index = this.sent++
-    const kind = this.drawKind()
-    const entryUrl = this.drawEntry()
+    const kind = this.pickKind()
+    const entryUrl = this.pickEntry()
     this.tally.add(await sendLoadRequest({ kind, index, entryUrl, plannedAt, dispatcher: this.agent }))
   }
 
-  /** Milliseconds to the next arrival of a Poisson process. */
-  private drawGap(): number {
-    return -Math.log(1 - this.draw()) * (MILLISECONDS_PER_SECOND / this.options.ratePerSecond)
+  /** Returns the time in milliseconds until the next arrival of a Poisson process. */
+  private sampleInterarrivalMs(): number {
+    return -Math.log(1 - this.randomFraction()) * (MILLISECONDS_PER_SECOND / this.options.ratePerSecond)
   }
 
-  private drawEntry(): string {
+  private pickEntry(): string {
     const { entryUrls } = this.options
-    return entryUrls[Math.floor(this.draw() * entryUrls.length)]
+    return entryUrls[Math.floor(this.randomFraction() * entryUrls.length)]
   }
 
-  /** A kind, each as often as its weight says. */
-  private drawKind(): LoadKind {
+  /** Picks a kind at random, in proportion to the weights. */
+  private pickKind(): LoadKind {
     const { kinds } = this.options
-    let left = this.draw() * this.totalWeight
+    let remaining = this.randomFraction() * this.totalWeight
     for (const kind of kinds) {
-      left -= kind.weight
-      if (left < 0)
+      remaining -= kind.weight
+      if (remaining < 0)
         return kind
     }
     return kinds.at(-1)!
   }
 
-  /** A number from 0 up to, but not including, 1. */
-  private draw(): number {
-    return unsafeUniformIntDistribution(0, RANDOM_STEPS - 1, this.random) / RANDOM_STEPS
+  /** Returns a random number in the range [0, 1). */
+  private randomFraction(): number {
+    return unsafeUniformIntDistribution(0, RANDOM_RESOLUTION - 1, this.random) / RANDOM_RESOLUTION
   }
 }
--- a/packages/command-line/src/operator.ts
+++ b/packages/command-line/src/operator.ts
@@ -1,8 +1,8 @@
 /**
- * What operators do with a running system, apart from the command line's
- * arguments and output: they change and read the configuration on the
- * platform's log, and ask the daemon's processes. It owns one connection to
- * the log until `close`; connections to processes live for one call.
+ * Operations on a running system, independent of command-line parsing and
+ * output: changes and reads the configuration on the platform's log and queries
+ * the daemon processes. Owns one connection to the log until `close`;
+ * connections to processes are opened for each call.
  */
 import type {
   Configuration,
@@ -35,19 +35,19 @@
 } from '@eidermast/daemon'
 import { foldHistory } from './configuration-history.js'
 
-/** A process that was asked, and its status if it answered. */
-export interface AskedProcess {
+/** A queried process and its status, if it answered. */
+export interface QueriedProcess {
   name: string
   /** Host and port. */
   address: string
   status?: ProcessStatus
 }
 
-/** Where the processes of a system listen, as host and port. */
+/** Addresses of the processes of a system, as host and port. */
 interface SystemAddresses {
-  /** Undefined where the VM list does not answer. */
+  /** Undefined if the VM list does not answer. */
   entries?: string[]
-  /** Undefined where the log does not answer. */
+  /** Undefined if the log does not answer. */
   sides?: NamedAddress[]
 }
 
@@ -57,52 +57,52 @@
 }
 
 /**
- * Milliseconds for an answer of the log, the VM list or a process. Half as long
- * calls a busy process silent; twice as long makes an operator wait longer for
- * one that is frozen.
+ * Timeout for an answer of the log, the VM list or a process. At half this value
+ * a busy process is reported as silent; doubling it makes operators wait longer
+ * for a process that hangs.
  */
-const ASK_TIMEOUT_MS = 2000
+const QUERY_TIMEOUT_MS = 2000
 
 const log = createLogger('operator')
 
-/** Talks to the platform's log and to the system's processes for operators. */
+/** Client for the platform's log and the processes of a system. */
 export class Operator {
   private readonly log: HttpLogClient
 
   constructor(private readonly settings: CommandLineSettings) {
-    this.log = new HttpLogClient({ url: settings.platform.log, timeoutMs: ASK_TIMEOUT_MS })
+    this.log = new HttpLogClient({ url: settings.platform.log, timeoutMs: QUERY_TIMEOUT_MS })
   }
 
-  /** Publishes a change of one object, in the name of the user. */
+  /** Publishes a change of one object with the current user as its author. */
   publish(options: PublishOptions): Promise<Publication> {
     return publishChange(this.log, { ...options, author: process.env.USER ?? '' })
   }
 
-  /** The configuration on the log; undefined where the log does not answer. */
+  /** Reads the configuration from the log; undefined if the log does not answer. */
   configuration(): Promise<Configuration | undefined> {
     return readConfiguration(this.log)
   }
 
-  /** Records of the configuration that the log still holds; undefined where it does not answer. */
+  /** Reads the configuration records that the log still retains; undefined if the log does not answer. */
   async history(): Promise<HistoryLine[] | undefined> {
     const page = await this.log.read({ stream: CONFIGURATION_STREAM, from: 0, limit: Number.MAX_SAFE_INTEGER, waitMs: 0 })
     return page.isOk() ? foldHistory(page.value) : undefined
   }
 
-  /** Status of every entry and side that is listed or configured; undefined where neither the VM list nor the log answers. */
-  async status(): Promise<AskedProcess[] | undefined> {
-    const { entries, sides } = await this.addresses()
+  /** Queries the status of every listed entry and configured side; undefined if neither the VM list nor the log answers. */
+  async status(): Promise<QueriedProcess[] | undefined> {
+    const { entries, sides } = await this.resolveAddresses()
     if (!entries && !sides)
       return undefined
     return Promise.all([
-      ...(entries ?? []).map(address => this.askEntry(address)),
-      ...(sides ?? []).map(side => this.askSide(side)),
+      ...(entries ?? []).map(address => this.queryEntry(address)),
+      ...(sides ?? []).map(side => this.querySide(side)),
     ])
   }
 
-  /** Decisions about a request, from every process that kept some, oldest first; undefined as for `status`. */
+  /** Collects the decisions about a request from all processes, oldest first; undefined if neither the VM list nor the log answers. */
   async explain(requestId: string): Promise<Decision[] | undefined> {
-    const { entries, sides } = await this.addresses()
+    const { entries, sides } = await this.resolveAddresses()
     if (!entries && !sides)
       return undefined
     const answers = await Promise.all([
@@ -117,8 +117,8 @@
     return this.log.close()
   }
 
-  private async addresses(): Promise<SystemAddresses> {
-    const source = new HttpVirtualMachineSource(this.settings.platform['virtual-machines'], ASK_TIMEOUT_MS)
+  private async resolveAddresses(): Promise<SystemAddresses> {
+    const source = new HttpVirtualMachineSource(this.settings.platform['virtual-machines'], QUERY_TIMEOUT_MS)
     const listed = await source.read()
     const configuration = await this.configuration()
     return {
@@ -127,12 +127,12 @@
     }
   }
 
-  private async askEntry(address: string): Promise<AskedProcess> {
+  private async queryEntry(address: string): Promise<QueriedProcess> {
     const status = await this.withEntry(address, client => client.status.query())
     return { name: status?.name ?? '(entry)', address, status }
   }
 
-  private async askSide({ name, address }: NamedAddress): Promise<AskedProcess> {
+  private async querySide({ name, address }: NamedAddress): Promise<QueriedProcess> {
     return { name, address, status: await this.withSide(address, client => client.status.query()) }
   }
 
@@ -147,7 +147,7 @@
 
 type Connect<Client> = (options: PeerConnectionOptions) => Promise<Result<PeerConnection<Client>, ConnectFailure>>
 
-/** Makes one call over a connection that is closed after it; undefined, with the reason in the log, where nobody answers. */
+/** Opens a connection, makes one call and closes the connection; logs the reason and returns undefined if there is no answer. */
 async function callOnce<Client, Value>(
   connect: Connect<Client>,
   peer: PeerConnectionOptions,
@@ -158,7 +158,7 @@
     log('process-silent', { address: peer.address, reason: opened.error })
     return undefined
   }
-  const result = await callPeer(opened.value, call, ASK_TIMEOUT_MS)
+  const result = await callPeer(opened.value, call, QUERY_TIMEOUT_MS)
   opened.value.close()
   if (result.state === CallState.Answered)
     return result.value
--- a/packages/stand-ins/src/backend-service.ts
+++ b/packages/stand-ins/src/backend-service.ts
@@ -1,8 +1,8 @@
 /**
- * Stand-in of a backend server: a model engine, a pool member (encoder,
- * retriever, reranker) or a plain service. What it puts out is a function of
- * its input alone (see outputs.ts). Orders and running work live in memory and
- * end with the process; started runs are appended to a file, which outlives it.
+ * Stand-in for a backend server: a model engine, a pool member (encoder,
+ * retriever, reranker) or a plain service. Its output depends only on its input
+ * (see outputs.ts). Orders and running work are held in memory and lost with the
+ * process; started runs are appended to a file, which survives it.
  */
 import type { ServerResponse } from 'node:http'
 import type { Order, Run } from './backend-calls.js'
@@ -17,37 +17,37 @@
 import { appendRun } from './run-counts.js'
 import { Slots } from './slots.js'
 
-/** What a backend server is. */
+/** Kinds of backend servers. */
 export enum BackendKind {
   Engine = 'engine',
   Pool = 'pool',
   Plain = 'plain',
 }
 
-/** Options of a backend server. */
+/** Options for a backend server. */
 export interface BackendServiceOptions {
   kind: BackendKind
-  /** Runs at once; more wait inside. */
+  /** Maximum number of concurrent runs; further runs are queued. */
   slots: number
-  /** Milliseconds of every run. */
+  /** Duration of a run in milliseconds, without its tokens. */
   baseMs: number
-  /** Milliseconds of every generated token. */
+  /** Duration of each generated token in milliseconds. */
   tokenMs: number
-  /** Whether orders with an old fence are refused. */
+  /** Whether orders with an outdated fence are rejected. */
   checksFences: boolean
-  /** File to which every run is appended, so that counts outlive a kill. */
+  /** File to which every run is appended, so that counts survive a kill. */
   runsFile?: string
 }
 
-/** Name under which a call of a plain service is counted. */
+/** Stage name under which calls to a plain service are counted. */
 const PLAIN_CALL_STAGE = 'call'
 
-/** A backend server's state and its HTTP interface. */
+/** State and HTTP interface of a backend server. */
 export class BackendService {
   private faults: BackendFaults = backendFaultsSchema.parse({})
   private readonly slots: Slots
   private readonly orders: Order[] = []
-  /** Changes with every start, so that a side notices a restart. */
+  /** Differs for every start, so that a side can detect a restart. */
   private readonly instance = randomUUID()
   private startedRuns = 0
   private draining = false
@@ -56,17 +56,17 @@
     this.slots = new Slots(options.slots)
   }
 
-  /** Starts listening; port 0 takes one from the system. */
+  /** Starts listening; port 0 lets the operating system choose a port. */
   start(port: number): Promise<StandInService> {
     return startService(call => this.handle(call), port)
   }
 
-  /** Refuses new runs and says so in the load from now on; running work goes on. */
+  /** Rejects new runs from now on and reports `draining` in the load; running work continues. */
   beginDrain(): void {
     this.draining = true
   }
 
-  /** Whether nothing runs and nothing waits. */
+  /** Whether no run is active or queued. */
   get idle(): boolean {
     return this.slots.idle
   }
@@ -85,18 +85,18 @@
       case '/v1/load':
         return sendJson(call.response, 200, { running: this.slots.running, draining: this.draining, instance: this.instance })
       case '/v1/orders':
-        return this.takeOrder(call)
+        return this.applyOrder(call)
       case '/v1/run':
         return this.run(call)
       default:
-        return this.serveCall(call)
+        return this.handlePlainCall(call)
     }
   }
 
-  private takeOrder(call: StandInCall): void {
+  private applyOrder(call: StandInCall): void {
     const order = orderSchema.parse(JSON.parse(call.body))
     if (this.options.checksFences && this.currentOrder && order.fence < this.currentOrder.fence)
-      return sendJson(call.response, 409, { message: 'the fence is old' })
+      return sendJson(call.response, 409, { message: 'the fence is outdated' })
     this.orders.push(order)
     sendJson(call.response, 200, {})
   }
@@ -105,9 +105,9 @@
     const run = runSchema.parse(JSON.parse(call.body))
     if (this.draining)
       return sendJson(call.response, 503, { message: 'draining' })
-    if (!this.hasLoaded(run))
+    if (!this.isModelLoaded(run))
       return sendJson(call.response, 409, { message: 'this model is not loaded' })
-    if (!await this.slots.take(run.priority, call.response))
+    if (!await this.slots.acquire(run.priority, call.response))
       return
     try {
       await this.execute(run, call.response)
@@ -117,7 +117,7 @@
     }
   }
 
-  private hasLoaded({ model, version }: Run): boolean {
+  private isModelLoaded({ model, version }: Run): boolean {
     if (model === undefined)
       return true
     const sameVersion = version === undefined || version === this.currentOrder?.version
@@ -125,9 +125,9 @@
   }
 
   private async execute(run: Run, response: ServerResponse): Promise<void> {
-    const fails = this.begin(run.account, run.requestId, run.stage)
+    const fails = this.recordRunStart(run.account, run.requestId, run.stage)
     const tokens = this.options.kind === BackendKind.Engine ? generateTokens(run.input, run.maxTokens) : []
-    await this.work(this.options.baseMs)
+    await this.simulateWork(this.options.baseMs)
     if (fails)
       return sendJson(response, 500, { message: 'the run failed' })
     if (run.stream)
@@ -147,42 +147,42 @@
         response.end()
         return
       }
-      await this.work(this.options.tokenMs)
+      await this.simulateWork(this.options.tokenMs)
       writeLine(response, { token: index === 0 ? token : ` ${token}` })
     }
     writeLine(response, { done: true, output: stageOutput(run.stage, run.input, tokens), tokens: tokens.length })
     response.end()
   }
 
-  /** Generates without streaming; stops when the caller goes. */
+  /** Generates without streaming; stops when the caller disconnects. */
   private async generate(count: number, response: ServerResponse): Promise<void> {
     for (let index = 0; index < count && !response.destroyed; index++)
-      await this.work(this.options.tokenMs)
+      await this.simulateWork(this.options.tokenMs)
   }
 
-  /** A call of a plain service: answers with what it was asked. */
-  private async serveCall({ method, path, body, request, response }: StandInCall): Promise<void> {
+  /** Handles a call to a plain service: echoes the request. */
+  private async handlePlainCall({ method, path, body, request, response }: StandInCall): Promise<void> {
     if (this.options.kind !== BackendKind.Plain)
       return sendJson(response, 404, { message: 'no such path' })
     const requestId = String(request.headers['eidermast-request-id'] ?? '')
-    const fails = this.begin('', requestId, PLAIN_CALL_STAGE)
-    await this.work(this.options.baseMs)
+    const fails = this.recordRunStart('', requestId, PLAIN_CALL_STAGE)
+    await this.simulateWork(this.options.baseMs)
     if (fails)
       return sendJson(response, 500, { message: 'the call failed' })
     this.reply(response, { method, path: path + request.url!.slice(path.length), received: body, requestId })
   }
 
-  /** Counts a run that starts, ends the process where that fault is set, and says whether the run is to fail. */
-  private begin(account: string, requestId: string, stage: string): boolean {
+  /** Records the start of a run, exits if the fault `die` is set, and returns whether the run is to fail. */
+  private recordRunStart(account: string, requestId: string, stage: string): boolean {
     if (this.options.runsFile !== undefined)
       appendRun(this.options.runsFile, `${account}/${requestId}/${stage}`)
     if (this.faults.die)
       process.exit(1)
-    return this.drawFailure()
+    return this.shouldNextRunFail()
   }
 
-  /** Fails a fixed share of runs, evenly spread. */
-  private drawFailure(): boolean {
+  /** Fails a fixed share of the runs, evenly spaced. */
+  private shouldNextRunFail(): boolean {
     const failedBefore = Math.floor(this.startedRuns * this.faults.failShare)
     this.startedRuns++
     return Math.floor(this.startedRuns * this.faults.failShare) > failedBefore
@@ -197,7 +197,7 @@
     sendJson(response, 200, body)
   }
 
-  private async work(milliseconds: number): Promise<void> {
+  private async simulateWork(milliseconds: number): Promise<void> {
     const total = milliseconds * this.faults.slowFactor
     if (total > 0)
       await wait(total)
--- a/packages/stand-ins/src/demo.ts
+++ b/packages/stand-ins/src/demo.ts
@@ -1,7 +1,7 @@
 /**
- * The demonstration: starts a small deployment, serves requests of both users'
- * kinds and checks that none is lost or doubled. Exits with 1 where one is, or
- * where an answer is not whole.
+ * The demo: starts a small deployment, sends it requests of both users' pipelines
+ * and checks that none is lost or executed twice. Exits with 1 if one is, or if an
+ * answer is incomplete.
  */
 import type { Deployment } from './deployment.js'
 import { request } from 'undici'
@@ -10,7 +10,7 @@
 import { expectedAnswer } from './outputs.js'
 import { RunningSystem } from './running-system.js'
 
-/** A request of the demonstration. */
+/** A request that the demo sends `count` times. */
 interface DemoRequest {
   title: string
   account: string
@@ -19,7 +19,7 @@
   count: number
 }
 
-/** What came of a request. */
+/** Result of a request. */
 interface DemoResult {
   requestId: string
   account: string
@@ -30,8 +30,8 @@
   text: string
 }
 
-/** Characters of an answer that are shown. */
-const SHORT_LENGTH = 60
+/** Number of characters of an answer that are printed. */
+const EXCERPT_LENGTH = 60
 
 const REQUESTS: DemoRequest[] = [
   {
@@ -77,12 +77,12 @@
     count: 5,
   },
 ]
-/** Calls of the plain service. */
-const STOP_LOOKUPS = 10
+/** Number of calls to the plain service. */
+const STOP_LOOKUP_COUNT = 10
 
 const deployment = resolveDeployment(DeploymentName.Small)
 const system = await RunningSystem.launch({ deployment })
-console.log(`${system.processes.size} processes run, each with its own id`)
+console.log(`${system.processes.size} processes are running, each with its own process id`)
 try {
   process.exitCode = await demonstrate(system)
 }
@@ -104,7 +104,7 @@
   const sends = Array.from({ length: demoRequest.count }, (_, index) => send(running, demoRequest, index))
   const results = await Promise.all(sends)
   const [first] = results
-  console.log(`${demoRequest.title}: ${first.text.slice(0, SHORT_LENGTH)}`)
+  console.log(`${demoRequest.title}: ${first.text.slice(0, EXCERPT_LENGTH)}`)
   return results
 }
 
@@ -133,7 +133,7 @@
 
 async function lookUpStops(running: RunningSystem): Promise<DemoResult[]> {
   const results: DemoResult[] = []
-  for (let index = 0; index < STOP_LOOKUPS; index++) {
+  for (let index = 0; index < STOP_LOOKUP_COUNT; index++) {
     const requestId = uuidv7()
     const path = `/stops/4300028${index}`
     const response = await request(`${pickEntry(running, index)}/v1/services/rider-app-backend${path}`, {
@@ -144,7 +144,7 @@
     const text = JSON.stringify(answer)
     results.push({ requestId, account: '', unrepeatable: false, whole, late: false, kind: answer.kind, text })
   }
-  console.log(`stop lookup: ${results[0].text.slice(0, SHORT_LENGTH)}`)
+  console.log(`stop lookup: ${results[0].text.slice(0, EXCERPT_LENGTH)}`)
   return results
 }
 
@@ -152,7 +152,7 @@
   return running.entryUrls[index % running.entryUrls.length]
 }
 
-/** The stages of a pipeline as its expected answer needs them. */
+/** Returns the stages of a pipeline in the form that `expectedAnswer` takes. */
 function expectedStages({ templates }: Deployment, pipeline: string) {
   const { stages } = templates.find(candidate => candidate.name === pipeline)!.value
   return stages.map(stage => ({ name: stage.name, tokens: stage.model ? stage.maxTokens : 0 }))
--- a/test/pages/operations-page.test.ts
+++ b/test/pages/operations-page.test.ts
@@ -5,13 +5,13 @@
 const PAGE = 'docs/OPERATIONS.md'
 const sources = readSources()
 
-/** Rows of the tables whose header begins with a word. */
+/** Returns the rows of the tables whose first column has the given header. */
 function rowsUnder(header: string): string[] {
   const tables = readFromRoot(PAGE).split('\n\n').filter(block => block.startsWith(`| ${header} |`))
   return tables.flatMap(table => table.split('\n').slice(2))
 }
 
-/** Names between backticks in one column of a row, from 1. */
+/** Returns the inline code in a column of a row; columns are numbered from 1. */
 function namesIn(row: string, column: number): string[] {
   return [...row.split('|')[column].matchAll(/`([^`]+)`/g)].map(match => match[1])
 }
@@ -23,7 +23,7 @@
   expect(served.filter(name => !named.has(name))).toEqual([])
 })
 
-test('the operations page names only events that are written', () => {
+test('the operations page names only events that are logged', () => {
   const events = [...rowsUnder('event').flatMap(row => namesIn(row, 1)), ...rowsUnder('namespace').flatMap(row => namesIn(row, 2))]
   expect(events.length).toBeGreaterThan(50)
   expect(events.filter(name => !sources.includes(`'${name}'`))).toEqual([])
@@ -39,7 +39,7 @@
   expect([...written].filter(event => !named.has(event))).toEqual([])
 })
 
-test('the operations page names only kinds of errors that there are, with their statuses', () => {
+test('the operations page names only existing error kinds, with their statuses', () => {
   const rows = rowsUnder('kind').filter(row => namesIn(row, 1).length > 0)
   expect(rows.length).toBeGreaterThan(10)
   expect(rows.filter(row => !namesIn(row, 1).every(kind => statusesOf(row).includes(statusOf(kind) ?? 'no such kind')))).toEqual([])
@@ -49,7 +49,7 @@
   return row.split('|')[2].split(',').map(text => text.trim())
 }
 
-/** The status of a kind by the one table of errors. */
+/** Looks up the status of an error kind in the error table of the sources. */
 function statusOf(kind: string): string | undefined {
   const errors = readFromRoot('packages/common/src/errors.ts')
   const member = new RegExp(`(\\w+) = '${kind}'`).exec(errors)?.[1]
