--- a/packages/gateway/src/process/gateway-metrics.ts
+++ b/packages/gateway/src/process/gateway-metrics.ts
@@ -37,7 +37,7 @@
 
   private readonly seconds = new Histogram({
     name: 'eidermast_gateway_request_seconds',
-    help: 'Time from the arrival of a request to the end of its response',
+    help: 'Time from arrival to the end of the answer',
     labelNames: ['route'],
     buckets: SECONDS_BUCKETS,
     registers: [this.registry],
@@ -58,13 +58,13 @@
 
   private readonly rejectedCalls = new Counter({
     name: 'eidermast_gateway_calls_turned_away_total',
-    help: 'Calls rejected while they waited for a connection, because their backend server accepted no more work or no request at the moment',
+    help: 'Calls that waited for a connection when their backend server began to leave',
     registers: [this.registry],
   })
 
   private readonly crashes = new Counter({
     name: 'eidermast_gateway_backend_crashes_total',
-    help: 'Crashes of backend servers that were running requests of this gateway, by service',
+    help: 'Ends of backend servers while requests of this gateway ran there, by service',
     labelNames: ['service'],
     registers: [this.registry],
   })
@@ -97,7 +97,7 @@
 
   /** Registers gauges whose values are read at scrape time. */
   addGauges({ clients, configuration, registry, members, crashTracker, evacuations }: GaugeSources): void {
-    this.addGauge('eidermast_gateway_active_requests', 'Requests in flight', () => clients.activeRequests)
+    this.addGauge('eidermast_gateway_active_requests', 'Requests without an answer yet', () => clients.activeRequests)
     this.addGauge('eidermast_gateway_configuration_version', 'Configuration version in force', () => configuration.version)
     this.addGauge('eidermast_gateway_replicas', 'Backend servers known', () => registry.size)
     this.addGauge(
@@ -105,10 +105,10 @@
       'Time since the list of backend servers was last read, from the platform or a peer',
       () => registry.listAgeMs / MILLISECONDS_PER_SECOND,
     )
-    this.addGauge('eidermast_gateway_evacuated_domains', 'Failure domains that are evacuated', () => evacuations.evacuated.size)
-    this.addGauge('eidermast_gateway_evacuated_calls', 'Calls in flight to backend servers of evacuated failure domains', () => registry.callsInEvacuated)
+    this.addGauge('eidermast_gateway_evacuated_domains', 'Failure domains whose backend servers get no work', () => evacuations.evacuated.size)
+    this.addGauge('eidermast_gateway_evacuated_calls', 'Calls under way at backend servers of evacuated failure domains', () => registry.callsInEvacuated)
     this.addGauge('eidermast_gateway_members', 'Gateways known, this one included', () => members.count)
-    this.addGauge('eidermast_gateway_quarantined', 'Fingerprints of requests that are refused because they crash backend servers', () => crashTracker.quarantined)
+    this.addGauge('eidermast_gateway_quarantined', 'Requests, by fingerprint, that are refused since they end backend servers', () => crashTracker.quarantined)
     this.addGauge('eidermast_gateway_owns_stages', 'Shards of the stage work that this gateway coordinates', () => members.coordinatedShardCount)
   }
 
--- a/test/platform/backend-notice.test.ts
+++ b/test/platform/backend-notice.test.ts
@@ -21,15 +21,15 @@
 })
 
 test.each([
-  { status: 503, header: '3', restMs: 3000 },
-  { status: 503, header: '0.25', restMs: 250 },
-  { status: 503, header: 'Wed, 21 Oct 2026 07:28:00 GMT', restMs: undefined },
-  { status: 503, header: '-1', restMs: undefined },
-  { status: 503, header: undefined, restMs: undefined },
-  { status: 429, header: '3', restMs: undefined },
-  { status: 200, header: '3', restMs: undefined },
-])('status $status with Retry-After $header requests a pause of $restMs ms', ({ status, header, restMs }) => {
-  expect(readNotice(status, { 'retry-after': header }).backoffMs).toBe(restMs)
+  { status: 503, header: '3', backoffMs: 3000 },
+  { status: 503, header: '0.25', backoffMs: 250 },
+  { status: 503, header: 'Wed, 21 Oct 2026 07:28:00 GMT', backoffMs: undefined },
+  { status: 503, header: '-1', backoffMs: undefined },
+  { status: 503, header: undefined, backoffMs: undefined },
+  { status: 429, header: '3', backoffMs: undefined },
+  { status: 200, header: '3', backoffMs: undefined },
+])('status $status with Retry-After $header requests a pause of $backoffMs ms', ({ status, header, backoffMs }) => {
+  expect(readNotice(status, { 'retry-after': header }).backoffMs).toBe(backoffMs)
 })
 
 test.each([
--- a/test/platform/store.test.ts
+++ b/test/platform/store.test.ts
@@ -92,7 +92,7 @@
   })
 
   test('pauses after a read that returned records if the sink requests it, and loses none', async () => {
-    follow({ restMs: 400 })
+    follow({ pauseMs: 400 })
     await vi.waitFor(() => expect(store.calls).toBeGreaterThan(1))
     store.put(TOPIC, 'first', '1')
     await vi.waitFor(() => expect(received).toEqual(['first=1']))
@@ -198,8 +198,8 @@
     ['longer for more gateways', BOUNDS, { receivesPeerUpdates: true, count: 50 }, 1500],
     ['at most half of the drain bound', BOUNDS, { receivesPeerUpdates: true, count: 400 }, 2000],
     ['one second if the drain bound is short', { ...BOUNDS, drainMs: 1000 }, { receivesPeerUpdates: true, count: 400 }, 1000],
-  ])('of the backend server list is %s', (_name, bounds, peers, restMs) => {
-    expect(pauseAfterChangesMs(bounds, peers)).toBe(restMs)
+  ])('of the backend server list is %s', (_name, bounds, peers, pauseMs) => {
+    expect(pauseAfterChangesMs(bounds, peers)).toBe(pauseMs)
   })
 
   test('limits the total call rate of all gateways, whatever their number', () => {
