--- a/packages/command-line/src/load/load-request.ts
+++ b/packages/command-line/src/load/load-request.ts
@@ -31,8 +31,8 @@
 
 /**
  * How long the client keeps waiting after a request's deadline, so that late
- * answers are counted as late and not as lost. At half this value some late
- * answers are counted as lost; doubling it only delays the end of the run.
+ * answers are counted as late and not as lost, at the cost of a later end of the
+ * run.
  */
 const LATE_ANSWER_GRACE_MS = 3000
 
--- a/packages/command-line/src/load/load-run.ts
+++ b/packages/command-line/src/load/load-run.ts
@@ -31,9 +31,9 @@
 const PROGRESS_INTERVAL_MS = 1000
 
 /**
- * Connections to one entry, each of which carries one request at a time. With
- * fewer connections than requests in flight the load generator itself would
- * delay requests; more only cost sockets.
+ * Connections to one entry, each of which carries one request at a time. Allows
+ * more connections than requests in flight, so that the load generator itself
+ * does not delay requests, at the cost of sockets.
  */
 const MAX_CONNECTIONS_PER_ENTRY = 2000
 
--- a/packages/command-line/src/operator.ts
+++ b/packages/command-line/src/operator.ts
@@ -57,9 +57,9 @@
 }
 
 /**
- * Timeout for an answer of the log, the VM list or a process. At half this value
- * a busy process is reported as silent; doubling it makes operators wait longer
- * for a process that hangs.
+ * Timeout for an answer of the log, the VM list or a process. Prevents a busy
+ * process from being reported as silent, at the cost of a longer wait for a
+ * process that hangs.
  */
 const QUERY_TIMEOUT_MS = 2000
 
--- a/packages/common/src/duration-window.ts
+++ b/packages/common/src/duration-window.ts
@@ -4,9 +4,9 @@
  * until durations have been added.
  */
 
-/** Number of durations. With half, a high quantile is based on six samples; with twice, it follows a change half as fast. */
+/** Number of durations; enough for a high quantile to be based on about a dozen samples, and few enough to follow a change quickly. */
 const DEFAULT_WINDOW = 128
-/** Limits memory, at one window per key. With fewer keys, windows that are still in use are evicted. */
+/** Limits memory, at one window per key; high enough that windows in use are not evicted. */
 const DEFAULT_MAX_KEYS = 10_000
 const MEDIAN = 0.5
 
--- a/packages/common/src/ejection.ts
+++ b/packages/common/src/ejection.ts
@@ -80,27 +80,27 @@
   Failing = 'failing',
 }
 
-/** Fraction of a pool. With half, more unhealthy servers stay in use; with twice, the load on the remaining servers triples. */
+/** Fraction of a pool. Limits the load on the remaining servers to 1.5 times the usual one, at the cost of keeping further unhealthy servers in use. */
 const MAX_EJECTED_FRACTION = 1 / 3
-/** With half, a single lost connection causes an ejection; with twice, each ejection costs three more failed calls. */
+/** Prevents a single lost connection from causing an ejection, at the cost of three failed calls for each ejection. */
 const MAX_CONSECUTIVE_FAILURES = 3
-/** With half, a failure rate of 20% causes an ejection; with twice, only consecutive failures do. */
+/** Tolerates a failure rate of 20%, but ejects servers that fail often without consecutive failures. */
 const MAX_FAILURE_RATE = 0.4
-/** Weight of the most recent call in the moving average. With half, the average covers twice as many calls and detects a failure later. */
+/** Weight of the most recent call in the moving average, which thus covers about ten calls and detects a rising failure rate early. */
 const FAILURE_WEIGHT = 0.1
-/** With half, an unhealthy server is probed twice as often; with twice, a recovered one stays idle for longer. */
+/** Limits how often an unhealthy server is probed, at the cost of leaving a recovered one idle for up to a second. */
 const FIRST_EJECTION_MS = 1000
-/** Limits how long a recovered server gets no calls. With half, a dead server is probed twice as often. */
+/** Limits how long a recovered server gets no calls, at the cost of probing a dead server every 30 s. */
 const MAX_EJECTION_MS = 30_000
-/** Factor by which each consecutive ejection is longer than the one before. With 1, a dead server would be probed every second. */
+/** Factor by which each consecutive ejection is longer than the one before, so that a dead server is not probed every second. */
 const EJECTION_GROWTH = 2
-/** Multiple of the pool's median. With half, the normal variance between models causes ejections; with twice, a server that is 8 times slower is tolerated. */
+/** Multiple of the pool's median. Tolerates the normal variance between models, at the cost of tolerating servers that are up to 4 times slower. */
 const SLOW_FACTOR = 4
 /** Added to the limit so that jitter does not cause ejections in pools with very short calls. */
 const SLOW_MARGIN_MS = 20
-/** Number of successful calls of a backend server. With half, a single long call distorts the median; with twice, a slow server is detected later. */
+/** Number of successful calls of a backend server; enough that a single long call does not distort the median, and few enough to detect a slow server early. */
 const SLOW_WINDOW = 8
-/** Number of calls needed for a median. With half, two calls would decide; twice is more than the window holds. */
+/** Number of calls needed for a median, so that two calls do not decide; at most SLOW_WINDOW, since the window holds no more. */
 const MIN_CALLS_FOR_MEDIAN = 5
 
 /** Ejects after consecutive failures, at a high failure rate, or when durations are far above the pool's median. */
--- a/packages/common/src/errors.ts
+++ b/packages/common/src/errors.ts
@@ -108,7 +108,7 @@
   retryAfterMs?: number
 }
 
-/** Used if there is no estimate. With half, a full entry gets twice as many retries; with twice, requests that would be admitted are delayed. */
+/** Used if there is no estimate. Limits the rate of retries at a full entry, at the cost of delaying requests that would be admitted. */
 const DEFAULT_RETRY_AFTER_MS = 1000
 
 /** Properties of an error that its kind does not determine. */
--- a/packages/common/src/event-log.ts
+++ b/packages/common/src/event-log.ts
@@ -16,14 +16,14 @@
 /** File descriptor of standard output. */
 const STANDARD_OUTPUT = 1
 /**
- * Characters buffered during a write. With half, lines of a burst are dropped;
- * twice uses more memory while the reader hangs.
+ * Characters buffered during a write. Holds the lines of a burst, and limits the
+ * memory used while the reader hangs.
  */
 const MAX_BUFFER_LENGTH = 256 * 1024
 const RATE_WINDOW_MS = 1000
 /**
- * Lines per event and window. With half, requests of a busy second are not
- * logged; twice costs CPU time when many requests fail at once.
+ * Lines per event and window. Covers the requests of a busy second, and limits
+ * the CPU time spent on logging when many requests fail at once.
  */
 const MAX_LINES_PER_WINDOW = 200
 
--- a/packages/stand-ins/src/daemon-status.ts
+++ b/packages/stand-ins/src/daemon-status.ts
@@ -11,8 +11,8 @@
 
 /**
  * Timeout for all processes to become ready. On a busy machine the small
- * deployment takes several seconds to start; half this value fails tests there,
- * and doubling it only delays the report of a process that never becomes ready.
+ * deployment takes several seconds to start. The margin keeps tests from failing
+ * there, at the cost of a later report of a process that never becomes ready.
  */
 const READY_TIMEOUT_MS = 15_000
 
--- a/packages/stand-ins/src/launcher.ts
+++ b/packages/stand-ins/src/launcher.ts
@@ -58,9 +58,9 @@
 const DAEMON_PROGRAM = path.join(path.dirname(require.resolve('@eidermast/daemon')), '..', 'bin', 'eidermastd.js')
 
 /**
- * Maximum number of backend servers that start concurrently. Half as many makes
- * a launch slower; with twice as many, processes compete for the CPU until one
- * does not listen before its timeout.
+ * Maximum number of backend servers that start concurrently. Prevents processes
+ * from competing for the CPU until one does not listen before its timeout, at the
+ * cost of a slower launch.
  */
 const MAX_CONCURRENT_STARTS = 8
 
--- a/packages/stand-ins/src/log-service.ts
+++ b/packages/stand-ins/src/log-service.ts
@@ -45,7 +45,7 @@
 /** Rate limit, as the users' platform specifies it; appends above it are rejected with 429. */
 const APPENDS_PER_SECOND = 100
 
-/** Bucket size of the rate limit: 0.2 s at the full rate. A size of 1 would reject any two concurrent appends. */
+/** Bucket size of the rate limit: 0.2 s at the full rate. More than 1, so that concurrent appends are not rejected. */
 const APPEND_BURST = 20
 
 /** Delay before a repeated append is stored again; long enough for other records to be stored in between. */
--- a/packages/stand-ins/src/process-group.ts
+++ b/packages/stand-ins/src/process-group.ts
@@ -42,8 +42,8 @@
 }
 
 /**
- * Timeout for a child to start listening. At half this value starts fail on a
- * busy machine; doubling it only delays the report of a child that hangs.
+ * Timeout for a child to start listening. Allows for slow starts on a busy
+ * machine, at the cost of a later report of a child that hangs.
  */
 const START_TIMEOUT_MS = 30_000
 
