--- a/packages/daemon/src/process/membership/membership.ts
+++ b/packages/daemon/src/process/membership/membership.ts
@@ -42,7 +42,7 @@
   private readonly members = new Map<string, Member>()
   private membersByService = new Map<string, Member[]>()
   private readonly unsubscribe: () => void
-  /** When the first links were opened, in milliseconds of the monotonic process clock. */
+  /** When the first links were opened, in milliseconds of the monotonic clock. */
   private connectStartedAt: number | undefined
   private initialConnectDone = false
 
--- a/packages/gateway/src/process/stages/backend/result-memory.ts
+++ b/packages/gateway/src/process/stages/backend/result-memory.ts
@@ -35,7 +35,7 @@
   isMarkedForDeletion: boolean
 }
 
-/** Result memory of one backend server; times are in milliseconds on the process clock. */
+/** Result memory of one backend server; times are in milliseconds on the monotonic clock. */
 export class ResultMemory implements ResultHolder {
   private usedBytes = 0
   private brokenCalls = 0
--- a/packages/gateway/src/process/stages/backend/stage-backend.ts
+++ b/packages/gateway/src/process/stages/backend/stage-backend.ts
@@ -21,7 +21,7 @@
 
 const MILLISECONDS_PER_SECOND = 1000
 
-/** State of one backend server; times are in milliseconds on the process clock. */
+/** State of one backend server; times are in milliseconds on the monotonic clock. */
 export class StageBackend {
   readonly memory: ResultMemory
   private callsInFlight = 0
--- a/packages/gateway/src/process/stages/engine-assignment.ts
+++ b/packages/gateway/src/process/stages/engine-assignment.ts
@@ -85,7 +85,7 @@
 class EngineState {
   pendingTokens = 0
   msPerToken = INITIAL_MS_PER_TOKEN
-  /** Time of the last assignment by part, in milliseconds on the process clock; the oldest comes first. */
+  /** Time of the last assignment by part, in milliseconds on the monotonic clock; the oldest comes first. */
   private readonly cachedParts = new Map<string, number>()
 
   /** Records that a shared part was assigned. */
--- a/packages/gateway/src/process/stages/pool/call-forecasts.ts
+++ b/packages/gateway/src/process/stages/pool/call-forecasts.ts
@@ -3,7 +3,7 @@
  * once for all decisions of a dispatch.
  */
 
-/** Expected availability of a backend server; `now` is in milliseconds on the process clock. */
+/** Expected availability of a backend server; `now` is in milliseconds on the monotonic clock. */
 export interface BackendForecast {
   readonly failureDomain: string
   isUsable: (now: number) => boolean
--- a/packages/gateway/src/process/stages/stage-order.ts
+++ b/packages/gateway/src/process/stages/stage-order.ts
@@ -25,7 +25,7 @@
 /** Delay of a task that will miss its target. Without a bound it would wait until its deadline. */
 const LATE_PENALTY_MS = 1500
 
-/** Rank of a request that arrives now, in milliseconds on the process clock; the lowest rank runs first. */
+/** Rank of a request that arrives now, in milliseconds on the monotonic clock; the lowest rank runs first. */
 export function rankRequest({ priority, isRetry, targetMs }: PreparationRequest, answerMs: number, now: number): number {
   const level = priority - (isRetry ? 1 : 0)
   return now + targetMs - answerMs + level * PRIORITY_STEP_MS
--- a/packages/gateway/src/request/attempts/run-subject.ts
+++ b/packages/gateway/src/request/attempts/run-subject.ts
@@ -29,7 +29,7 @@
   error?: RequestError
   /** Why there was no further attempt; undefined if an attempt succeeded. */
   retry?: RetryDecision
-  /** When the first event of a stream was forwarded, on the process clock in milliseconds. */
+  /** When the first event of a stream was forwarded, on the monotonic clock in milliseconds. */
   firstEventAt?: number
 }
 
--- a/packages/gateway/src/request/deadlines.ts
+++ b/packages/gateway/src/request/deadlines.ts
@@ -43,7 +43,7 @@
  */
 const MIN_ATTEMPT_MS = 150
 
-/** Deadlines of a request, on the process clock in milliseconds. */
+/** Deadlines of a request, on the monotonic clock in milliseconds. */
 export interface RequestDeadlines {
   /** When the response has to be complete. */
   deadlineAt: number
@@ -51,7 +51,7 @@
   firstEventBy: number
 }
 
-/** Computes the deadlines of a request; `arrivedAt` is on the process clock in milliseconds. */
+/** Computes the deadlines of a request; `arrivedAt` is on the monotonic clock in milliseconds. */
 export function decideDeadlines(arrivedAt: number, clientDeadlineMs: number | undefined, route: Route): RequestDeadlines {
   const allowedMs = Math.min(clientDeadlineMs ?? DEFAULT_DEADLINE_MS, route.timeoutMs)
   const deadlineAt = arrivedAt + allowedMs - RESPONSE_MARGIN_MS
--- a/packages/gateway/src/request/routed-request.ts
+++ b/packages/gateway/src/request/routed-request.ts
@@ -14,9 +14,9 @@
   service: string
   /** 0 is the most urgent. */
   priority: number
-  /** When its response has to be complete, on the process clock in milliseconds. */
+  /** When its response has to be complete, on the monotonic clock in milliseconds. */
   deadlineAt: number
-  /** When its client gives up waiting for a first event, on the process clock in milliseconds. */
+  /** When its client gives up waiting for a first event, on the monotonic clock in milliseconds. */
   firstEventBy: number
   /** Identical for every attempt of the client (`request-fingerprint.ts`). */
   fingerprint: string
--- a/packages/gateway/src/request/stages/stage-states.ts
+++ b/packages/gateway/src/request/stages/stage-states.ts
@@ -12,7 +12,7 @@
 interface StageState {
   results: StageResult[] | undefined
   started: boolean
-  /** When it started, on the process clock in milliseconds. */
+  /** When it started, on the monotonic clock in milliseconds. */
   startedAt: number
   /** Stages that read the results and have not fetched them yet. */
   readersLeft: number
--- a/packages/gateway/src/request/stages/stage-task.ts
+++ b/packages/gateway/src/request/stages/stage-task.ts
@@ -9,7 +9,7 @@
 
 /**
  * What this process knows of the results in the memory of one backend server;
- * times are on the process clock in milliseconds.
+ * times are on the monotonic clock in milliseconds.
  */
 export interface ResultHolder {
   readonly backend: Backend
@@ -58,9 +58,9 @@
   readerDomain: string | undefined
   /** Position in the processing order; the lowest goes first. */
   rank: number
-  /** When the request's response misses its target, on the process clock in milliseconds. */
+  /** When the request's response misses its target, on the monotonic clock in milliseconds. */
   targetAt: number
-  /** When the client gives up, on the process clock in milliseconds. */
+  /** When the client gives up, on the monotonic clock in milliseconds. */
   deadlineAt: number
   /** Expected time of everything after this stage, in milliseconds. */
   remainingMs: number
