--- a/packages/command-line/src/commands/backend-commands.ts
+++ b/packages/command-line/src/commands/backend-commands.ts
@@ -64,11 +64,11 @@
   const options = globalOptions(command)
   await withOperator(options, async (operator) => {
     const configuration = await requireConfiguration(operator)
-    const known = configuration.get(ObjectKind.Backend, name)
-    const checked = backendSchema.safeParse({ ...known?.value, ...createBackendOrder(given) })
+    const published = configuration.get(ObjectKind.Backend, name)
+    const checked = backendSchema.safeParse({ ...published?.value, ...createBackendOrder(given) })
     if (!checked.success) {
-      const faults = checked.error.issues.map(issue => `${issue.path.join('.')}: ${issue.message}`).join('; ')
-      throw new CommandFailure(ExitCode.BadInput, `the description of the backend server ${name} is invalid: ${faults}`)
+      const errors = checked.error.issues.map(issue => `${issue.path.join('.')}: ${issue.message}`).join('; ')
+      throw new CommandFailure(ExitCode.BadInput, `the description of the backend server ${name} is invalid: ${errors}`)
     }
     const base = configuration.baseOffset(ObjectKind.Backend, name)
     reportPublication(options, await operator.publish({ kind: ObjectKind.Backend, name, value: checked.data, base }))
@@ -78,11 +78,11 @@
 async function orderOut(name: string, command: Command): Promise<void> {
   const options = globalOptions(command)
   await withOperator(options, async (operator) => {
-    const known = (await requireConfiguration(operator)).get(ObjectKind.Backend, name)
-    if (!known)
+    const published = (await requireConfiguration(operator)).get(ObjectKind.Backend, name)
+    if (!published)
       throw new CommandFailure(ExitCode.NotFound, `no backend server is named ${name}`)
-    const value = { ...known.value, order: BackendOrder.Out }
-    reportPublication(options, await operator.publish({ kind: ObjectKind.Backend, name, value, base: known.offset }))
+    const value = { ...published.value, order: BackendOrder.Out }
+    reportPublication(options, await operator.publish({ kind: ObjectKind.Backend, name, value, base: published.offset }))
   })
 }
 
--- a/packages/command-line/src/commands/command-context.ts
+++ b/packages/command-line/src/commands/command-context.ts
@@ -28,7 +28,7 @@
 /** Loads the settings; fails the command if they are invalid. */
 export function requireSettings(options: GlobalOptions): CommandLineSettings {
   const settings = loadCommandLineSettings(options.settings)
-  return settings.isErr() ? failWithFaults(settings.error) : settings.value
+  return settings.isErr() ? failWithErrors(settings.error) : settings.value
 }
 
 /** Runs a callback with an operator connection and closes the connection afterwards. */
@@ -55,8 +55,8 @@
 }
 
 /** Fails a command because a file has validation errors. */
-export function failWithFaults(faults: SettingsError[]): never {
-  throw new CommandFailure(ExitCode.BadInput, faults.map(formatSettingsError).join('\n'))
+export function failWithErrors(errors: SettingsError[]): never {
+  throw new CommandFailure(ExitCode.BadInput, errors.map(formatSettingsError).join('\n'))
 }
 
 /** Fails a command because the platform's log does not answer. */
--- a/packages/command-line/src/commands/config-commands.ts
+++ b/packages/command-line/src/commands/config-commands.ts
@@ -13,7 +13,7 @@
 import {
   exampleHelp,
   failUnreachable,
-  failWithFaults,
+  failWithErrors,
   formatTable,
   globalOptions,
   print,
@@ -62,26 +62,26 @@
 }
 
 function check(file: string, kind: CheckedFileKind, command: Command): void {
-  const faults = findFaults(file, kind)
-  if (faults.length > 0)
-    failWithFaults(faults)
-  print(globalOptions(command), { file, faults }, [`${file} is valid`])
+  const errors = findErrors(file, kind)
+  if (errors.length > 0)
+    failWithErrors(errors)
+  print(globalOptions(command), { file, faults: errors }, [`${file} is valid`])
 }
 
-function findFaults(file: string, kind: CheckedFileKind): SettingsError[] {
+function findErrors(file: string, kind: CheckedFileKind): SettingsError[] {
   switch (kind) {
     case CheckedFileKind.Daemon:
-      return faultsOf(loadSettings(file))
+      return errorsOf(loadSettings(file))
     case CheckedFileKind.CommandLine:
-      return faultsOf(loadCommandLineSettings(file))
+      return errorsOf(loadCommandLineSettings(file))
     case CheckedFileKind.Template:
-      return faultsOf(loadObjectFile(ObjectKind.Template, file))
+      return errorsOf(loadObjectFile(ObjectKind.Template, file))
     case CheckedFileKind.Account:
-      return faultsOf(loadObjectFile(ObjectKind.Account, file))
+      return errorsOf(loadObjectFile(ObjectKind.Account, file))
   }
 }
 
-function faultsOf(result: Result<unknown, SettingsError[]>): SettingsError[] {
+function errorsOf(result: Result<unknown, SettingsError[]>): SettingsError[] {
   return result.isErr() ? result.error : []
 }
 
--- a/packages/command-line/src/commands/load-command.ts
+++ b/packages/command-line/src/commands/load-command.ts
@@ -68,7 +68,7 @@
 /** Writes progress to standard error, and only if it is a terminal. */
 function showProgress(sent: number, completed: number): void {
   if (process.stderr.isTTY)
-    process.stderr.write(`\rsent ${sent}, answered ${completed} `)
+    process.stderr.write(`\rsent ${sent}, completed ${completed} `)
 }
 
 function formatReport(report: LoadReport): string[] {
--- a/packages/command-line/src/commands/object-commands.ts
+++ b/packages/command-line/src/commands/object-commands.ts
@@ -10,7 +10,7 @@
 import { loadObjectFile } from '../object-file.js'
 import {
   exampleHelp,
-  failWithFaults,
+  failWithErrors,
   formatTable,
   globalOptions,
   print,
@@ -97,7 +97,7 @@
   const options = globalOptions(command)
   const loaded = loadObjectFile(kind, file)
   if (loaded.isErr())
-    failWithFaults(loaded.error)
+    failWithErrors(loaded.error)
   await withOperator(options, async (operator) => {
     reportPublication(options, await operator.publish({ kind, name, value: loaded.value, base: change.base }))
   })
--- a/packages/command-line/src/load/load-report.ts
+++ b/packages/command-line/src/load/load-report.ts
@@ -30,7 +30,7 @@
   refused: number
   wrong: number
   lost: number
-  /** Latency of complete answers in milliseconds, measured from the planned arrival. */
+  /** Latency of complete answers in milliseconds, measured from the planned send time. */
   p50: number
   p95: number
   p99: number
@@ -45,7 +45,7 @@
   overall: GroupReport
   groups: GroupReport[]
   refusals: Record<string, number>
-  /** Latency of refusals in milliseconds, measured from the planned arrival. */
+  /** Latency of refusals in milliseconds, measured from the planned send time. */
   refusalP99: number
   /** Cost of answered requests by stage, in the unit that operators use in templates. */
   costByStage: Record<string, number>
@@ -64,7 +64,7 @@
   account: string
   priority: string
   outcome: LoadOutcome
-  /** Latency, measured from the planned arrival. */
+  /** Latency, measured from the planned send time. */
   milliseconds: number
   errorKind?: string
   costs: StageCost[]
--- a/packages/command-line/src/load/load-run.ts
+++ b/packages/command-line/src/load/load-run.ts
@@ -23,7 +23,7 @@
   /** Seed for arrival times and for the choice of kinds and entries. */
   seed: number
   /** Called once a second with the number of requests sent and completed. */
-  onProgress?: (sent: number, ended: number) => void
+  onProgress?: (sent: number, completed: number) => void
 }
 
 const MILLISECONDS_PER_SECOND = 1000
--- a/packages/command-line/src/object-file.ts
+++ b/packages/command-line/src/object-file.ts
@@ -85,10 +85,10 @@
 
 function checkValue<Kind extends FileKind>(kind: Kind, value: unknown): Result<ObjectValues[Kind], SettingsError[]> {
   const checked = objectSchemas[kind].safeParse(value)
-  return checked.success ? Ok(checked.data) : Err(describeValueFaults(checked.error))
+  return checked.success ? Ok(checked.data) : Err(convertSchemaErrors(checked.error))
 }
 
-function describeValueFaults(error: z.ZodError): SettingsError[] {
+function convertSchemaErrors(error: z.ZodError): SettingsError[] {
   return error.issues.map(issue => ({
     section: issue.path.slice(0, -1).join('.') || 'file',
     key: String(issue.path.at(-1) ?? '(file)'),
--- a/packages/command-line/src/request-timeline.ts
+++ b/packages/command-line/src/request-timeline.ts
@@ -90,11 +90,11 @@
 
 /** Formats a timeline with times in milliseconds since its first line. */
 export function formatTimeline({ lines }: RequestTimeline): string[] {
-  const beginAt = lines[0]?.at ?? 0
+  const firstAt = lines[0]?.at ?? 0
   const lastAt = lines.at(-1)?.at ?? 0
-  const width = String(lastAt - beginAt).length
+  const width = String(lastAt - firstAt).length
   return lines.map(({ at, process, event, fields }) => {
-    const elapsedMs = String(at - beginAt).padStart(width)
+    const elapsedMs = String(at - firstAt).padStart(width)
     const line = formatLine(event, { ...fields, requests: undefined, request: undefined })
     return `${elapsedMs} ms  ${process}  ${line}`
   })
--- a/packages/common/src/ejection.ts
+++ b/packages/common/src/ejection.ts
@@ -4,8 +4,8 @@
  * rest of the pool (outlier ejection).
  *
  * Inputs: the outcome of each of this process's own calls (success with its
- * duration in ms, failure, or cancellation after a duration in ms); the number
- * of calls in flight to each candidate, as of now. Nothing is exchanged with
+ * duration in ms, failure, or cancellation after a duration in ms); the current
+ * number of calls in flight to each candidate. Nothing is exchanged with
  * other processes.
  * Rule: a backend server is ejected after MAX_CONSECUTIVE_FAILURES consecutive
  * failures, when the moving average of its failure rate reaches
--- a/packages/common/src/errors.ts
+++ b/packages/common/src/errors.ts
@@ -121,7 +121,7 @@
 export function createError(kind: ErrorKind, message: string, details: ErrorDetails = {}): RequestError {
   const response = ERROR_RESPONSES[kind]
   const requested = details.ran ?? response.ran[0]
-  // A statement that the kind does not allow becomes the one that guarantees nothing.
+  // An execution state that the kind does not allow becomes `unknown`, which guarantees nothing.
   const ran = response.ran.includes(requested) ? requested : Ran.Unknown
   if (!response.retryAfter)
     return { kind, message, ran }
--- a/packages/common/src/event-log.ts
+++ b/packages/common/src/event-log.ts
@@ -53,13 +53,13 @@
     const chunk = this.pending
     this.pending = ''
     this.writing = true
-    this.writeRest(Buffer.from(chunk))
+    this.writeBytes(Buffer.from(chunk))
   }
 
-  private writeRest(bytes: Buffer): void {
+  private writeBytes(bytes: Buffer): void {
     writeFile(this.descriptor, bytes, (error, written) => {
       if (!error && written < bytes.length)
-        return this.writeRest(bytes.subarray(written))
+        return this.writeBytes(bytes.subarray(written))
       this.writing = false
       // Lines of a failed write are lost, since the failure cannot be logged elsewhere. The next line triggers another write.
       if (this.pending !== '' && !error)
--- a/packages/common/src/index.ts
+++ b/packages/common/src/index.ts
@@ -2,7 +2,7 @@
 /**
  * Code shared by both programs, the platform adapter and the tools: errors,
  * outlier ejection, logging, sliding windows of durations, settings files and
- * time-outs. It depends on none of them.
+ * timeouts. It depends on none of them.
  */
 export * from './ejection.js'
 export * from './errors.js'
--- a/packages/common/src/wait.ts
+++ b/packages/common/src/wait.ts
@@ -1,9 +1,9 @@
 /**
- * Delays and time-outs that remove their listeners from abort signals that
+ * Delays and timeouts that remove their listeners from abort signals that
  * outlive them. All times are in milliseconds.
  */
 
-/** A signal that is never aborted, for waits that end only by their time-out. */
+/** A signal that is never aborted, for waits that end only by their timeout. */
 export const NEVER_ABORTED: AbortSignal = new AbortController().signal
 
 /** Resolves after a delay, or as soon as one of the signals is aborted. */
@@ -23,13 +23,13 @@
   })
 }
 
-/** A signal with a time-out; `dispose` clears its timer and removes its listener. */
+/** A signal with a timeout; `dispose` clears its timer and removes its listener. */
 export interface TimeoutSignal {
   signal: AbortSignal
   dispose: () => void
 }
 
-/** Creates a signal that is aborted after a time-out or together with another signal. */
+/** Creates a signal that is aborted after a timeout or together with another signal. */
 export function createTimeoutSignal(timeoutMs: number, parent?: AbortSignal): TimeoutSignal {
   const controller = new AbortController()
   const abort = (): void => controller.abort()
@@ -45,7 +45,7 @@
 }
 
 /**
- * Resolves with the promise's value, or with undefined if the time-out elapses or
+ * Resolves with the promise's value, or with undefined if the timeout elapses or
  * the signal is aborted first. The promise must never reject.
  */
 export function settleWithin<Value>(promise: Promise<Value>, timeoutMs: number, signal: AbortSignal): Promise<Value | undefined> {
--- a/packages/stand-ins/src/daemon-status.ts
+++ b/packages/stand-ins/src/daemon-status.ts
@@ -45,7 +45,7 @@
       await waitUntil(() => this.isSideReady(name), deadline, `${name} did not accept work`)
     for (const { name } of this.group.list(ProcessKind.Entry)) {
       const usesAllBackends = async (): Promise<boolean> => await this.countActiveBackends(name) >= sides.length
-      await waitUntil(usesAllBackends, deadline, `${name} did not have every backend server in force`)
+      await waitUntil(usesAllBackends, deadline, `${name} did not use every backend server`)
     }
   }
 
--- a/packages/stand-ins/src/process-group.ts
+++ b/packages/stand-ins/src/process-group.ts
@@ -56,7 +56,7 @@
   /** @param directory Directory for the processes' standard error, one file per process. */
   constructor(readonly directory: string) {}
 
-  /** Starts a process and waits until it is listening; throws if it exits before. */
+  /** Starts a process and waits until it is listening; throws if it exits first or START_TIMEOUT_MS elapses. */
   async start(kind: ProcessKind, name: string, parameters: string[]): Promise<LaunchedProcess> {
     this.parameters.set(name, parameters)
     const logFile = openSync(path.join(this.directory, `${name}.log`), 'a')
@@ -115,7 +115,7 @@
   return child.exitCode === null && child.signalCode === null
 }
 
-/** Reads the first line that a child prints; throws if it exits before. */
+/** Reads the first line that a child prints; throws if it exits first or START_TIMEOUT_MS elapses. */
 async function readFirstLine(child: ChildProcess, name: string): Promise<string> {
   const lines = createInterface({ input: child.stdout! })
   const timeout = AbortSignal.timeout(START_TIMEOUT_MS)
--- a/test/command-line/request-timeline.test.ts
+++ b/test/command-line/request-timeline.test.ts
@@ -42,10 +42,10 @@
 
   test.each([
     ['plain text', 'listening on port 1'],
-    ['half a line', REFUSED.slice(0, 40)],
+    ['a truncated line', REFUSED.slice(0, 40)],
     ['another program\'s JSON', '{"level":"info"}'],
     ['JSON with a nested value', REFUSED.replace('"tookMs":2', '"tookMs":{"value":2}')],
-  ])('is skipped where it is %s', (_name, text) => {
+  ])('is skipped if it is %s', (_name, text) => {
     expect(parseLogLine(text)).toBeUndefined()
   })
 })
@@ -77,7 +77,7 @@
   test.each([
     ['no line names the request', ['id-404', '--logs', '-'], ExitCode.NotFound, 'none of the 1 lines mentions id-404'],
     ['a file cannot be read', ['id-1', '--logs', 'no-such.log'], ExitCode.BadInput, 'no-such.log'],
-  ])('says what to do where %s', async (_name, parameters, exitCode, message) => {
+  ])('explains the error if %s', async (_name, parameters, exitCode, message) => {
     const result = await explain(['explain', ...parameters], `${OTHER}\n`)
     expect(result.exitCode).toBe(exitCode)
     expect(result.errors).toContain(message)
