--- a/packages/common/src/ejection.ts
+++ b/packages/common/src/ejection.ts
@@ -84,7 +84,7 @@
 const MAX_EJECTED_FRACTION = 1 / 3
 /** Prevents a single lost connection from causing an ejection, at the cost of three failed calls for each ejection. */
 const MAX_CONSECUTIVE_FAILURES = 3
-/** Tolerates a failure rate of 20%, but ejects servers that fail often without consecutive failures. */
+/** Well above a failure rate of 20%, which is not meant to cause an ejection; low enough to detect frequent failures that are not consecutive. */
 const MAX_FAILURE_RATE = 0.4
 /** Weight of the most recent call in the moving average, which thus covers about ten calls and detects a rising failure rate early. */
 const FAILURE_WEIGHT = 0.1
