--- a/packages/stand-ins/src/daemon-status.ts
+++ b/packages/stand-ins/src/daemon-status.ts
@@ -11,8 +11,8 @@
 
 /**
  * Timeout for all processes to become ready. On a busy machine the small
- * deployment takes several seconds to start; half this value fails tests there,
- * and doubling it only delays the report of a process that never becomes ready.
+ * deployment takes several seconds to start. The margin keeps tests from failing
+ * there, at the cost of a later report of a process that never becomes ready.
  */
 const READY_TIMEOUT_MS = 15_000
 
@@ -45,7 +45,7 @@
       await waitUntil(() => this.isSideReady(name), deadline, `${name} did not accept work`)
     for (const { name } of this.group.list(ProcessKind.Entry)) {
       const usesAllBackends = async (): Promise<boolean> => await this.countActiveBackends(name) >= sides.length
-      await waitUntil(usesAllBackends, deadline, `${name} did not have every backend server in force`)
+      await waitUntil(usesAllBackends, deadline, `${name} did not use every backend server`)
     }
   }
 
